--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -141,7 +141,7 @@
 			if config == "" {
 				return fmt.Errorf("%w: set EDGE_CONFIG or give --config: an operator's file is checked against the deployment's classes", errUsage)
 			}
-			if err := run.Check(config, file); err != nil {
+			if err := run.Validate(config, file); err != nil {
 				return fmt.Errorf("%w: %w", errUsage, err)
 			}
 			fmt.Fprintln(c.OutOrStdout(), "ok")
--- a/internal/cli/policy_propose.go
+++ b/internal/cli/policy_propose.go
@@ -158,7 +158,7 @@
 			if err != nil {
 				return err
 			}
-			p, err := run.Policy(config, args[0])
+			p, err := run.LoadPolicy(config, args[0])
 			if err != nil {
 				return fmt.Errorf("%w: %w", errUsage, err)
 			}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -62,7 +62,7 @@
 	}
 	c.Flags().BoolVarP(&watch, "watch", "w", false, "show it again and again until Ctrl-C")
 	c.Flags().DurationVar(&every, "every", time.Second, "with --watch: how often")
-	c.Flags().StringSliceVar(&show, "show", []string{"levels", "classes", "databases", "pools"}, "what is shown: "+strings.ToLower(strings.Join(console.Views(), ", ")))
+	c.Flags().StringSliceVar(&show, "show", []string{"levels", "classes", "databases", "pools"}, "what is shown: "+strings.ToLower(strings.Join(console.Commands(), ", ")))
 	return c
 }
 
@@ -78,7 +78,7 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(statusPatience))
 	a := &asker{conn: conn}
-	if _, err := a.ask(pg.AppendStartup(nil, "admin", console.Database)); err != nil {
+	if _, err := a.ask(pg.AppendStartup(nil, "admin", console.DatabaseName)); err != nil {
 		return "", fmt.Errorf("no console at %s: %w", address, err)
 	}
 	var out strings.Builder
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -12,8 +12,8 @@
 	"havenproxy/internal/state"
 )
 
-// Database is the name that leads to the console.
-const Database = "havenproxy"
+// DatabaseName is the name that leads to the console.
+const DatabaseName = "havenproxy"
 
 // Table is a result set.
 type Table struct {
@@ -38,11 +38,11 @@
 
 // Client is a client's connection.
 type Client struct {
-	Address string
-	State   string
-	Since   time.Duration // how long it has been so
-	Waiting int           // requests under way
-	Bytes   int           // of a query that has come in part
+	Address      string
+	State        string
+	InState      time.Duration // how long it has been so
+	Pending      int           // requests under way
+	PartialBytes int           // of a query that has come in part
 }
 
 // Source is what the tables are made of.
@@ -56,12 +56,12 @@
 
 // Tier is what a proxy knows of the tier that it belongs to.
 type Tier struct {
-	Number, Member uint64
-	Planner        string        // that is spoken to; empty = none
-	Lease          time.Duration // what is left of it
-	Leases         bool          // there are any
-	Ready, Holds   bool
-	Waits          string // why it could not join, as last told
+	Policy, Member       uint64
+	Planner              string        // that is spoken to; empty = none
+	LeaseLeft            time.Duration // what is left of it
+	UsesLeases           bool          // there are any
+	Ready, HoldsRequests bool
+	JoinError            string // why it could not join, as last told
 }
 
 type view struct {
@@ -84,8 +84,8 @@
 	"HISTORY":    {"the last changes of level, the newest first", historyTable},
 }
 
-// Views are the words behind SHOW, in order.
-func Views() []string {
+// Commands are the words behind SHOW, in order.
+func Commands() []string {
 	out := []string{"HELP"}
 	for name := range views {
 		out = append(out, name)
@@ -94,8 +94,8 @@
 	return out
 }
 
-// Answer gives the table that a statement asks for. The error tells what is known instead.
-func Answer(text string, s Source) (Table, error) {
+// Execute gives the table that a statement asks for. The error tells what is known instead.
+func Execute(text string, s Source) (Table, error) {
 	words := strings.Fields(strings.Trim(strings.ToUpper(text), " \t\r\n;"))
 	if len(words) == 2 && words[0] == "SHOW" {
 		if words[1] == "HELP" {
@@ -105,12 +105,12 @@
 			return v.make(s), nil
 		}
 	}
-	return Table{}, fmt.Errorf("the console knows SHOW %s; SHOW HELP tells more", strings.Join(Views(), ", SHOW "))
+	return Table{}, fmt.Errorf("the console knows SHOW %s; SHOW HELP tells more", strings.Join(Commands(), ", SHOW "))
 }
 
 func help() Table {
 	t := Table{Columns: []string{"command", "shows"}}
-	for _, name := range Views() {
+	for _, name := range Commands() {
 		if v, ok := views[name]; ok {
 			t.add("SHOW "+name, v.help)
 		} else {
@@ -216,12 +216,12 @@
 	if x, ok := s.Tier(); ok {
 		how := "refused"
 		switch {
-		case x.Holds:
+		case x.HoldsRequests:
 			how = "wait"
 		case x.Ready:
 			how = "taken"
 		}
-		t.add(x.Number, how, f.Kept(), f.Counters.Kept, f.Counters.GateShut)
+		t.add(x.Policy, how, f.Kept(), f.Counters.Kept, f.Counters.GateShut)
 	} else {
 		t.add(or(f.Revised(), "-"), "taken, by the proxy's own files", 0, uint64(0), uint64(0))
 	}
@@ -232,10 +232,10 @@
 	t := Table{Columns: []string{"member", "planner", "lease_s", "why_not"}}
 	if x, ok := s.Tier(); ok {
 		lease := "-"
-		if x.Leases {
-			lease = fmt.Sprintf("%.1f", max(x.Lease.Seconds(), 0))
+		if x.UsesLeases {
+			lease = fmt.Sprintf("%.1f", max(x.LeaseLeft.Seconds(), 0))
 		}
-		t.add(x.Member, or(x.Planner, "none"), lease, or(x.Waits, "-"))
+		t.add(x.Member, or(x.Planner, "none"), lease, or(x.JoinError, "-"))
 	} else {
 		t.add("-", "-", "-", "no tier() in the operator's file")
 	}
@@ -257,7 +257,7 @@
 	t := Table{Columns: []string{"address", "state", "since_s", "waiting", "part_bytes"}}
 	list, all := s.Clients(mostClients)
 	for _, c := range list {
-		t.add(c.Address, c.State, c.Since, c.Waiting, c.Bytes)
+		t.add(c.Address, c.State, c.InState, c.Pending, c.PartialBytes)
 	}
 	if left := all - len(list); left > 0 {
 		t.add(fmt.Sprintf("and %d more", left), "-", time.Duration(0), 0, 0)
@@ -268,7 +268,7 @@
 func countersTable(s Source) Table {
 	t := Table{Columns: []string{"name", "value"}}
 	if x, ok := s.Tier(); ok {
-		t.add("policy", x.Number)
+		t.add("policy", x.Policy)
 	}
 	for _, a := range s.Front().Counters.LogValue().Group() {
 		t.add(a.Key, a.Value.String())
--- a/internal/healthcheck/api.go
+++ b/internal/healthcheck/api.go
@@ -28,13 +28,13 @@
 
 // Report is what one checker has found out about one database.
 type Report struct {
-	Origin   subset.ProxyID
-	Epoch    uint32 // of the origin's process: when it started, Unix time in seconds
-	Database subset.DatabaseID
-	Status   Status
-	Role     subset.Role
-	At       time.Duration // when it was so
-	Position time.Duration // all commits up to then are applied; 0 = not told
+	Origin     subset.ProxyID
+	Epoch      uint32 // of the origin's process: when it started, Unix time in seconds
+	Database   subset.DatabaseID
+	Status     Status
+	Role       subset.Role
+	ObservedAt time.Duration // when it was so
+	Position   time.Duration // all commits up to then are applied; 0 = not told
 }
 
 // Observation is the outcome of one check.
@@ -51,9 +51,9 @@
 
 // The kinds of changes.
 const (
-	ReportChanged ChangeKind = iota
-	CheckerSilent            // the planner no longer receives heartbeats of the origin
-	CheckerHeard             // it receives them again
+	ReportChanged  ChangeKind = iota
+	CheckerSilent             // the planner no longer receives heartbeats of the origin
+	CheckerResumed            // it receives them again
 )
 
 // Change is one entry of a digest. Of a change that is not ReportChanged only the report's origin is set.
@@ -74,8 +74,8 @@
 	Reports   []Report
 }
 
-// Orders is what a proxy is to do now.
-type Orders struct {
+// Actions is what a proxy is to do now.
+type Actions struct {
 	Checks   []subset.DatabaseID // to be begun; each is owed a call of Checked
 	Messages []Message
 }
@@ -87,38 +87,38 @@
 const (
 	Serving State = iota
 	Unknown       // no checker of it is received: go by own evidence
-	Doubted       // a quorum calls it dead, but its checkers may be cut off: go by own evidence
+	Suspect       // a quorum calls it dead, but its checkers may be cut off: go by own evidence
 	Ejected       // dead by the word of a quorum, or by own checks where the proxy checks alone
 )
 
 // Verdict is what is concluded about a database from all evidence.
 type Verdict struct {
-	State     State
-	ColdStart bool          // by a quorum
-	Failing   bool          // by a quorum
-	Role      subset.Role   // that a quorum has last seen; RoleUnknown = there is no such
-	RoleAt    time.Duration // when a quorum had seen that role, then or later
-	Position  time.Duration // that a quorum has seen reached or passed; 0 = not known
-	Votes     int           // checkers that call it dead and are believed
-	Quorum    int           // how many are needed
+	State          State
+	ColdStart      bool          // by a quorum
+	Failing        bool          // by a quorum
+	Role           subset.Role   // that a quorum has last seen; RoleUnknown = there is no such
+	RoleObservedAt time.Duration // when a quorum had seen that role, then or later
+	Position       time.Duration // that a quorum has seen reached or passed; 0 = not known
+	Votes          int           // checkers that call it dead and are believed
+	Quorum         int           // how many are needed
 }
 
-// Step is how far a proxy relies on others.
-type Step uint8
+// Mode is how far a proxy relies on others.
+type Mode uint8
 
 // The steps.
 const (
-	Shared Step = iota // planners' digests are received: who is not mentioned has not changed
-	Peers              // they are not, but other proxies' reports are; the proxy checks what it uses besides
-	Alone              // nobody is received: the proxy checks what it uses, and goes by that
+	ModePlanner    Mode = iota // planners' digests are received: who is not mentioned has not changed
+	ModePeers                  // they are not, but other proxies' reports are; the proxy checks what it uses besides
+	ModeStandalone             // nobody is received: the proxy checks what it uses, and goes by that
 )
 
 // Counters counts what was dropped, and why.
 type Counters struct {
 	Accepted        uint64
-	OldEpoch        uint64 // from a process that has been replaced
-	OldReport       uint64 // older than, or the same as, what is known from that origin
-	TooOld          uint64 // older than ReportTTL
+	StaleEpoch      uint64 // from a process that has been replaced
+	StaleReport     uint64 // older than, or the same as, what is known from that origin
+	ExpiredReport   uint64 // older than ReportTTL
 	ClockAhead      uint64 // from further in the future than MaxSkew
 	UnknownDatabase uint64 // about a database that the own list has not named
 	ForeignOrigin   uint64 // sent to a planner by another proxy than the one that it is said to come from
@@ -127,12 +127,12 @@
 }
 
 const (
-	// CheckInterval is the shortest time between two checks of a database by one checker.
-	CheckInterval = time.Second
+	// MinCheckInterval is the shortest time between two checks of a database by one checker.
+	MinCheckInterval = time.Second
 	// CheckTimeout is how long a check may take.
 	CheckTimeout = 500 * time.Millisecond
-	// FailuresToDead is how many checks in a row go unanswered before a database is called dead.
-	FailuresToDead = 3
+	// FailureThreshold is how many checks in a row go unanswered before a database is called dead.
+	FailureThreshold = 3
 	// SettleTime is how long a report of a death waits until it counts. In that time a checker that has lost all databases finds
 	// out about most of them: a checking interval and the time of one recheck.
 	SettleTime = 1500 * time.Millisecond
@@ -140,8 +140,8 @@
 	RefreshInterval = 10 * time.Second
 	// ReportTTL is how long a report counts. One that is older is not accepted.
 	ReportTTL = 21 * time.Second
-	// OwnTTL is how long own failures count beside the reports of others.
-	OwnTTL = 4 * time.Second
+	// LocalFailureTTL is how long own failures count beside the reports of others.
+	LocalFailureTTL = 4 * time.Second
 	// MaxSkew is how far ahead a report's time may lie.
 	MaxSkew = 50 * time.Millisecond
 	// HeartbeatInterval is how often a proxy and a planner send something in any case.
@@ -152,13 +152,13 @@
 	PlannerTimeout = 4 * time.Second
 	// PeerTimeout is how long it then waits for any peer before it checks alone.
 	PeerTimeout = 6 * time.Second
-	// FallbackSpread is the time over which the proxies of a tier fall back, each at a moment of its own.
-	FallbackSpread = 2 * time.Second
-	// MassLoss is the part of the databases of a checker, or of all checkers of its zone, that are called dead at once beyond which
+	// FallbackJitter is the time over which the proxies of a tier fall back, each at a moment of its own.
+	FallbackJitter = 2 * time.Second
+	// MassLossShare is the part of the databases of a checker, or of all checkers of its zone, that are called dead at once beyond which
 	// the checkers are taken for cut off. It lies above one half, since a region of two may be lost.
-	MassLoss = 0.6
-	// MassLossLeast is how many databases must be called dead at least for that.
-	MassLossLeast = 3
+	MassLossShare = 0.6
+	// MassLossMinDatabases is how many databases must be called dead at least for that.
+	MassLossMinDatabases = 3
 )
 
 // The sizes of messages on the wire, in bytes. internal/wire/healthcheck keeps to them.
--- a/internal/healthcheck/bench_test.go
+++ b/internal/healthcheck/bench_test.go
@@ -16,7 +16,7 @@
 	for i := range 1300 {
 		ids = append(ids, subset.DatabaseID(i+1))
 	}
-	plan := NewPlan(Settings{Proxies: len(tier), Databases: len(ids), TalkAllowed: true, ChecksPerSecond: 10, BytesPerSecond: 1600})
+	plan := NewPlan(Settings{Proxies: len(tier), Databases: len(ids), MessagesAllowed: true, ChecksPerSecond: 10, BytesPerSecond: 1600})
 	now := simStart
 	n := NewNode(now, Config{Self: tier[0], Epoch: 1, Seed: 1, Plan: plan})
 	n.SetDatabases(now, ids)
@@ -27,7 +27,7 @@
 			now += simTick
 			n.ReceiveDigest(now, Digest{})
 			for _, id := range n.Tick(now).Checks {
-				n.Checked(now, id, Observation{Answered: true, Role: subset.Replica})
+				n.CompleteCheck(now, id, Observation{Answered: true, Role: subset.Replica})
 			}
 		}
 	}
@@ -44,7 +44,7 @@
 			now += simTick
 			relay.Tick(now)
 			for id := subset.ProxyID(1); id <= 820; id++ {
-				relay.Next(now, id)
+				relay.NextDigest(now, id)
 			}
 		}
 		for id := subset.ProxyID(1); id <= 820; id++ {
--- a/internal/healthcheck/changes.go
+++ b/internal/healthcheck/changes.go
@@ -16,7 +16,7 @@
 // changes notes on which databases there is something new, so that not all verdicts have to be drawn all the time.
 type changes struct {
 	pending map[subset.DatabaseID]struct{}
-	given   map[subset.DatabaseID]Verdict // as TakeVerdicts gave them last
+	given   map[subset.DatabaseID]Verdict // as last returned by TakeChangedVerdicts
 }
 
 func newChanges() *changes {
@@ -50,9 +50,9 @@
 	return v != w
 }
 
-// TakeVerdicts gives the verdicts that have changed since the last call, by the databases' numbers. A database that somebody calls
+// TakeChangedVerdicts gives the verdicts that have changed since the last call, by the databases' numbers. A database that somebody calls
 // anything but alive is looked at each time, since votes settle and expire by time alone.
-func (n *Node) TakeVerdicts(now time.Duration) (changed []DatabaseVerdict) {
+func (n *Node) TakeChangedVerdicts(now time.Duration) (changed []DatabaseVerdict) {
 	for id := range n.changes.pending {
 		verdict := n.Verdict(now, id)
 		if verdict.differs(n.changes.given[id]) {
--- a/internal/healthcheck/freshness.go
+++ b/internal/healthcheck/freshness.go
@@ -28,19 +28,19 @@
 		return false, false
 	}
 	if r.Epoch < epoch && f.has(guardEpoch) {
-		f.counters.OldEpoch++
+		f.counters.StaleEpoch++
 		return false, false
 	}
-	if r.At > now+MaxSkew && f.has(guardSkew) {
+	if r.ObservedAt > now+MaxSkew && f.has(guardSkew) {
 		f.counters.ClockAhead++
 		return false, false
 	}
-	if now-r.At > ReportTTL && f.has(guardAge) {
-		f.counters.TooOld++
+	if now-r.ObservedAt > ReportTTL && f.has(guardAge) {
+		f.counters.ExpiredReport++
 		return false, false
 	}
-	if known != nil && known.Epoch >= r.Epoch && known.At >= r.At && f.has(guardOrder) {
-		f.counters.OldReport++
+	if known != nil && known.Epoch >= r.Epoch && known.ObservedAt >= r.ObservedAt && f.has(guardOrder) {
+		f.counters.StaleReport++
 		return false, false
 	}
 	f.counters.Accepted++
--- a/internal/healthcheck/node.go
+++ b/internal/healthcheck/node.go
@@ -29,12 +29,12 @@
 
 // NewNode makes one that knows neither tier nor databases.
 func NewNode(now time.Duration, config Config) *Node {
-	return NewNodeSharing(now, config, subset.NewAssignment(subset.Config{Checkers: config.Plan.Checkers, Seed: config.Seed}))
+	return NewNodeWithAssignment(now, config, subset.NewAssignment(subset.Config{Checkers: config.Plan.Checkers, Seed: config.Seed}))
 }
 
-// NewNodeSharing makes one that goes by an assignment which others of the same process use as well: a simulation needs to compute it
+// NewNodeWithAssignment makes one that goes by an assignment which others of the same process use as well: a simulation needs to compute it
 // once only.
-func NewNodeSharing(now time.Duration, config Config, assignment *subset.Assignment) *Node {
+func NewNodeWithAssignment(now time.Duration, config Config, assignment *subset.Assignment) *Node {
 	rng := rand.New(rand.NewPCG(config.Seed, uint64(config.Self.ID)))
 	return &Node{config: config, assignment: assignment, view: NewView(config, assignment), observer: newObserver(config),
 		scheduler: newScheduler(config, rng), fallback: newFallback(now, config, rng.Float64()), outbox: newOutbox(config, rng), changes: newChanges()}
@@ -70,19 +70,21 @@
 	n.scheduler.set(now, duties, n.used)
 }
 
-// Served notes that a database has answered a request.
-func (n *Node) Served(now time.Duration, id subset.DatabaseID) { n.view.Own(now, id, true) }
+// RequestServed notes that a database has answered a request.
+func (n *Node) RequestServed(now time.Duration, id subset.DatabaseID) {
+	n.view.RecordLocal(now, id, true)
+}
 
-// Checked takes the outcome of a check that Tick has ordered.
-func (n *Node) Checked(now time.Duration, id subset.DatabaseID, seen Observation) {
+// CompleteCheck takes the outcome of a check that Tick has ordered.
+func (n *Node) CompleteCheck(now time.Duration, id subset.DatabaseID, seen Observation) {
 	n.scheduler.done(now, id, n.fallback.step, seen.Answered)
-	n.view.Own(now, id, seen.Answered)
+	n.view.RecordLocal(now, id, seen.Answered)
 	n.changes.add(id)
 	if r, ok := n.observer.observe(now, id, seen); ok {
 		news := r.Status != Alive || n.view.ailing(id)
 		n.view.Receive(now, r)
 		n.outbox.addOwn(r)
-		if news && n.fallback.step != Shared {
+		if news && n.fallback.step != ModePlanner {
 			n.outbox.addBroadcast(r)
 		}
 	}
@@ -90,7 +92,7 @@
 
 // PlannerConnected tells of a new link to a planner, which is sent all that this proxy has reported.
 func (n *Node) PlannerConnected(now time.Duration) {
-	n.view.Attached(now)
+	n.view.PlannerConnected(now)
 	for _, r := range n.observer.current() {
 		n.outbox.addOwn(r)
 	}
@@ -99,15 +101,15 @@
 // ReceiveDigest takes what a planner sends.
 func (n *Node) ReceiveDigest(now time.Duration, d Digest) {
 	n.fallback.planner = now
-	n.view.Confirmed(now)
+	n.view.DigestReceived(now)
 	for _, change := range d.Changes {
 		switch change.Kind {
 		case ReportChanged:
 			if n.view.Receive(now, change.Report) {
 				n.changes.add(change.Report.Database)
 			}
-		case CheckerSilent, CheckerHeard:
-			n.view.Silent(change.Report.Origin, change.Kind == CheckerSilent)
+		case CheckerSilent, CheckerResumed:
+			n.view.SetSilent(change.Report.Origin, change.Kind == CheckerSilent)
 			if change.Report.Origin == n.config.Self.ID { // what it reported has been dropped
 				n.observer.reportAnew()
 			}
@@ -123,17 +125,17 @@
 			continue
 		}
 		n.changes.add(r.Database)
-		if n.fallback.step != Shared {
+		if n.fallback.step != ModePlanner {
 			n.outbox.addBroadcast(r)
 		}
 	}
 }
 
 // Tick gives the orders for now. It is to be called every 100 ms or so.
-func (n *Node) Tick(now time.Duration) Orders {
+func (n *Node) Tick(now time.Duration) Actions {
 	before := n.fallback.step
 	step := n.fallback.update(now)
-	if before == Shared && step != Shared {
+	if before == ModePlanner && step != ModePlanner {
 		n.view.PlannerLost()
 		for _, r := range n.observer.current() {
 			if r.Status != Alive {
@@ -145,14 +147,14 @@
 		n.wantedAt = now
 		n.updateWanted(now)
 	}
-	return Orders{Checks: n.scheduler.take(now, step), Messages: n.outbox.take(now, step, n.tier)}
+	return Actions{Checks: n.scheduler.take(now, step), Messages: n.outbox.take(now, step, n.tier)}
 }
 
 // updateWanted orders own checks of what is used, and what no report settles.
 func (n *Node) updateWanted(now time.Duration) {
 	for _, id := range n.used {
 		state := n.Verdict(now, id).State
-		n.scheduler.want(id, state == Doubted || state == Unknown)
+		n.scheduler.want(id, state == Suspect || state == Unknown)
 	}
 }
 
@@ -161,8 +163,8 @@
 	return n.view.Verdict(now, id, n.fallback.step)
 }
 
-// Step gives how far this proxy relies on others.
-func (n *Node) Step() Step { return n.fallback.step }
+// Mode gives how far this proxy relies on others.
+func (n *Node) Mode() Mode { return n.fallback.step }
 
 // Counters gives what has been accepted, dropped and delayed.
 func (n *Node) Counters() Counters {
--- a/internal/healthcheck/observer.go
+++ b/internal/healthcheck/observer.go
@@ -52,12 +52,12 @@
 		role = d.report.Role
 	}
 	changed := !d.reported || status != d.report.Status || role != d.report.Role
-	refresh := status != Alive && now-d.report.At >= RefreshInterval
+	refresh := status != Alive && now-d.report.ObservedAt >= RefreshInterval
 	if !changed && !refresh {
 		return Report{}, false
 	}
 	d.reported = true
-	d.report = Report{Origin: o.config.Self.ID, Epoch: o.config.Epoch, Database: id, Status: status, Role: role, At: now, Position: seen.Position}
+	d.report = Report{Origin: o.config.Self.ID, Epoch: o.config.Epoch, Database: id, Status: status, Role: role, ObservedAt: now, Position: seen.Position}
 	return d.report, true
 }
 
@@ -65,7 +65,7 @@
 func (o *observer) status(d *observed, seen Observation) (status Status, sure bool) {
 	if !seen.Answered {
 		d.failures++
-		return Dead, d.failures >= FailuresToDead || !o.config.has(guardConsecutive)
+		return Dead, d.failures >= FailureThreshold || !o.config.has(guardConsecutive)
 	}
 	d.failures = 0
 	switch {
--- a/internal/healthcheck/outbox.go
+++ b/internal/healthcheck/outbox.go
@@ -56,10 +56,10 @@
 }
 
 // take gives the messages to be sent now.
-func (o *outbox) take(now time.Duration, step Step, peers []subset.Proxy) (messages []Message) {
+func (o *outbox) take(now time.Duration, step Mode, peers []subset.Proxy) (messages []Message) {
 	o.budget.fill(now)
 	messages = o.forPlanner(now)
-	if step == Shared {
+	if step == ModePlanner {
 		o.toPeers = nil
 		return messages
 	}
--- a/internal/healthcheck/plan.go
+++ b/internal/healthcheck/plan.go
@@ -10,7 +10,7 @@
 type Settings struct {
 	Proxies         int
 	Databases       int
-	TalkAllowed     bool    // the platform lets proxies and planners send one another messages
+	MessagesAllowed bool    // the platform lets proxies and planners send one another messages
 	ChecksPerSecond float64 // of one proxy at most; 0 = no budget is set, and sharing is not needed
 	BytesPerSecond  float64 // that one proxy may send for reports, and receive from a planner, each
 	Checkers        int     // for each database; 0 = 3
@@ -18,11 +18,11 @@
 
 // Plan says whether checks are shared, and how often databases are checked.
 type Plan struct {
-	Shared          bool
-	Checkers        int
-	ChecksPerSecond float64
-	BytesPerSecond  float64
-	DutyInterval    time.Duration // between checks of a database by one of its checkers, with a mean number of duties
+	Shared           bool
+	Checkers         int
+	ChecksPerSecond  float64
+	BytesPerSecond   float64
+	AssignedInterval time.Duration // between checks of a database by one of its checkers, with a mean number of duties
 }
 
 const (
@@ -40,28 +40,28 @@
 	if p.Checkers == 0 {
 		p.Checkers = defaultCheckers
 	}
-	overBudget := s.ChecksPerSecond > 0 && float64(s.Databases)/CheckInterval.Seconds() > s.ChecksPerSecond
-	p.Shared = s.TalkAllowed && overBudget && s.Proxies >= leastGain*p.Checkers
+	overBudget := s.ChecksPerSecond > 0 && float64(s.Databases)/MinCheckInterval.Seconds() > s.ChecksPerSecond
+	p.Shared = s.MessagesAllowed && overBudget && s.Proxies >= leastGain*p.Checkers
 	duties := s.Databases
 	if p.Shared {
 		duties = (s.Databases*p.Checkers + s.Proxies - 1) / s.Proxies
 	}
-	p.DutyInterval = p.intervalFor(duties)
+	p.AssignedInterval = p.intervalFor(duties)
 	return p
 }
 
 // intervalFor gives how often each of n databases may be checked within the steady part of the budget.
 func (p Plan) intervalFor(n int) time.Duration {
 	if p.ChecksPerSecond <= 0 {
-		return CheckInterval
+		return MinCheckInterval
 	}
-	return max(CheckInterval, time.Duration(float64(n)/(p.ChecksPerSecond*dutyPart)*float64(time.Second)))
+	return max(MinCheckInterval, time.Duration(float64(n)/(p.ChecksPerSecond*dutyPart)*float64(time.Second)))
 }
 
 // DetectionTime bounds the time from a death until a checker with that many duties has found it out and its report counts, without
 // the time that messages take.
 func (p Plan) DetectionTime(duties int) time.Duration {
-	return p.intervalFor(duties) + FailuresToDead*CheckTimeout + SettleTime
+	return p.intervalFor(duties) + FailureThreshold*CheckTimeout + SettleTime
 }
 
 // Config is one proxy's.
--- a/internal/healthcheck/relay.go
+++ b/internal/healthcheck/relay.go
@@ -85,7 +85,7 @@
 	}
 	silent := len(changes)
 	for _, s := range r.latest {
-		recent := now-s.report.At <= ReportTTL && (s.logged != notLogged || r.ailing[s.report.Database] > 0)
+		recent := now-s.report.ObservedAt <= ReportTTL && (s.logged != notLogged || r.ailing[s.report.Database] > 0)
 		if s.report.Status != Alive || recent {
 			changes = append(changes, Change{ReportChanged, s.report})
 		}
@@ -100,7 +100,7 @@
 // Receive takes a proxy's message.
 func (r *Relay) Receive(now time.Duration, m Message) {
 	if m.Epoch < r.freshness.epochs[m.From] && r.freshness.has(guardEpoch) {
-		r.freshness.counters.OldEpoch++
+		r.freshness.counters.StaleEpoch++
 		return
 	}
 	o := r.origins[m.From]
@@ -110,7 +110,7 @@
 	}
 	if o.heard = now; o.silent {
 		o.silent = false
-		r.append(Change{CheckerHeard, Report{Origin: m.From}})
+		r.append(Change{CheckerResumed, Report{Origin: m.From}})
 	}
 	for _, report := range m.Reports {
 		r.receive(now, m, report)
@@ -176,8 +176,8 @@
 	}
 }
 
-// Forget drops a proxy that has left the tier.
-func (r *Relay) Forget(id subset.ProxyID) {
+// RemoveProxy drops a proxy that has left the tier.
+func (r *Relay) RemoveProxy(id subset.ProxyID) {
 	delete(r.origins, id)
 	r.dropAll(id)
 }
@@ -199,8 +199,8 @@
 	}
 }
 
-// Next gives the digest to be sent to a proxy now; false = there is none.
-func (r *Relay) Next(now time.Duration, id subset.ProxyID) (Digest, bool) {
+// NextDigest gives the digest to be sent to a proxy now; false = there is none.
+func (r *Relay) NextDigest(now time.Duration, id subset.ProxyID) (Digest, bool) {
 	l := r.links[id]
 	if l == nil {
 		return Digest{}, false
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -22,7 +22,7 @@
 
 // rechecks is how many checks of a database that doesn't answer follow one another at once: so many that those which lead to a report of
 // its death, and those within SettleTime, do.
-const rechecks = 2 * FailuresToDead
+const rechecks = 2 * FailureThreshold
 
 // scheduled is one database that may be checked.
 type scheduled struct {
@@ -47,7 +47,7 @@
 		item := items[id]
 		if item == nil {
 			if item = s.items[id]; item == nil {
-				item = &scheduled{id: id, due: now + time.Duration(s.rng.Float64()*float64(CheckInterval))}
+				item = &scheduled{id: id, due: now + time.Duration(s.rng.Float64()*float64(MinCheckInterval))}
 			}
 			item.duty, item.used = false, false
 			items[id] = item
@@ -72,7 +72,7 @@
 }
 
 // take gives the checks to be begun now.
-func (s *scheduler) take(now time.Duration, step Step) (ids []subset.DatabaseID) {
+func (s *scheduler) take(now time.Duration, step Mode) (ids []subset.DatabaseID) {
 	for s.mayStart(now) {
 		item := s.mostUrgent(now, step)
 		if item == nil {
@@ -98,7 +98,7 @@
 }
 
 // mostUrgent gives the database to be checked first among those that are due.
-func (s *scheduler) mostUrgent(now time.Duration, step Step) (best *scheduled) {
+func (s *scheduler) mostUrgent(now time.Duration, step Mode) (best *scheduled) {
 	for _, item := range s.order {
 		if item.running || now < item.due || !item.concerns(step) {
 			continue
@@ -111,11 +111,11 @@
 }
 
 // concerns tells whether an item is to be checked at all at a step.
-func (x *scheduled) concerns(step Step) bool {
+func (x *scheduled) concerns(step Mode) bool {
 	switch step {
-	case Shared:
+	case ModePlanner:
 		return x.duty || x.used && x.wanted
-	case Peers:
+	case ModePeers:
 		return x.duty || x.used
 	}
 	return x.used
@@ -133,7 +133,7 @@
 }
 
 // done takes the outcome of a check that was begun at a moment.
-func (s *scheduler) done(now time.Duration, id subset.DatabaseID, step Step, answered bool) {
+func (s *scheduler) done(now time.Duration, id subset.DatabaseID, step Mode, answered bool) {
 	item := s.items[id]
 	if item == nil {
 		return
@@ -149,11 +149,11 @@
 }
 
 // interval gives the time until the next check: longer where the budget doesn't allow for the shortest one.
-func (s *scheduler) interval(item *scheduled, step Step) time.Duration {
+func (s *scheduler) interval(item *scheduled, step Mode) time.Duration {
 	switch {
-	case step == Alone:
+	case step == ModeStandalone:
 		return s.config.Plan.intervalFor(s.used)
-	case step == Peers:
+	case step == ModePeers:
 		return s.config.Plan.intervalFor(s.duties + s.used)
 	case item.duty:
 		return s.config.Plan.intervalFor(s.duties)
--- a/internal/healthcheck/sim_test.go
+++ b/internal/healthcheck/sim_test.go
@@ -222,7 +222,7 @@
 func sendAllDead(w *world, id subset.ProxyID, epoch uint32, duties []subset.DatabaseID) {
 	m := Message{From: id, Epoch: epoch, ToPlanner: true}
 	for _, d := range duties[:(len(duties)+1)/2] { // not so many that the checker is taken for cut off
-		m.Reports = append(m.Reports, Report{Origin: id, Epoch: epoch, Database: d, Status: Dead, At: w.now})
+		m.Reports = append(m.Reports, Report{Origin: id, Epoch: epoch, Database: d, Status: Dead, ObservedAt: w.now})
 	}
 	w.relay.Receive(w.now, m)
 }
--- a/internal/healthcheck/verdict.go
+++ b/internal/healthcheck/verdict.go
@@ -33,7 +33,7 @@
 }
 
 // Verdict concludes from all evidence on a database.
-func (v *View) Verdict(now time.Duration, id subset.DatabaseID, step Step) Verdict {
+func (v *View) Verdict(now time.Duration, id subset.DatabaseID, step Mode) Verdict {
 	database := v.databases[id]
 	if database == nil {
 		return Verdict{State: Unknown}
@@ -44,7 +44,7 @@
 	quorum, zones := v.quorum(checkers)
 	verdict := Verdict{Votes: t.dead, Quorum: quorum, Failing: t.failing >= quorum, ColdStart: t.cold >= quorum,
 		Position: t.position(quorum)}
-	verdict.Role, verdict.RoleAt = t.role(quorum)
+	verdict.Role, verdict.RoleObservedAt = t.role(quorum)
 	verdict.State = v.state(now, database, &t, quorum, zones, step)
 	return verdict
 }
@@ -103,7 +103,7 @@
 	if x.report.Status != Dead || !settled {
 		return
 	}
-	t.lastDeath = max(t.lastDeath, x.report.At)
+	t.lastDeath = max(t.lastDeath, x.report.ObservedAt)
 	v.countLosses(now) // all databases are gone through, so not before somebody calls one dead
 	if v.cutOff(c) {
 		t.doubted++
@@ -123,7 +123,7 @@
 	case ColdStart:
 		t.cold++
 	}
-	t.roles[r.Role].add(r.At)
+	t.roles[r.Role].add(r.ObservedAt)
 	if r.Position > 0 {
 		t.positions = append(t.positions, r.Position)
 	}
@@ -170,16 +170,16 @@
 
 // state gives the conclusion. An own answer that is newer than the newest report of a death outranks it; an own failure counts as one
 // checker's, of a zone of its own.
-func (v *View) state(now time.Duration, database *evidence, t *tally, quorum, zones int, step Step) State {
-	ownDead := database.ownFailures >= FailuresToDead
-	if step == Alone {
+func (v *View) state(now time.Duration, database *evidence, t *tally, quorum, zones int, step Mode) State {
+	ownDead := database.ownFailures >= FailureThreshold
+	if step == ModeStandalone {
 		if ownDead {
 			return Ejected
 		}
 		return Serving
 	}
 	dead := t.dead
-	if ownDead && !t.own && now-database.ownFailure <= OwnTTL {
+	if ownDead && !t.own && now-database.ownFailure <= LocalFailureTTL {
 		dead++
 		t.deadZones.add(v.config.Self.Zone)
 	}
@@ -188,7 +188,7 @@
 	case dead >= quorum && t.deadZones.count >= zones && !answered:
 		return Ejected
 	case dead+t.doubted >= quorum && !answered:
-		return Doubted
+		return Suspect
 	case t.heard == 0:
 		return Unknown
 	}
--- a/internal/healthcheck/view.go
+++ b/internal/healthcheck/view.go
@@ -35,7 +35,7 @@
 
 // mass tells of losses so large that a cut is likelier than as many deaths.
 func (l losses) mass() bool {
-	return l.dead >= MassLossLeast && float64(l.dead) > MassLoss*float64(l.checked)
+	return l.dead >= MassLossMinDatabases && float64(l.dead) > MassLossShare*float64(l.checked)
 }
 
 // evidence is what is known of one database.
@@ -61,7 +61,7 @@
 	case known == nil:
 	case *known == r:
 		e.votes[i].received = now
-	case now-r.At > ReportTTL && r.At > known.At && r.Epoch >= known.Epoch:
+	case now-r.ObservedAt > ReportTTL && r.ObservedAt > known.ObservedAt && r.Epoch >= known.Epoch:
 		e.votes = slices.Delete(e.votes, i, i+1)
 	}
 }
@@ -77,7 +77,7 @@
 	if len(e.votes) == maxVotes {
 		oldest := 0
 		for j := range e.votes {
-			if e.votes[j].report.At < e.votes[oldest].report.At {
+			if e.votes[j].report.ObservedAt < e.votes[oldest].report.ObservedAt {
 				oldest = j
 			}
 		}
@@ -150,9 +150,9 @@
 	return true
 }
 
-// Silent tells whether a planner receives a checker's heartbeats. What a checker reported before it fell silent doesn't count any more,
+// SetSilent tells whether a planner receives a checker's heartbeats. What a checker reported before it fell silent doesn't count any more,
 // also when it is back: it checks first, and reports anew.
-func (v *View) Silent(id subset.ProxyID, silent bool) {
+func (v *View) SetSilent(id subset.ProxyID, silent bool) {
 	c := v.checkers[id]
 	if c == nil {
 		return
@@ -170,8 +170,8 @@
 	}
 }
 
-// Own takes the outcome of an own check, or an answer to a request.
-func (v *View) Own(now time.Duration, id subset.DatabaseID, answered bool) {
+// RecordLocal takes the outcome of an own check, or an answer to a request.
+func (v *View) RecordLocal(now time.Duration, id subset.DatabaseID, answered bool) {
 	database := v.databases[id]
 	switch {
 	case database == nil:
@@ -197,11 +197,11 @@
 	v.dirty = true
 }
 
-// Attached tells of a new link to a planner, which has confirmed nothing yet.
-func (v *View) Attached(now time.Duration) { v.attached = now }
+// PlannerConnected tells of a new link to a planner, which has confirmed nothing yet.
+func (v *View) PlannerConnected(now time.Duration) { v.attached = now }
 
-// Confirmed tells of a digest.
-func (v *View) Confirmed(now time.Duration) { v.confirmed = now }
+// DigestReceived tells of a digest.
+func (v *View) DigestReceived(now time.Duration) { v.confirmed = now }
 
 // voteOf gives a checker's vote on a database, where it has one that counts.
 func (v *View) voteOf(now time.Duration, database *evidence, id subset.ProxyID) *vote {
@@ -214,7 +214,7 @@
 
 // expired tells whether a vote has not been renewed for too long. That a database is alive is not renewed.
 func (v *View) expired(now time.Duration, x *vote) bool {
-	renewed := x.report.At
+	renewed := x.report.ObservedAt
 	if x.received >= v.attached {
 		renewed = max(renewed, v.confirmed)
 	}
--- a/internal/healthcheck/world_test.go
+++ b/internal/healthcheck/world_test.go
@@ -87,7 +87,7 @@
 
 func newWorld(s *scenario, seed uint64, disabled guard) *world {
 	w := &world{scenario: s, rng: rand.New(rand.NewPCG(seed, 1)), now: simStart, planner: true, disabled: disabled}
-	w.plan = NewPlan(Settings{Proxies: s.proxies, Databases: s.databases, TalkAllowed: true, ChecksPerSecond: 10, BytesPerSecond: s.bytes})
+	w.plan = NewPlan(Settings{Proxies: s.proxies, Databases: s.databases, MessagesAllowed: true, ChecksPerSecond: 10, BytesPerSecond: s.bytes})
 	w.plan.Shared = true
 	w.relay = NewRelay(Config{Plan: w.plan, disabled: disabled})
 	for i := range s.databases {
@@ -225,19 +225,19 @@
 		d.failed[n.self.ID] = w.now
 	}
 	node := n.node
-	w.deliver(n, w.now+took, func() { node.Checked(w.now, id, seen) })
+	w.deliver(n, w.now+took, func() { node.CompleteCheck(w.now, id, seen) })
 }
 
 func (w *world) send(n *simNode, m Message) {
 	n.sent = append(n.sent, sentBytes{w.now, HeaderBytes + PacketBytes + ReportBytes*len(m.Reports)})
 	for i := range m.Reports {
 		if m.Reports[i].Origin == n.self.ID {
-			m.Reports[i].At += n.ahead
+			m.Reports[i].ObservedAt += n.ahead
 		}
 	}
 	if n.later && len(m.Reports) > 0 {
 		strange := m.Reports[0]
-		strange.Status, strange.At = Dead+5, strange.At+time.Millisecond
+		strange.Status, strange.ObservedAt = Dead+5, strange.ObservedAt+time.Millisecond
 		m.Reports = append([]Report{strange}, m.Reports...)
 	}
 	switch {
@@ -279,7 +279,7 @@
 		if !n.up {
 			continue
 		}
-		if digest, ok := w.relay.Next(w.now, n.self.ID); ok && w.planner && w.now >= n.muteUntil {
+		if digest, ok := w.relay.NextDigest(w.now, n.self.ID); ok && w.planner && w.now >= n.muteUntil {
 			n.down2p = max(n.down2p, w.now+w.streamDelay())
 			w.deliver(n, n.down2p, func() { n.node.ReceiveDigest(w.now, digest) })
 		}
@@ -322,7 +322,7 @@
 
 func (w *world) auditDatabase(n *simNode, d *simDatabase) {
 	if !d.down && w.scenario.served && w.reachable(n, d) {
-		n.node.Served(w.now, d.id)
+		n.node.RequestServed(w.now, d.id)
 	}
 	verdict := n.node.Verdict(w.now, d.id)
 	age := w.now - max(d.since, n.since)
@@ -333,19 +333,19 @@
 		}
 	}
 	switch {
-	case verdict.State == Ejected && n.node.Step() != Alone && witnesses < max(w.plan.Checkers/2+1, 2):
+	case verdict.State == Ejected && n.node.Mode() != ModeStandalone && witnesses < max(w.plan.Checkers/2+1, 2):
 		w.fail("proxy %d ejects database %d, which %d proxies found dead: %+v", n.self.ID, d.id, witnesses, verdict)
 	case !d.down && age > w.scenario.aliveWithin && verdict.State == Ejected:
 		w.fail("proxy %d ejects database %d, up for %v: %+v", n.self.ID, d.id, w.now-d.since, verdict)
 	case d.down && w.scenario.knownWithin > 0 && age > w.scenario.knownWithin && verdict.State != Ejected && w.concerns(n, d):
-		w.fail("proxy %d doesn't know that database %d is down since %v: %+v, step %d", n.self.ID, d.id, w.now-d.since, verdict, n.node.Step())
+		w.fail("proxy %d doesn't know that database %d is down since %v: %+v, step %d", n.self.ID, d.id, w.now-d.since, verdict, n.node.Mode())
 	}
 }
 
 // concerns tells whether a proxy has to know of a database: checking alone it need only know what it uses.
 func (w *world) concerns(n *simNode, d *simDatabase) bool {
 	item := n.node.scheduler.items[d.id]
-	return n.node.Step() != Alone || item != nil && item.used
+	return n.node.Mode() != ModeStandalone || item != nil && item.used
 }
 
 func (w *world) auditRates(n *simNode) {
--- a/internal/lab/checksim/checksim.go
+++ b/internal/lab/checksim/checksim.go
@@ -90,7 +90,7 @@
 }
 
 func newTier(config Config) *tier {
-	plan := healthcheck.NewPlan(healthcheck.Settings{Proxies: config.Proxies, Databases: config.Databases, TalkAllowed: true,
+	plan := healthcheck.NewPlan(healthcheck.Settings{Proxies: config.Proxies, Databases: config.Databases, MessagesAllowed: true,
 		ChecksPerSecond: config.ChecksPerSecond, BytesPerSecond: config.BytesPerSecond})
 	t := &tier{config: config, now: begin, began: begin, lost: noZone, relay: healthcheck.NewRelay(healthcheck.Config{Plan: plan}),
 		running: map[time.Duration][]outcome{}, second: make([]usage, config.Proxies)}
@@ -102,7 +102,7 @@
 	}
 	assignment := subset.NewAssignment(subset.Config{Checkers: plan.Checkers, Seed: config.Seed})
 	for i, p := range t.proxies {
-		n := healthcheck.NewNodeSharing(t.now, healthcheck.Config{Self: p, Epoch: 1, Seed: config.Seed, Plan: plan}, assignment)
+		n := healthcheck.NewNodeWithAssignment(t.now, healthcheck.Config{Self: p, Epoch: 1, Seed: config.Seed, Plan: plan}, assignment)
 		n.SetDatabases(t.now, t.databases)
 		n.SetTier(t.now, t.proxies)
 		first := i * usedByAProxy % config.Databases
@@ -137,7 +137,7 @@
 func (t *tier) finishChecks() {
 	for _, o := range t.running[t.now] {
 		if !t.gone(o.node) {
-			t.nodes[o.node].Checked(t.now, o.database, healthcheck.Observation{Answered: o.answered, Role: subset.Replica})
+			t.nodes[o.node].CompleteCheck(t.now, o.database, healthcheck.Observation{Answered: o.answered, Role: subset.Replica})
 		}
 	}
 	delete(t.running, t.now)
@@ -146,7 +146,7 @@
 // step hands a proxy its digest, and carries out its orders.
 func (t *tier) step(i int) {
 	n, used, clock := t.nodes[i], &t.second[i], wire.Clock{Unix: t.now, Now: t.now}
-	if digest, ok := t.relay.Next(t.now, t.proxies[i].ID); ok {
+	if digest, ok := t.relay.NextDigest(t.now, t.proxies[i].ID); ok {
 		t.buf = wire.AppendDigest(t.buf[:0], clock, digest)
 		used.received += len(t.buf) + healthcheck.PacketBytes
 		n.ReceiveDigest(t.now, digest)
@@ -224,7 +224,7 @@
 			dead++
 			switch t.nodes[i].Verdict(t.now, id).State {
 			case healthcheck.Ejected:
-			case healthcheck.Doubted:
+			case healthcheck.Suspect:
 				doubted++
 			default:
 				missing++
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -147,7 +147,7 @@
 }
 
 func (p *parser) variant(c *star.Call) starlark.Value {
-	v := &Variant{Name: c.First("name"), Redraw: c.Bool("redraw", false), Binary: c.String("binary", "")}
+	v := &Variant{Name: c.PositionalString("name"), Redraw: c.Bool("redraw", false), Binary: c.String("binary", "")}
 	for _, o := range p.e.Variants {
 		if o.Name == v.Name && v.Name != "" {
 			c.Errorf("", "variant %q is there twice", v.Name)
@@ -185,12 +185,12 @@
 }
 
 func (p *parser) question(c *star.Call) starlark.Value {
-	q := Question{Name: c.First("name"), Class: c.String("of", ""), Least: c.Float("least", 0, 0, math.Inf(1))}
+	q := Question{Name: c.PositionalString("name"), Class: c.String("of", ""), Least: c.Float("least", 0, 0, math.Inf(1))}
 	known := append(slices.Clone(general), aboutClass...)
 	switch {
 	case q.Name == "":
 	case !slices.Contains(known, q.Name):
-		c.Errorf("", "no question %q, one of %s was expected%s", q.Name, strings.Join(known, ", "), star.Nearest(q.Name, known))
+		c.Errorf("", "no question %q, one of %s was expected%s", q.Name, strings.Join(known, ", "), star.Suggestion(q.Name, known))
 	case slices.Contains(aboutClass, q.Name) != (q.Class != ""):
 		c.Errorf("of", "%q is asked of one class with of = NAME, and %s are not", aboutClass, strings.Join(general, ", "))
 	case slices.Contains(p.e.Questions, q):
@@ -236,7 +236,7 @@
 	}
 	for _, q := range p.e.Questions {
 		if q.Class != "" && len(p.asks) > 0 && !slices.Contains(names, q.Class) {
-			p.asks[0].Errorf("", "question %q: no class %q%s", q.Key(), q.Class, star.Nearest(q.Class, names))
+			p.asks[0].Errorf("", "question %q: no class %q%s", q.Key(), q.Class, star.Suggestion(q.Class, names))
 		}
 	}
 }
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -28,7 +28,7 @@
 	}
 	text := c.String("operator", "")
 	s := &Sweep{}
-	c.Table("values", func(name string, v starlark.Value) {
+	c.Dict("values", func(name string, v starlark.Value) {
 		list, ok := v.(*starlark.List)
 		if !ok || list.Len() == 0 {
 			c.Errorf("values", "values: %q is %s, a list was expected", name, v.Type())
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -193,14 +193,14 @@
 		return otherwise
 	}
 	if list, ok := v.(*starlark.List); ok && list.Len() == 2 {
-		from, ok1 := c.Span(name, list.Index(0))
-		to, ok2 := c.Span(name, list.Index(1))
+		from, ok1 := c.ToDuration(name, list.Index(0))
+		to, ok2 := c.ToDuration(name, list.Index(1))
 		if ok1 && ok2 && (from < 0 || to < from) {
 			c.Errorf(name, "%s runs from %v to %v", name, from, to)
 		}
 		return fleet.Span{From: from, To: to}
 	}
-	d, _ := c.Span(name, v)
+	d, _ := c.ToDuration(name, v)
 	return fleet.Span{From: d, To: d}
 }
 
@@ -234,7 +234,7 @@
 
 // replay takes a trace that lies in the scenario's folder or below it.
 func (s *Scenario) replay(c *star.Call) starlark.Value {
-	name := c.First("file")
+	name := c.PositionalString("file")
 	s.Speed = c.Float("speed", 1, 0.01, 1000)
 	if name == "" {
 		return nil
@@ -289,7 +289,7 @@
 }
 
 func (s *Scenario) class(c *star.Call) starlark.Value {
-	name := c.First("name")
+	name := c.PositionalString("name")
 	var names []string
 	at := -1
 	for i := range s.Classes {
@@ -313,7 +313,7 @@
 		s.Fleet.Classes = append(s.Fleet.Classes, fleet.Class{Class: own, Work: fleet.Span{From: 40 * time.Millisecond, To: 70 * time.Millisecond}})
 	case at < 0:
 		if name != "" {
-			c.Errorf("", "no class %q%s", name, star.Nearest(name, names))
+			c.Errorf("", "no class %q%s", name, star.Suggestion(name, names))
 		}
 		at = 0
 	case c.Has("reads"):
@@ -337,13 +337,13 @@
 }
 
 func (s *Scenario) fault(c *star.Call) starlark.Value {
-	kind := c.First("kind")
+	kind := c.PositionalString("kind")
 	var kinds []string
 	for _, k := range fleet.Kinds {
 		kinds = append(kinds, string(k))
 	}
 	if kind != "" && !slices.Contains(kinds, kind) {
-		c.Errorf("", "no fault %q, one of %v was expected%s", kind, kinds, star.Nearest(kind, kinds))
+		c.Errorf("", "no fault %q, one of %v was expected%s", kind, kinds, star.Suggestion(kind, kinds))
 	}
 	x := TimedFault{At: c.Duration("at", 0, 0, day)}
 	x.Kind = fleet.Kind(kind)
@@ -446,9 +446,9 @@
 		x  float64
 	}
 	var list []step
-	c.Table("at", func(key string, v starlark.Value) {
-		at, ok1 := c.Span("at", starlark.String(key))
-		x, ok2 := c.Number("at", v, 0, 1000)
+	c.Dict("at", func(key string, v starlark.Value) {
+		at, ok1 := c.ToDuration("at", starlark.String(key))
+		x, ok2 := c.ToFloat("at", v, 0, 1000)
 		if ok1 && ok2 {
 			list = append(list, step{at, x})
 		}
--- a/internal/lab/tier/cost.go
+++ b/internal/lab/tier/cost.go
@@ -108,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		next, err := run.Policy(b.config, path)
+		next, err := run.LoadPolicy(b.config, path)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/tier/run.go
+++ b/internal/lab/tier/run.go
@@ -104,7 +104,7 @@
 		if err != nil {
 			return nil, err
 		}
-		p, err := run.Policy(b.config, path)
+		p, err := run.LoadPolicy(b.config, path)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/virtual/health.go
+++ b/internal/lab/virtual/health.go
@@ -132,7 +132,7 @@
 	if l.missed && !w.tier.parted(w.clock.now, l.n.zone, r.p.Zone) {
 		r.connected(l)
 	}
-	digest, ok := r.relay.Next(w.clock.now, w.proxyOf(l.n.i).ID)
+	digest, ok := r.relay.NextDigest(w.clock.now, w.proxyOf(l.n.i).ID)
 	if !ok {
 		return
 	}
--- a/internal/net/console.go
+++ b/internal/net/console.go
@@ -47,16 +47,16 @@
 		if len(list) == most {
 			break
 		}
-		v := console.Client{Address: c.from, State: "busy", Waiting: len(c.slots), Bytes: len(c.in.bytes)}
+		v := console.Client{Address: c.from, State: "busy", Pending: len(c.slots), PartialBytes: len(c.in.bytes)}
 		switch {
 		case c.phase == phaseLeaving:
 			v.State = "leaving"
 		case c.admin:
 			v.State = "console"
 		case c.list == &s.silent:
-			v.State, v.Since = "silent", now-c.since
+			v.State, v.InState = "silent", now-c.since
 		case c.list == &s.idle:
-			v.State, v.Since = "idle", now-c.since
+			v.State, v.InState = "idle", now-c.since
 		}
 		list = append(list, v)
 	}
@@ -96,7 +96,7 @@
 }
 
 func (c *client) answer(sl *slot, text string) {
-	t, err := console.Answer(text, c.s)
+	t, err := console.Execute(text, c.s)
 	if err != nil {
 		sl.give(pg.AppendError(nil, "42601", err.Error()))
 		return
--- a/internal/net/console_test.go
+++ b/internal/net/console_test.go
@@ -36,7 +36,7 @@
 	s, _, loop := proxy(t, member(t, echo), 8, 2)
 	loop.Post(func() { s.Console(true) })
 	conn := admin(t, s.Address())
-	for _, name := range console.Views() {
+	for _, name := range console.Commands() {
 		rows, err := conn.Query(context.Background(), "SHOW "+name)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "admin", console.Database), "SHOW LEVELS"))
+	conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "admin", console.DatabaseName), "SHOW LEVELS"))
 	p := &peer{conn: conn}
 	for {
 		m, err := p.message()
@@ -94,7 +94,7 @@
 	}
 	defer conn.Close()
 	conn.(*stdnet.TCPConn).SetReadBuffer(2 << 10)
-	out := pg.AppendStartup(nil, "admin", console.Database)
+	out := pg.AppendStartup(nil, "admin", console.DatabaseName)
 	go func() {
 		for range 4000 {
 			out = pg.AppendQuery(out, "SHOW COUNTERS")
--- a/internal/net/health_test.go
+++ b/internal/net/health_test.go
@@ -209,7 +209,7 @@
 		now := s.clock.Now()
 		for _, victim := range s.list[1:] {
 			from := subset.ProxyID(victim.tier.health.member)
-			forged := healthcheck.Report{Origin: from, Epoch: math.MaxUint32, Database: numberOf("db-1"), Status: healthcheck.Dead, At: now}
+			forged := healthcheck.Report{Origin: from, Epoch: math.MaxUint32, Database: numberOf("db-1"), Status: healthcheck.Dead, ObservedAt: now}
 			s.list[0].tier.SendReports(wire.AppendMessage(nil, wire.Clock{Unix: s.clock.Unix(), Now: now},
 				healthcheck.Message{From: from, Epoch: math.MaxUint32, Reports: []healthcheck.Report{forged}}))
 		}
--- a/internal/net/postgres_client.go
+++ b/internal/net/postgres_client.go
@@ -67,7 +67,7 @@
 		c.s.front.TurnedAway(class)
 		c.turnAway()
 	default:
-		c.admin = c.s.console && pg.Opened(buf, "database") == console.Database && c.local()
+		c.admin = c.s.console && pg.Opened(buf, "database") == console.DatabaseName && c.local()
 		c.phase = phaseServing
 		c.write(pg.AppendWelcome(nil))
 	}
--- a/internal/net/tier.go
+++ b/internal/net/tier.go
@@ -230,13 +230,13 @@
 
 // Status tells what is known of the tier here.
 func (t *Tier) Status() console.Tier {
-	s := console.Tier{Number: uint64(t.side.Number()), Member: uint64(t.side.Member()), Waits: t.waits, Leases: t.cfg.Lease > 0, Ready: t.Ready()}
+	s := console.Tier{Policy: uint64(t.side.Number()), Member: uint64(t.side.Member()), JoinError: t.waits, UsesLeases: t.cfg.Lease > 0, Ready: t.Ready()}
 	if t.conn != nil {
 		s.Planner = t.planners[t.seek.Current()]
 	}
-	if s.Leases {
-		s.Lease = t.side.LeaseEnd() - t.clock.Now()
+	if s.UsesLeases {
+		s.LeaseLeft = t.side.LeaseEnd() - t.clock.Now()
 	}
-	_, _, s.Holds = t.side.HeldRound()
+	_, _, s.HoldsRequests = t.side.HeldRound()
 	return s
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -48,19 +48,19 @@
 
 // Tier is one policy for all proxies, kept by planners.
 type Tier struct {
-	Name     string // of this proxy; empty = as in the configuration
-	Planners []string
-	Rollout  rollout.Config
-	Tell     bool // answers tell clients the policy's number
-	// Checks is how many health checks a second this proxy may send, and ReportBytes how many bytes for reports on them: where it would
+	Name        string // of this proxy; empty = as in the configuration
+	Planners    []string
+	Rollout     rollout.Config
+	TellClients bool // answers tell clients the policy's number
+	// ChecksPerSecond is how many health checks a second this proxy may send, and ReportBytesPerSecond how many bytes for reports on them: where it would
 	// need more, the tier's proxies check on behalf of one another. 0 = there is no budget, and each proxy checks all.
-	Checks, ReportBytes float64
+	ChecksPerSecond, ReportBytesPerSecond float64
 }
 
 // Revision tells which file a proxy runs.
 type Revision struct {
-	Number uint64 // 0 = none was given
-	Tell   bool   // answers tell clients
+	Number      uint64 // 0 = none was given
+	TellClients bool   // answers tell clients
 }
 
 // Consul is a catalogue beside the platform's list, or in its place.
@@ -71,18 +71,18 @@
 	Datacenters               []string
 	Filter                    string
 	Consistency               consul.Consistency
-	Wait                      time.Duration
+	WaitTime                  time.Duration
 	CAFile, CertFile, KeyFile string
-	Alone                     bool // the platform's list has no word
+	Exclusive                 bool // the platform's list has no word
 	Mapping                   consul.Mapping
 }
 
 // Trace is a file of what clients ask.
 type Trace struct {
-	File     string
-	Sample   float64
-	Most     int64  // bytes
-	SaltFile string // that holds the secret of the hashes; empty = a new one at each start
+	File       string
+	SampleRate float64
+	MaxBytes   int64  // bytes
+	SaltFile   string // that holds the secret of the hashes; empty = a new one at each start
 }
 
 // MySQL is a second front, for clients and databases that speak MySQL.
@@ -160,7 +160,7 @@
 	if p.file.Revision.Number > 0 {
 		c.Errorf("", "revision() is called a second time")
 	}
-	p.file.Revision = Revision{Number: uint64(c.Int("number", 0, 1, 1<<31-1)), Tell: c.Bool("tell_clients", false)}
+	p.file.Revision = Revision{Number: uint64(c.Int("number", 0, 1, 1<<31-1)), TellClients: c.Bool("tell_clients", false)}
 	if p.revised = c; p.file.Revision.Number == 0 && !c.Has("number") {
 		c.Errorf("", "number is missing: the number of this file, 1 or more")
 	}
@@ -172,9 +172,9 @@
 	if p.file.Tier != nil {
 		c.Errorf("", "tier() is called a second time")
 	}
-	t := &Tier{Name: c.String("name", ""), Tell: c.Bool("tell_clients", false)}
-	t.Checks, t.ReportBytes = c.Float("checks", 0, 0, 1000), c.Float("report_bytes", 1600, 200, 1e6)
-	if c.Has("report_bytes") && t.Checks == 0 {
+	t := &Tier{Name: c.String("name", ""), TellClients: c.Bool("tell_clients", false)}
+	t.ChecksPerSecond, t.ReportBytesPerSecond = c.Float("checks", 0, 0, 1000), c.Float("report_bytes", 1600, 200, 1e6)
+	if c.Has("report_bytes") && t.ChecksPerSecond == 0 {
 		c.Errorf("report_bytes", "report_bytes goes with checks: without a budget of checks nothing is reported")
 	}
 	c.List("planners", func(v starlark.Value) {
@@ -205,8 +205,8 @@
 	if p.file.Trace != nil {
 		c.Errorf("", "trace() is called a second time")
 	}
-	t := &Trace{File: c.String("file", ""), Sample: c.Float("sample", 1, 1e-6, 1), SaltFile: c.String("salt_file", "")}
-	t.Most = int64(c.Int("most_mb", 64, 1, 1<<20)) << 20
+	t := &Trace{File: c.String("file", ""), SampleRate: c.Float("sample", 1, 1e-6, 1), SaltFile: c.String("salt_file", "")}
+	t.MaxBytes = int64(c.Int("most_mb", 64, 1, 1<<20)) << 20
 	if t.File == "" {
 		c.Errorf("file", "trace: file is missing, a file's name was expected")
 	}
@@ -220,8 +220,8 @@
 		c.Errorf("", "consul() is called a second time")
 	}
 	k := &Consul{Services: map[string]int{}, TokenFile: c.String("token_file", ""), Filter: c.String("filter", ""),
-		Wait:   c.Duration("wait", 30*time.Second, 100*time.Millisecond, 10*time.Minute),
-		CAFile: c.String("ca_file", ""), CertFile: c.String("cert_file", ""), KeyFile: c.String("key_file", ""), Alone: c.Bool("alone", false),
+		WaitTime: c.Duration("wait", 30*time.Second, 100*time.Millisecond, 10*time.Minute),
+		CAFile:   c.String("ca_file", ""), CertFile: c.String("cert_file", ""), KeyFile: c.String("key_file", ""), Exclusive: c.Bool("alone", false),
 		Mapping: consul.Mapping{GroupIn: c.String("group_in", ""), ZoneIn: c.String("zone_in", ""), RoleIn: c.String("role_in", ""), StartIn: c.String("started_in", "")}}
 	k.Consistency = consul.Consistency(c.Choice("mode", "default", "default", "stale", "consistent"))
 	if k.Consistency == "default" {
@@ -247,7 +247,7 @@
 			c.Errorf("agents", "agents holds %q, a URL such as \"http://127.0.0.1:8500\" was expected, without a user", a)
 		}
 	}
-	c.Table("services", func(name string, v starlark.Value) {
+	c.Dict("services", func(name string, v starlark.Value) {
 		n, err := starlark.AsInt32(v)
 		if err != nil || n < 0 {
 			c.Errorf("services", "services: %q has the group %s, a number was expected", name, v)
@@ -335,7 +335,7 @@
 		}
 		m.Groups[n] = true
 	})
-	c.Table("users", func(name string, v starlark.Value) {
+	c.Dict("users", func(name string, v starlark.Value) {
 		hash, ok := starlark.AsString(v)
 		if !ok { // never shown: it may be a password all the same
 			c.Errorf("users", "users: the secret of %q is %s, a hash as a string was expected", name, v.Type())
@@ -377,7 +377,7 @@
 
 // level adds one to the ladder: what it doesn't say of a class is as at the level below.
 func (p *parser) level(c *star.Call) starlark.Value {
-	name := c.First("name")
+	name := c.PositionalString("name")
 	for _, l := range p.ladder {
 		if l.Name == name && name != "" {
 			c.Errorf("", "level %q is there twice", name)
@@ -395,18 +395,18 @@
 		}
 	}
 	each := func(arg string, set func(*levels.Rule, starlark.Value)) {
-		c.Table(arg, func(key string, v starlark.Value) {
+		c.Dict(arg, func(key string, v starlark.Value) {
 			for i, n := range p.classNames {
 				if n == key {
 					set(&l.Rules[i], v)
 					return
 				}
 			}
-			c.Errorf(arg, "%s: no class %q%s", arg, key, star.Nearest(key, p.classNames))
+			c.Errorf(arg, "%s: no class %q%s", arg, key, star.Suggestion(key, p.classNames))
 		})
 	}
 	each("admit", func(r *levels.Rule, v starlark.Value) {
-		if x, ok := c.Number("admit", v, 0, 1); ok {
+		if x, ok := c.ToFloat("admit", v, 0, 1); ok {
 			if x > r.Admit {
 				c.Errorf("admit", "level %q admits %v of a class, more than %v at %q below it", name, x, r.Admit, below)
 			}
@@ -421,7 +421,7 @@
 		r.Repeats = bool(b)
 	})
 	each("come_back", func(r *levels.Rule, v starlark.Value) {
-		if d, ok := c.Span("come_back", v); ok {
+		if d, ok := c.ToDuration("come_back", v); ok {
 			if d < 0 || d > time.Minute {
 				c.Errorf("come_back", "come_back is %v, 0s to 1m0s was expected", d)
 			}
@@ -434,13 +434,13 @@
 
 // hold notes a pin or a cap.
 func (p *parser) hold(c *star.Call, in map[logic.GroupID]string) starlark.Value {
-	name := c.First("level")
+	name := c.PositionalString("level")
 	group := levels.AllGroups
 	if c.Has("group") {
 		group = logic.GroupID(c.Int("group", 0, 0, math.MaxInt32))
 	}
 	if _, twice := in[group]; twice {
-		c.Errorf("", "%s() is called twice for the same group", c.Word)
+		c.Errorf("", "%s() is called twice for the same group", c.Function)
 	}
 	in[group] = name
 	if name != "" {
@@ -459,8 +459,8 @@
 		p.revised.Errorf("", "revision() beside tier(): the tier's planners number its policies")
 	}
 	for _, c := range p.holds {
-		c.Rewind()
-		c.Among("level", c.First("level"), names)
+		c.RewindPositional()
+		c.CheckOneOf("level", c.PositionalString("level"), names)
 	}
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	c := f.Consul
-	if c.Agents[0] != "https://c:8501" || c.Services["db"] != 2 || c.Consistency != "stale" || len(c.Datacenters) != 2 || !c.Alone || c.Wait != 30*time.Second ||
+	if c.Agents[0] != "https://c:8501" || c.Services["db"] != 2 || c.Consistency != "stale" || len(c.Datacenters) != 2 || !c.Exclusive || c.WaitTime != 30*time.Second ||
 		c.Mapping.ZoneIn != "hall" || f.Members.Panic != 0.3 || f.Members.Lost != 4*time.Second {
 		t.Errorf("%+v, %+v", c, f.Members)
 	}
@@ -207,7 +207,7 @@
 		`tier(planners = ["10.0.0.1:7400"], checks = 10, report_bytes = 2000)`: {10, 2000},
 	} {
 		f, err := Parse("x.star", []byte(text), classes)
-		if err != nil || [2]float64{f.Tier.Checks, f.Tier.ReportBytes} != want {
+		if err != nil || [2]float64{f.Tier.ChecksPerSecond, f.Tier.ReportBytesPerSecond} != want {
 			t.Errorf("%s: %+v, %v", text, f.Tier, err)
 		}
 	}
--- a/internal/operator/star/star.go
+++ b/internal/operator/star/star.go
@@ -139,19 +139,19 @@
 // Call is one call of a function in a file. Its methods return arguments by name, or a default where an argument is
 // absent or invalid. They record errors rather than return them, so that one evaluation finds all errors of a file.
 type Call struct {
-	Word string
-	Pos  syntax.Position
-	f    *file
-	expr *syntax.CallExpr
-	pos  starlark.Tuple
-	args map[string]starlark.Value
-	keys []string // in the order of the file
-	used map[string]bool
-	next int // positional arguments taken
+	Function string
+	Pos      syntax.Position
+	f        *file
+	expr     *syntax.CallExpr
+	pos      starlark.Tuple
+	args     map[string]starlark.Value
+	keys     []string // in the order of the file
+	used     map[string]bool
+	next     int // positional arguments taken
 }
 
 func (f *file) call(t *starlark.Thread, word string, args starlark.Tuple, kwargs []starlark.Tuple) *Call {
-	c := &Call{Word: word, Pos: t.CallFrame(1).Pos, f: f, pos: args, args: map[string]starlark.Value{}, used: map[string]bool{}}
+	c := &Call{Function: word, Pos: t.CallFrame(1).Pos, f: f, pos: args, args: map[string]starlark.Value{}, used: map[string]bool{}}
 	c.expr = f.calls[place{c.Pos.Line, c.Pos.Col}]
 	for _, kv := range kwargs {
 		k := string(kv[0].(starlark.String))
@@ -177,8 +177,8 @@
 	c.f.errs = append(c.f.errs, Error{pos, fmt.Sprintf(format, a...)})
 }
 
-// First returns the next positional argument as a string, or the argument of that name. A missing or empty one is an error.
-func (c *Call) First(name string) string {
+// PositionalString returns the next positional argument as a string, or the argument of that name. A missing or empty one is an error.
+func (c *Call) PositionalString(name string) string {
 	if c.next < len(c.pos) {
 		v := c.pos[c.next]
 		c.next++
@@ -186,18 +186,18 @@
 		if s, ok := starlark.AsString(v); ok && s != "" {
 			return s
 		}
-		c.Errorf("", "%s: %s is %s, a name was expected", c.Word, name, v.Type())
+		c.Errorf("", "%s: %s is %s, a name was expected", c.Function, name, v.Type())
 		return ""
 	}
 	s := c.String(name, "")
 	if s == "" {
-		c.Errorf(name, "%s: %s is missing, a name was expected", c.Word, name)
+		c.Errorf(name, "%s: %s is missing, a name was expected", c.Function, name)
 	}
 	return s
 }
 
-// Rewind makes First start again at the first positional argument.
-func (c *Call) Rewind() { c.next = 0 }
+// RewindPositional makes First start again at the first positional argument.
+func (c *Call) RewindPositional() { c.next = 0 }
 
 // Has reports whether the call has an argument of that name.
 func (c *Call) Has(name string) bool { _, ok := c.args[name]; return ok }
@@ -225,18 +225,18 @@
 // Choice returns a string argument that has to be one of words.
 func (c *Call) Choice(name, otherwise string, words ...string) string {
 	s := c.String(name, otherwise)
-	if !c.Among(name, s, words) {
+	if !c.CheckOneOf(name, s, words) {
 		return otherwise
 	}
 	return s
 }
 
-// Among reports whether word is one of words, and records an error at the argument name if it isn't.
-func (c *Call) Among(name, word string, words []string) bool {
+// CheckOneOf reports whether word is one of words, and records an error at the argument name if it isn't.
+func (c *Call) CheckOneOf(name, word string, words []string) bool {
 	if slices.Contains(words, word) {
 		return true
 	}
-	c.Errorf(name, "%s is %q, one of %s was expected%s", name, word, strings.Join(words, ", "), Nearest(word, words))
+	c.Errorf(name, "%s is %q, one of %s was expected%s", name, word, strings.Join(words, ", "), Suggestion(word, words))
 	return false
 }
 
@@ -274,15 +274,15 @@
 	if v == nil {
 		return otherwise
 	}
-	n, ok := c.Number(name, v, least, most)
+	n, ok := c.ToFloat(name, v, least, most)
 	if !ok {
 		return otherwise
 	}
 	return n
 }
 
-// Number converts v, a part of the argument name, to a number in the range from least to most, and reports whether it is one.
-func (c *Call) Number(name string, v starlark.Value, least, most float64) (float64, bool) {
+// ToFloat converts v, a part of the argument name, to a number in the range from least to most, and reports whether it is one.
+func (c *Call) ToFloat(name string, v starlark.Value, least, most float64) (float64, bool) {
 	n, ok := starlark.AsFloat(v)
 	if _, isBool := v.(starlark.Bool); isBool || !ok || !(n >= least && n <= most) {
 		c.Errorf(name, "%s is %s, a number from %s to %s was expected", name, v, number(least), number(most))
@@ -317,13 +317,13 @@
 		}
 		at = key
 		if form.unit == 0 {
-			d, ok := c.Span(key, v)
+			d, ok := c.ToDuration(key, v)
 			if !ok {
 				return otherwise
 			}
 			found = d
 		} else {
-			n, ok := c.Number(key, v, 0, 1e9)
+			n, ok := c.ToFloat(key, v, 0, 1e9)
 			if !ok {
 				return otherwise
 			}
@@ -337,8 +337,8 @@
 	return found
 }
 
-// Span converts v, a part of the argument name, to a duration, and reports whether it is one, such as "300ms".
-func (c *Call) Span(name string, v starlark.Value) (time.Duration, bool) {
+// ToDuration converts v, a part of the argument name, to a duration, and reports whether it is one, such as "300ms".
+func (c *Call) ToDuration(name string, v starlark.Value) (time.Duration, bool) {
 	s, ok := starlark.AsString(v)
 	d, err := time.ParseDuration(s)
 	if !ok || err != nil {
@@ -348,8 +348,8 @@
 	return d, true
 }
 
-// Table calls each for the entries of a dictionary with string keys, in the dictionary's order.
-func (c *Call) Table(name string, each func(key string, v starlark.Value)) {
+// Dict calls each for the entries of a dictionary with string keys, in the dictionary's order.
+func (c *Call) Dict(name string, each func(key string, v starlark.Value)) {
 	v := c.Value(name)
 	if v == nil {
 		return
@@ -388,7 +388,7 @@
 // unknown records an error for each argument that no method has read.
 func (c *Call) unknown() {
 	if c.next < len(c.pos) {
-		c.Errorf("", "%s takes %d arguments without a name, %d are given", c.Word, c.next, len(c.pos))
+		c.Errorf("", "%s takes %d arguments without a name, %d are given", c.Function, c.next, len(c.pos))
 	}
 	var words []string
 	for w := range c.used {
@@ -397,13 +397,13 @@
 	slices.Sort(words)
 	for _, k := range c.keys {
 		if !c.used[k] {
-			c.Errorf(k, "%s has no setting %q%s", c.Word, k, Nearest(k, words))
+			c.Errorf(k, "%s has no setting %q%s", c.Function, k, Suggestion(k, words))
 		}
 	}
 }
 
-// Nearest returns the suffix " (did you mean ...?)" with the known name nearest to word, or "" if none is near.
-func Nearest(word string, known []string) string {
+// Suggestion returns the suffix " (did you mean ...?)" with the known name nearest to word, or "" if none is near.
+func Suggestion(word string, known []string) string {
 	best, at := len(word)/2+1, ""
 	for _, k := range known {
 		if d := distance(word, k); d < best {
--- a/internal/planner/health.go
+++ b/internal/planner/health.go
@@ -88,7 +88,7 @@
 		if !p.leader.IsLinkOf(rollout.Member(proxy), id) {
 			continue
 		}
-		if digest, ok := r.relay.Next(now, proxy); ok {
+		if digest, ok := r.relay.NextDigest(now, proxy); ok {
 			r.buf = wire.AppendDigest(r.buf[:0], p.wireClock(), digest)
 			p.server.send(id, &tier.Frame{Health: r.buf})
 		}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -353,7 +353,7 @@
 	err = p.state.Apply(c)
 	p.views.Applied(p.now(), p.state)
 	if c.Kind == rollout.Leave && err == nil && p.health != nil {
-		p.health.relay.Forget(subset.ProxyID(c.Member))
+		p.health.relay.RemoveProxy(subset.ProxyID(c.Member))
 	}
 	if x := p.state.Pending(); x != nil && x.Number != p.pending {
 		p.pending, p.pendingAt = x.Number, p.now()
--- a/internal/run/consul.go
+++ b/internal/run/consul.go
@@ -27,7 +27,7 @@
 			p.front.Merge(nil, false)
 		}, nil
 	}
-	cfg := net.ConsulConfig{Agents: k.Agents, Datacenters: k.Datacenters, Filter: k.Filter, Consistency: k.Consistency, Wait: k.Wait}
+	cfg := net.ConsulConfig{Agents: k.Agents, Datacenters: k.Datacenters, Filter: k.Filter, Consistency: k.Consistency, Wait: k.WaitTime}
 	for _, name := range slices.Sorted(maps.Keys(k.Services)) {
 		m := k.Mapping
 		m.Group = k.Services[name]
@@ -46,10 +46,10 @@
 		return nil, nil, fmt.Errorf("consul: %w", err)
 	}
 	if p.watched != nil && same(p.watched, &cfg) {
-		return p.watched, func() { p.front.Merge(&members, k.Alone) }, nil
+		return p.watched, func() { p.front.Merge(&members, k.Exclusive) }, nil
 	}
 	return &cfg, func() {
-		p.front.Merge(&members, k.Alone)
+		p.front.Merge(&members, k.Exclusive)
 		sources := cfg.Sources()
 		for _, s := range sources {
 			p.front.Source(s)
@@ -64,7 +64,7 @@
 		if old != nil {
 			go old.Stop()
 		}
-		slog.Info("Consul is watched", "agents", cfg.Agents, "sources", sources, "alone", k.Alone)
+		slog.Info("Consul is watched", "agents", cfg.Agents, "sources", sources, "alone", k.Exclusive)
 	}, nil
 }
 
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -145,8 +145,8 @@
 	return own, err
 }
 
-// Check tells what is wrong with a configuration and with an operator's file, if one is named; a line for each error.
-func Check(path, file string) error {
+// Validate tells what is wrong with a configuration and with an operator's file, if one is named; a line for each error.
+func Validate(path, file string) error {
 	_, document, err := readDocument(path, func() {})
 	if err != nil {
 		return err
@@ -166,7 +166,7 @@
 		p.front.Handover(own.Handover)
 		p.front.Tune(own.Tuning)
 		p.front.Revise(own.Revision.Number)
-		p.server.TellPolicy(own.Revision.Tell)
+		p.server.TellPolicy(own.Revision.TellClients)
 	}
 	p.server.Console(own.Console.Enabled)
 	if p.mysql != nil && own.MySQL != nil { // its address and groups stay as they were at the start
--- a/internal/run/tier.go
+++ b/internal/run/tier.go
@@ -18,11 +18,11 @@
 	p.front.Reduce(own.Levels)
 	p.front.Handover(own.Handover)
 	p.front.Tune(own.Tuning)
-	p.server.TellPolicy(own.Tier.Tell)
+	p.server.TellPolicy(own.Tier.TellClients)
 	p.log = slog.Default()
 	p.tier = net.JoinTier(p.loop, p.clock, p.front, net.TierConfig{Name: cmp.Or(own.Tier.Name, cfg.Name), Planners: own.Tier.Planners,
 		Rollout: own.Tier.Rollout, Seed: cfg.Settings.Config.Seed, Nonce: rand.Uint64(), Check: p.agrees, Into: p.enforce,
-		Health: net.HealthConfig{Zone: zoneName(cfg), ChecksPerSecond: own.Tier.Checks, BytesPerSecond: own.Tier.ReportBytes}})
+		Health: net.HealthConfig{Zone: zoneName(cfg), ChecksPerSecond: own.Tier.ChecksPerSecond, BytesPerSecond: own.Tier.ReportBytesPerSecond}})
 	p.server.Belongs(p.tier)
 }
 
@@ -88,8 +88,8 @@
 	p.front.Tune(next.Tuning)
 }
 
-// Policy makes a tier's policy of an operator's file and the classes of a configuration.
-func Policy(config, file string) (*policy.Policy, error) {
+// LoadPolicy makes a tier's policy of an operator's file and the classes of a configuration.
+func LoadPolicy(config, file string) (*policy.Policy, error) {
 	_, document, err := readDocument(config, func() {})
 	if err != nil {
 		return nil, err
--- a/internal/run/trace.go
+++ b/internal/run/trace.go
@@ -15,7 +15,7 @@
 func (p *proxy) tracing(t *operator.Trace) (func(), error) {
 	var cfg trace.Config
 	if t != nil {
-		cfg = trace.Config{File: t.File, Sample: t.Sample, Most: t.Most}
+		cfg = trace.Config{File: t.File, Sample: t.SampleRate, Most: t.MaxBytes}
 	}
 	if p.traceFile != "" {
 		cfg.File = p.traceFile
--- a/internal/state/health.go
+++ b/internal/state/health.go
@@ -104,7 +104,7 @@
 // plan calculates whether checks are shared.
 func (s *sharedChecks) plan() healthcheck.Plan {
 	return healthcheck.NewPlan(healthcheck.Settings{Proxies: len(s.tier), Databases: len(s.databases),
-		TalkAllowed: len(s.tier) > 0, ChecksPerSecond: s.config.ChecksPerSecond, BytesPerSecond: s.config.BytesPerSecond})
+		MessagesAllowed: len(s.tier) > 0, ChecksPerSecond: s.config.ChecksPerSecond, BytesPerSecond: s.config.BytesPerSecond})
 }
 
 // replan begins or ends sharing, as the plan says.
@@ -122,7 +122,7 @@
 	}
 	config := healthcheck.Config{Self: s.config.Self, Epoch: s.config.Epoch, Seed: s.config.Seed, Plan: plan}
 	if s.config.Assignment != nil {
-		s.node = healthcheck.NewNodeSharing(now, config, s.config.Assignment)
+		s.node = healthcheck.NewNodeWithAssignment(now, config, s.config.Assignment)
 	} else {
 		s.node = healthcheck.NewNode(now, config)
 	}
@@ -208,7 +208,7 @@
 
 // tellVerdicts hands the router what has changed.
 func (s *sharedChecks) tellVerdicts(f *Front) {
-	for _, x := range s.node.TakeVerdicts(f.clock.Now()) {
+	for _, x := range s.node.TakeChangedVerdicts(f.clock.Now()) {
 		f.Counters.Verdicts++
 		f.tell(func() { f.planned.Verdict(f.clock.Now(), s.members[x.Database], x.Verdict) })
 	}
@@ -223,13 +223,13 @@
 	load := f.report(r)
 	seen.ColdStart = seen.Answered && m.born > 0 && now-m.born < f.cfg.Logic.Cold
 	seen.Role, seen.Position = roleOf(load.Role), load.Position
-	s.node.Checked(now, logic.ShortNumber(m.id), seen)
+	s.node.CompleteCheck(now, logic.ShortNumber(m.id), seen)
 }
 
 // served takes an answer to a request as evidence of life.
 func (s *sharedChecks) served(f *Front, m *member, r Reply) {
 	if s != nil && s.node != nil && observation(r).Answered {
-		s.node.Served(f.clock.Now(), logic.ShortNumber(m.id))
+		s.node.RequestServed(f.clock.Now(), logic.ShortNumber(m.id))
 	}
 }
 
--- a/internal/wire/healthcheck/healthcheck.go
+++ b/internal/wire/healthcheck/healthcheck.go
@@ -83,7 +83,7 @@
 	}
 	for ; len(entries) > 0; entries = entries[healthcheck.ChangeBytes:] {
 		kind := healthcheck.ChangeKind(entries[0])
-		if kind > healthcheck.CheckerHeard {
+		if kind > healthcheck.CheckerResumed {
 			return d, fmt.Errorf("%w: change of kind %d", ErrMessage, kind)
 		}
 		d.Changes = append(d.Changes, healthcheck.Change{Kind: kind, Report: parseReport(entries[1:], clock)})
@@ -111,11 +111,11 @@
 }
 
 func appendReport(dst []byte, clock Clock, r healthcheck.Report) []byte {
-	lag := (r.At - r.Position + time.Millisecond - 1) / time.Millisecond // rounded into the past
+	lag := (r.ObservedAt - r.Position + time.Millisecond - 1) / time.Millisecond // rounded into the past
 	if r.Position <= 0 || lag >= noPosition || lag < 0 {
 		lag = noPosition
 	}
-	at := uint32((clock.Unix + r.At - clock.Now) / time.Millisecond)
+	at := uint32((clock.Unix + r.ObservedAt - clock.Now) / time.Millisecond)
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(r.Origin))
 	dst = binary.LittleEndian.AppendUint32(dst, r.Epoch)
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(r.Database))
@@ -128,15 +128,15 @@
 	here := uint32(clock.Unix / time.Millisecond)
 	ahead := int32(binary.LittleEndian.Uint32(buf[12:]) - here) // the nearest moment with these bits
 	r := healthcheck.Report{
-		Origin:   subset.ProxyID(binary.LittleEndian.Uint32(buf)),
-		Epoch:    binary.LittleEndian.Uint32(buf[4:]),
-		Database: subset.DatabaseID(binary.LittleEndian.Uint32(buf[8:])),
-		Status:   healthcheck.Status(buf[16] & 0xf),
-		Role:     subset.Role(buf[16] >> 4),
-		At:       clock.Now - clock.Unix%time.Millisecond + time.Duration(ahead)*time.Millisecond,
+		Origin:     subset.ProxyID(binary.LittleEndian.Uint32(buf)),
+		Epoch:      binary.LittleEndian.Uint32(buf[4:]),
+		Database:   subset.DatabaseID(binary.LittleEndian.Uint32(buf[8:])),
+		Status:     healthcheck.Status(buf[16] & 0xf),
+		Role:       subset.Role(buf[16] >> 4),
+		ObservedAt: clock.Now - clock.Unix%time.Millisecond + time.Duration(ahead)*time.Millisecond,
 	}
 	if lag := binary.LittleEndian.Uint16(buf[18:]); lag != noPosition {
-		r.Position = r.At - time.Duration(lag)*time.Millisecond
+		r.Position = r.ObservedAt - time.Duration(lag)*time.Millisecond
 	}
 	return r
 }
--- a/internal/wire/healthcheck/healthcheck_test.go
+++ b/internal/wire/healthcheck/healthcheck_test.go
@@ -20,7 +20,7 @@
 var drawReport = rapid.Custom(func(t *rapid.T) healthcheck.Report {
 	at := time.Duration(rapid.IntRange(70_000, 100_000).Draw(t, "at")) * ms
 	r := healthcheck.Report{Origin: subset.ProxyID(rapid.Uint32().Draw(t, "origin")), Epoch: rapid.Uint32().Draw(t, "epoch"),
-		Database: subset.DatabaseID(rapid.Uint32().Draw(t, "database")), At: at,
+		Database: subset.DatabaseID(rapid.Uint32().Draw(t, "database")), ObservedAt: at,
 		Status: healthcheck.Status(rapid.IntRange(0, 3).Draw(t, "status")), Role: subset.Role(rapid.IntRange(0, 2).Draw(t, "role"))}
 	if rapid.Bool().Draw(t, "placed") {
 		r.Position = at - time.Duration(rapid.IntRange(0, 60_000).Draw(t, "lag"))*ms
@@ -50,7 +50,7 @@
 		}
 		d := healthcheck.Digest{}
 		for _, r := range m.Reports {
-			d.Changes = append(d.Changes, healthcheck.Change{Kind: healthcheck.CheckerHeard, Report: r})
+			d.Changes = append(d.Changes, healthcheck.Change{Kind: healthcheck.CheckerResumed, Report: r})
 		}
 		buf = AppendDigest(nil, sender, d)
 		if want := healthcheck.HeaderBytes + healthcheck.ChangeBytes*len(d.Changes); len(buf) != want {
@@ -68,7 +68,7 @@
 
 // shift brings times of the receiver's clock back to the sender's.
 func shift(r *healthcheck.Report) {
-	r.At -= 600 * time.Second
+	r.ObservedAt -= 600 * time.Second
 	if r.Position > 0 {
 		r.Position -= 600 * time.Second
 	}
--- a/logic/health.go
+++ b/logic/health.go
@@ -116,14 +116,14 @@
 	was := m.verdict
 	m.verdict, m.ejected = v, v.State == healthcheck.Ejected
 	if v.ColdStart && !was.ColdStart {
-		r.startedCold(now, m, v.RoleAt)
+		r.startedCold(now, m, v.RoleObservedAt)
 	}
 	switch {
 	case m.ejected:
 		r.eject(now, m)
 	case v.Role != subset.RoleUnknown:
-		r.believe(m, roleOf(v.Role), min(v.Position, now), min(v.RoleAt, now), now)
-		m.toldAt = max(m.toldAt, min(v.RoleAt, now))
+		r.believe(m, roleOf(v.Role), min(v.Position, now), min(v.RoleObservedAt, now), now)
+		m.toldAt = max(m.toldAt, min(v.RoleObservedAt, now))
 	}
 	if v.Failing && !was.Failing {
 		r.failures.Note(now, &m.bench, 1)
--- a/logic/health_test.go
+++ b/logic/health_test.go
@@ -20,7 +20,7 @@
 func TestOnlyAQuorumsDeathEjects(t *testing.T) {
 	f := sharing(t)
 	f.r.Verdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, Votes: 1, Quorum: 2})
-	f.r.Verdict(f.now, 3, healthcheck.Verdict{State: healthcheck.Doubted, Votes: 2, Quorum: 2})
+	f.r.Verdict(f.now, 3, healthcheck.Verdict{State: healthcheck.Suspect, Votes: 2, Quorum: 2})
 	if f.r.members[2].seat.Silent || f.r.members[3].seat.Silent {
 		t.Error("a single checker's word, or one in doubt, has ejected a member")
 	}
@@ -28,7 +28,7 @@
 	if m := f.r.members[2]; !m.seat.Silent || f.r.usable(m, f.now) {
 		t.Error("a quorum's death has not ejected the member")
 	}
-	f.r.Verdict(f.now, 1, healthcheck.Verdict{State: healthcheck.Ejected, Votes: 2, Quorum: 2, Role: subset.Replica, RoleAt: f.now})
+	f.r.Verdict(f.now, 1, healthcheck.Verdict{State: healthcheck.Ejected, Votes: 2, Quorum: 2, Role: subset.Replica, RoleObservedAt: f.now})
 	if f.r.members[1].role() != RolePrimary {
 		t.Error("the role of before a death is believed with it")
 	}
@@ -57,16 +57,16 @@
 	f := sharing(t)
 	m := f.r.members[3]
 	heard := f.now - 30*ms
-	f.r.Verdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleAt: f.now, Position: heard})
+	f.r.Verdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleObservedAt: f.now, Position: heard})
 	f.pass(200 * ms)
 	if m.position != heard {
 		t.Errorf("position %v, heard was %v", m.position, heard)
 	}
-	f.r.Verdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleAt: f.now, Position: heard - time.Second})
+	f.r.Verdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleObservedAt: f.now, Position: heard - time.Second})
 	if m.position != heard {
 		t.Error("a position has gone back")
 	}
-	f.r.Verdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleAt: f.now + time.Second, Position: f.now + time.Second})
+	f.r.Verdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleObservedAt: f.now + time.Second, Position: f.now + time.Second})
 	if m.position > f.now {
 		t.Error("data from the future")
 	}
@@ -78,17 +78,17 @@
 	m := f.r.members[2]
 	f.r.entry(f.now, Member{ID: 2, Group: m.Group, State: Ready, Size: 1, Born: f.now - time.Second})
 	cold := f.r.warmth(f.now, m)
-	f.r.Verdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, Role: subset.Replica, RoleAt: f.now})
-	f.r.Verdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, ColdStart: true, Role: subset.Replica, RoleAt: f.now - 10*time.Second})
+	f.r.Verdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, Role: subset.Replica, RoleObservedAt: f.now})
+	f.r.Verdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, ColdStart: true, Role: subset.Replica, RoleObservedAt: f.now - 10*time.Second})
 	if got := f.r.warmth(f.now, m); got != cold || cold >= 1 {
 		t.Errorf("warmth %v, and %v after hearsay", cold, got)
 	}
-	f.r.Verdict(f.now, 3, healthcheck.Verdict{State: healthcheck.Serving, ColdStart: true, Role: subset.Replica, RoleAt: f.now})
+	f.r.Verdict(f.now, 3, healthcheck.Verdict{State: healthcheck.Serving, ColdStart: true, Role: subset.Replica, RoleObservedAt: f.now})
 	if m := f.r.members[3]; f.r.warmth(f.now, m) >= 1 || m.role() != RoleReplica {
 		t.Errorf("warmth %v, role %v", f.r.warmth(f.now, m), m.role())
 	}
 	f.r.entry(f.now, Member{ID: 4, Group: m.Group, State: Draining, Size: 1})
-	f.r.Verdict(f.now, 4, healthcheck.Verdict{State: healthcheck.Serving, Role: subset.Replica, RoleAt: f.now})
+	f.r.Verdict(f.now, 4, healthcheck.Verdict{State: healthcheck.Serving, Role: subset.Replica, RoleObservedAt: f.now})
 	if f.r.usable(f.r.members[4], f.now) {
 		t.Error("a drain is lifted by hearsay")
 	}
