--- a/internal/cli/plan/plan.go
+++ b/internal/cli/plan/plan.go
@@ -41,7 +41,7 @@
 			if cfg.Peers[cfg.ID] == "" {
 				return fmt.Errorf("%w: --id is %d, one of those named with --planners was expected", ErrUsage, cfg.ID)
 			}
-			if cfg.File == "" {
+			if cfg.LogFile == "" {
 				return fmt.Errorf("%w: --log: the file of the log is missing", ErrUsage)
 			}
 			switch {
@@ -75,7 +75,7 @@
 	f.Uint64Var(&cfg.ID, "id", 0, "this planner's number")
 	f.StringVar(&peers, "planners", "", "all planners, this one included: 1=ADDRESS,2=ADDRESS,3=ADDRESS")
 	f.StringVar(&cfg.Listen, "listen", "", "where to listen (default: this planner's address)")
-	f.StringVar(&cfg.File, "log", "", "the file of the log; it is made if it isn't there")
+	f.StringVar(&cfg.LogFile, "log", "", "the file of the log; it is made if it isn't there")
 	f.BoolVar(&cfg.Join, "join", false, "it takes another's place (havenproxy policy replace): its log comes from the others. Of no effect once it has")
 	f.StringVar(&cutOff, "cut-off", "stop", "what a proxy does that can reach no planner: \"stop\" behind its lease, or \"go on\"; the same at all proxies and planners")
 	f.DurationVar(&cfg.Rollout.Lease, "lease", 2*time.Second, "how long a proxy serves since it last reached the planner that leads; the same at all proxies and planners")
--- a/internal/cli/policy_members.go
+++ b/internal/cli/policy_members.go
@@ -19,7 +19,7 @@
 func expelCommand() *cobra.Command {
 	return asks("expel NAME", "Take a proxy out of the tier that has ended for good: with leases behind its own, else at once, so be sure",
 		func(c *cobra.Command, _ *policyFlags, cl *client.Client, args []string) error {
-			a, err := cl.Ask(c.Context(), tier.Ask{Do: tier.DoExpel, Name: args[0]})
+			a, err := cl.Do(c.Context(), tier.Ask{Do: tier.DoExpel, Name: args[0]})
 			if err != nil {
 				return err
 			}
@@ -69,7 +69,7 @@
 						return nil
 					}
 					if !asked {
-						a, err := cl.Ask(c.Context(), tier.Ask{Do: tier.DoReplace, Number: rollout.Number(old), Nonce: id, Name: address})
+						a, err := cl.Do(c.Context(), tier.Ask{Do: tier.DoReplace, Number: rollout.Number(old), Nonce: id, Name: address})
 						if err != nil {
 							continue
 						}
--- a/internal/cli/policy_propose.go
+++ b/internal/cli/policy_propose.go
@@ -115,18 +115,18 @@
 	if p.Held > 0 {
 		line += fmt.Sprintf(", %d hold", p.Held)
 	}
-	for i, w := range p.Waiting {
+	for i, w := range p.PendingAnswers {
 		switch i {
 		case 0:
 			line += ", waiting for "
 		case 3:
-			return line + fmt.Sprintf(" and %d more", len(p.Waiting)-i)
+			return line + fmt.Sprintf(" and %d more", len(p.PendingAnswers)-i)
 		default:
 			line += ", "
 		}
 		line += w.Name
-		if w.SinceHeard > 500*time.Millisecond {
-			line += fmt.Sprintf(" (not heard for %.1f s)", w.SinceHeard.Seconds())
+		if w.SinceLastMessage > 500*time.Millisecond {
+			line += fmt.Sprintf(" (not heard for %.1f s)", w.SinceLastMessage.Seconds())
 		}
 	}
 	return line
--- a/internal/cli/policy_show.go
+++ b/internal/cli/policy_show.go
@@ -32,7 +32,7 @@
 			case a.Leader == 0:
 				fmt.Fprintln(out, "no planner leads: no change can be made, and leases run out")
 			case a.Progress != nil:
-				fmt.Fprintf(out, "under way for %.1f s: %s\n", a.Progress.For.Seconds(), progressLine(a.Progress))
+				fmt.Fprintf(out, "under way for %.1f s: %s\n", a.Progress.Age.Seconds(), progressLine(a.Progress))
 			case a.State.Pending() != nil:
 				fmt.Fprintf(out, "under way: policy %d\n", a.State.Pending().Number)
 			default:
@@ -47,9 +47,9 @@
 					link = "no"
 				}
 				if a.State.Lease > 0 {
-					lease = fmt.Sprintf("%.1f s", max(m.LeaseLeft.Seconds(), 0))
+					lease = fmt.Sprintf("%.1f s", max(m.LeaseRemaining.Seconds(), 0))
 				}
-				fmt.Fprintf(w, "%s\t%d\t%s\t%.1f s ago\t%s\n", m.Name, m.Number, link, m.SinceHeard.Seconds(), lease)
+				fmt.Fprintf(w, "%s\t%d\t%s\t%.1f s ago\t%s\n", m.Name, m.Number, link, m.SinceLastMessage.Seconds(), lease)
 			}
 			return w.Flush()
 		})
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -182,10 +182,10 @@
 	t := Table{Columns: []string{"name", "address", "group", "zone", "state", "hint", "why", "known"}}
 	for _, e := range s.Front().MemberFacts() {
 		var known []string
-		for _, k := range e.Facts {
-			known = append(known, fmt.Sprintf("%s: %s for %.1f s (%.2f)", k.Source, k.What, k.Age.Seconds(), k.Confidence))
+		for _, k := range e.Evidence {
+			known = append(known, fmt.Sprintf("%s: %s for %.1f s (%.2f)", k.Source, k.Claim, k.Age.Seconds(), k.Confidence))
 		}
-		t.add(e.ID, e.Address, e.Group, e.Zone, e.State.String(), or(e.Role.String(), "-"), e.Why, strings.Join(known, "; "))
+		t.add(e.ID, e.Address, e.Group, e.Zone, e.State.String(), or(e.Role.String(), "-"), e.Reason, strings.Join(known, "; "))
 	}
 	if !s.Front().Merges() { // the platform's list stands alone
 		for _, d := range s.Front().Databases() {
@@ -199,10 +199,10 @@
 	t := Table{Columns: []string{"name", "members", "index", "heard_s", "behind_s", "failures", "doubted", "doubts", "damped", "skipped", "last_error"}}
 	for _, c := range s.Front().Catalogues() {
 		heard := "never"
-		if c.Contact >= 0 {
-			heard = fmt.Sprintf("%.1f", c.Contact.Seconds())
+		if c.SinceContact >= 0 {
+			heard = fmt.Sprintf("%.1f", c.SinceContact.Seconds())
 		}
-		t.add(c.Name, c.Members, c.Index, heard, c.Behind, c.Failures, c.Doubted, c.Doubts, c.Suppressed, c.Skipped, or(c.LastError, "-"))
+		t.add(c.Name, c.Members, c.Index, heard, c.Lag, c.Failures, c.Doubted, c.DoubtCount, c.Suppressed, c.Skipped, or(c.LastError, "-"))
 	}
 	if f := s.Front(); !f.Merges() {
 		t.add(state.OwnList, len(f.Databases()), "-", "-", time.Duration(0), f.Counters.ListFailures, false, 0, 0, 0, "-")
--- a/internal/lab/explore/rollout.go
+++ b/internal/lab/explore/rollout.go
@@ -78,7 +78,7 @@
 func (t *RolloutModel) Start() State {
 	t.interned = &messageTable{byKey: map[messageKey]uint16{}}
 	w := &rolloutState{model: t, now: 1000 * tick, state: &rollout.State{DisabledGuards: t.DisabledGuards}, term: 1, renewals: make([]int, t.Proxies), hellos: make([]int, t.Proxies)}
-	w.leader = rollout.Lead(t.config(), w.state, w.term)
+	w.leader = rollout.NewLeader(t.config(), w.state, w.term)
 	for i := range t.Proxies {
 		w.proxies = append(w.proxies, w.newProxy(i))
 		w.proxies[i].Connected()
@@ -231,7 +231,7 @@
 		step("another planner leads", func(n *rolloutState) {
 			n.leaders++
 			n.term++
-			n.leader = rollout.Lead(n.model.config(), n.state, n.term)
+			n.leader = rollout.NewLeader(n.model.config(), n.state, n.term)
 		})
 	}
 	if w.changes < w.model.Changes && w.leader.Leading() {
--- a/internal/lab/largefleet/peers.go
+++ b/internal/lab/largefleet/peers.go
@@ -65,7 +65,7 @@
 		<-tick.C
 		now := world.Now()
 		for range int(datagrams) {
-			var list []peers.Fact
+			var list []peers.Report
 			for range max(1, int(facts/datagrams)) {
 				member := rng.IntN(cfg.Databases)
 				list = append(list, factOf(member, now, silent.has(member)))
@@ -78,12 +78,12 @@
 }
 
 // factOf is what a peer has just learned of a database.
-func factOf(member int, now time.Duration, silent bool) peers.Fact {
+func factOf(member int, now time.Duration, silent bool) peers.Report {
 	h := fnv.New64a()
 	h.Write([]byte(standin.InstanceID(member)))
-	f := peers.Fact{Database: peers.Short(h.Sum64()), Role: peers.Replica, At: now, Position: now - peerLag}
+	f := peers.Report{Database: peers.ShortID(h.Sum64()), Role: peers.Replica, At: now, Position: now - peerLag}
 	if silent {
-		return peers.Fact{Database: f.Database, Ails: peers.Silent, At: now}
+		return peers.Report{Database: f.Database, Status: peers.Silent, At: now}
 	}
 	if member%GroupSize == 0 {
 		f.Role, f.Position = peers.Primary, now
--- a/internal/lab/scale/calculate/calculate_test.go
+++ b/internal/lab/scale/calculate/calculate_test.go
@@ -69,7 +69,7 @@
 }
 
 func (x *play) elect(term rollout.Term) {
-	x.leader = rollout.Lead(x.cfg, &x.state, term)
+	x.leader = rollout.NewLeader(x.cfg, &x.state, term)
 	x.work()
 	for i, p := range x.proxies {
 		if !x.silent[i] {
--- a/internal/lab/scale/calculate/messages.go
+++ b/internal/lab/scale/calculate/messages.go
@@ -108,8 +108,8 @@
 }
 
 func (m *Messages) encodePeers() {
-	fact := gossip.Fact{Database: 0x5be2a07c, Role: gossip.Replica, At: time.Second, Position: time.Second}
-	facts := make([]gossip.Fact, peers.MaxFacts)
+	fact := gossip.Report{Database: 0x5be2a07c, Role: gossip.Replica, At: time.Second, Position: time.Second}
+	facts := make([]gossip.Report, peers.MaxFacts)
 	for i := range facts {
 		facts[i] = fact
 	}
@@ -137,8 +137,8 @@
 		{&m.Hello, rollout.Message{Kind: rollout.Hello, Name: exampleName(0), Nonce: exampleNonce, Lease: in.Lease}},
 		{&m.Welcome, rollout.Message{Kind: rollout.Welcome, Member: exampleMember, Nonce: exampleNonce, Number: exampleNumber, Policy: policy}},
 		{&m.MembersWhole, rollout.Message{Kind: rollout.Members, Member: exampleMember, MembersVersion: exampleVersion, Members: entries}},
-		{&m.MembersChange, rollout.Message{Kind: rollout.Members, Member: exampleMember, MembersVersion: exampleVersion, SinceVersion: exampleVersion - 2,
-			Members: entries[:1], LeftMembers: []rollout.Member{exampleMember - 1}}},
+		{&m.MembersChange, rollout.Message{Kind: rollout.Members, Member: exampleMember, MembersVersion: exampleVersion, BaseVersion: exampleVersion - 2,
+			Members: entries[:1], RemovedMembers: []rollout.Member{exampleMember - 1}}},
 	} {
 		frame, err := tier.Append(nil, &tier.Frame{Tier: &x.message})
 		if err != nil {
@@ -161,7 +161,7 @@
 		return err
 	}
 	m.JoinCommand = len(command)
-	state := rollout.State{InForce: exampleNumber, LastNumber: exampleNumber, LastMember: exampleMember, MembersVersion: exampleVersion, HasLed: true, Lease: in.Lease}
+	state := rollout.State{InForce: exampleNumber, LastNumber: exampleNumber, LastMember: exampleMember, MembersVersion: exampleVersion, LeaseSet: true, Lease: in.Lease}
 	for _, entry := range exampleEntries(in.Size.Proxies) {
 		entry.Zone = "" // health checks are not shared
 		state.Members = append(state.Members, entry)
@@ -173,7 +173,7 @@
 	m.State = len(text)
 	answer := tier.Answer{Planner: 1, Leader: 1, State: &state, Planners: []uint64{1, 2, 3}}
 	for _, seat := range state.Members {
-		answer.Members = append(answer.Members, rollout.MemberInfo{Name: seat.Name, Member: seat.Member, Number: exampleNumber, Linked: true, SinceHeard: in.Lease / asksInLease, LeaseLeft: in.Lease})
+		answer.Members = append(answer.Members, rollout.MemberInfo{Name: seat.Name, Member: seat.Member, Number: exampleNumber, Linked: true, SinceLastMessage: in.Lease / asksInLease, LeaseRemaining: in.Lease})
 	}
 	frame, err := tier.Append(nil, &tier.Frame{Answer: &answer})
 	m.Status = len(frame)
--- a/internal/lab/tiersim/tiersim.go
+++ b/internal/lab/tiersim/tiersim.go
@@ -216,8 +216,8 @@
 }
 
 func (s *sim) lead(term rollout.Term) {
-	l := &leader{rollout.Lead(s.cfgR, s.state, term), term}
-	l.SetChangeBegan(s.pending, s.pendingAt)
+	l := &leader{rollout.NewLeader(s.cfgR, s.state, term), term}
+	l.SetChangeStart(s.pending, s.pendingAt)
 	s.leader = l
 	s.ready(l)
 	var tick func()
--- a/internal/lab/virtual/planner.go
+++ b/internal/lab/virtual/planner.go
@@ -68,7 +68,7 @@
 	cfg := rollout.Config{Lease: w.cfg.Tier.Planners.Lease}
 	p := &planner{Planners: w.cfg.Tier.Planners, w: w, state: &rollout.State{}, links: map[rollout.Link]*plannerLink{}, changes: map[rollout.Number]int{}}
 	w.planner = p
-	p.leader = rollout.Lead(cfg, p.state, 1)
+	p.leader = rollout.NewLeader(cfg, p.state, 1)
 	if c := w.cfg.Tier.Checks; c != nil {
 		p.health = newHealthRelay(p, c)
 	}
--- a/internal/membership/api.go
+++ b/internal/membership/api.go
@@ -44,8 +44,8 @@
 // String names a role.
 func (r Role) String() string { return [...]string{"", "primary", "replica"}[r] }
 
-// Fact is what a catalogue says of one member.
-type Fact struct {
+// Listing is what a catalogue says of one member.
+type Listing struct {
 	ID      string
 	Address string // IP:port; names are not looked up
 	Zone    string
@@ -56,20 +56,20 @@
 	Started time.Duration // Unix time; 0 = long ago, or not told
 }
 
-// News is one answer of a catalogue.
-type News struct {
-	Whole   bool // all its members; otherwise only those that have changed, or are terminated
-	Facts   []Fact
-	Index   uint64        // of the answer, for show
-	Behind  time.Duration // how long the answering server has not heard of its leader; 0 = it leads, or doesn't tell
-	NoLead  bool          // it knows of no leader
-	Skipped int           // entries that could not be read
+// Update is one answer of a catalogue.
+type Update struct {
+	Complete bool // all its members; otherwise only those that have changed, or are terminated
+	Listings []Listing
+	Index    uint64        // of the answer, for show
+	Lag      time.Duration // how long the answering server has not heard of its leader; 0 = it leads, or doesn't tell
+	NoLeader bool          // it knows of no leader
+	Skipped  int           // entries that could not be read
 }
 
 // Trust says how far a catalogue goes.
 type Trust struct {
-	// Binding: its word is the platform's order, in both directions; nothing is damped, doubted or kept.
-	Binding bool
+	// Authoritative: its word is the platform's order, in both directions; nothing is damped, doubted or kept.
+	Authoritative bool
 	// Weight of its word against other catalogues' where they differ, from 0 to 1; 0 = 0.8.
 	Weight float64
 }
@@ -79,9 +79,9 @@
 
 // The states.
 const (
-	Gone State = iota
-	Ready
-	Drains
+	StateRemoved State = iota
+	StateReady
+	StateDraining
 )
 
 // String names a state.
@@ -89,23 +89,23 @@
 
 // Config is the operator's settings. The zero value of a field takes the default that its comment names.
 type Config struct {
-	Answers time.Duration // so long behind an answer a member counts as answering; 3 s
-	Lost    time.Duration // a member that no catalogue lists and that doesn't answer is dropped after it; 10 s
-	Keep    time.Duration // one that does answer is kept for so long; 10 min
-	Failing time.Duration // one that all call critical, and that doesn't answer, is dropped after it; 30 s
-	Same    time.Duration // a new id at an old address is the same process if an old connection answers within it; 1 s
-
-	Panic    float64       // a catalogue that loses more than this part of its members at once is doubted; 0.5
-	PanicFor time.Duration // for so long at most; 1 min
-	Least    int           // with so many members or more; 4
-
-	Flap     float64       // penalty of one change for the worse or the better; 1000
-	Suppress float64       // above it a member's news is not followed; 3000
-	Reuse    float64       // below it it is again; 750
-	Most     float64       // no penalty is higher; 12000
-	Half     time.Duration // in which a penalty halves; 15 s
-
-	Decay time.Duration // a catalogue's word loses half of its weight for each such time without contact; 30 s
+	AliveTimeout         time.Duration // so long behind an answer a member counts as answering; 3 s
+	UnlistedTimeout      time.Duration // a member that no catalogue lists and that doesn't answer is dropped after it; 10 s
+	AliveUnlistedTimeout time.Duration // one that does answer is kept for so long; 10 min
+	CriticalTimeout      time.Duration // one that all call critical, and that doesn't answer, is dropped after it; 30 s
+	RenameTimeout        time.Duration // a new id at an old address is the same process if an old connection answers within it; 1 s
+
+	PanicFraction   float64       // a catalogue that loses more than this part of its members at once is doubted; 0.5
+	PanicDuration   time.Duration // for so long at most; 1 min
+	PanicMinMembers int           // with so many members or more; 4
+
+	FlapPenalty       float64       // penalty of one change for the worse or the better; 1000
+	SuppressThreshold float64       // above it a member's news is not followed; 3000
+	ReuseThreshold    float64       // below it it is again; 750
+	MaxPenalty        float64       // no penalty is higher; 12000
+	PenaltyHalfLife   time.Duration // in which a penalty halves; 15 s
+
+	WeightHalfLife time.Duration // a catalogue's word loses half of its weight for each such time without contact; 30 s
 }
 
 func or[T comparable](v *T, otherwise T) {
@@ -117,70 +117,70 @@
 
 // WithDefaults fills in what is not set.
 func (c Config) WithDefaults() Config {
-	or(&c.Answers, 3*time.Second)
-	or(&c.Lost, 10*time.Second)
-	or(&c.Keep, 10*time.Minute)
-	or(&c.Failing, 30*time.Second)
-	or(&c.Same, time.Second)
-	or(&c.Panic, 0.5)
-	or(&c.PanicFor, time.Minute)
-	or(&c.Least, 4)
-	or(&c.Flap, 1000)
-	or(&c.Suppress, 3000)
-	or(&c.Reuse, 750)
-	or(&c.Most, 12000)
-	or(&c.Half, 15*time.Second)
-	or(&c.Decay, 30*time.Second)
+	or(&c.AliveTimeout, 3*time.Second)
+	or(&c.UnlistedTimeout, 10*time.Second)
+	or(&c.AliveUnlistedTimeout, 10*time.Minute)
+	or(&c.CriticalTimeout, 30*time.Second)
+	or(&c.RenameTimeout, time.Second)
+	or(&c.PanicFraction, 0.5)
+	or(&c.PanicDuration, time.Minute)
+	or(&c.PanicMinMembers, 4)
+	or(&c.FlapPenalty, 1000)
+	or(&c.SuppressThreshold, 3000)
+	or(&c.ReuseThreshold, 750)
+	or(&c.MaxPenalty, 12000)
+	or(&c.PenaltyHalfLife, 15*time.Second)
+	or(&c.WeightHalfLife, 30*time.Second)
 	return c
 }
 
 // Check tells what makes no sense, after WithDefaults.
 func (c *Config) Check() error {
 	switch {
-	case c.Panic <= 0 || c.Panic > 1:
-		return fmt.Errorf("membership: panic is %v, above 0 and at most 1 was expected", c.Panic)
-	case c.Reuse >= c.Suppress || c.Suppress > c.Most:
-		return fmt.Errorf("membership: reuse %v, suppress %v, most %v: each must be below the next", c.Reuse, c.Suppress, c.Most)
-	case c.Keep < c.Lost:
-		return fmt.Errorf("membership: keep is %v, it must not be below lost, which is %v", c.Keep, c.Lost)
+	case c.PanicFraction <= 0 || c.PanicFraction > 1:
+		return fmt.Errorf("membership: panic is %v, above 0 and at most 1 was expected", c.PanicFraction)
+	case c.ReuseThreshold >= c.SuppressThreshold || c.SuppressThreshold > c.MaxPenalty:
+		return fmt.Errorf("membership: reuse %v, suppress %v, most %v: each must be below the next", c.ReuseThreshold, c.SuppressThreshold, c.MaxPenalty)
+	case c.AliveUnlistedTimeout < c.UnlistedTimeout:
+		return fmt.Errorf("membership: keep is %v, it must not be below lost, which is %v", c.AliveUnlistedTimeout, c.UnlistedTimeout)
 	}
 	return nil
 }
 
 // Entry is a member as the view has it.
 type Entry struct {
-	ID      string // the first one that it was known by
-	Address string
-	Zone    string
-	Group   int
-	State   State
-	Role    Role // a hint, of the weightiest catalogue that gives one
-	Weight  float64
-	Started time.Duration // Unix time, as told; 0 = long ago, or not told
-	Begun   time.Duration // on the clock that is handed in: since when it is taken for a new process, by what is seen; 0 = it is not
-	Why     string        // what decided the state
-	Facts   []Known       // all that is known, the weightiest first; of Snapshot only
+	ID          string // the first one that it was known by
+	Address     string
+	Zone        string
+	Group       int
+	State       State
+	Role        Role // a hint, of the weightiest catalogue that gives one
+	Weight      float64
+	Started     time.Duration // Unix time, as told; 0 = long ago, or not told
+	RestartedAt time.Duration // on the clock that is handed in: since when it is taken for a new process, by what is seen; 0 = it is not
+	Reason      string        // what decided the state
+	Evidence    []Evidence    // all that is known, the weightiest first; of Snapshot only
 }
 
-// Known is one thing that somebody says, or that was seen.
-type Known struct {
+// Evidence is one thing that somebody says, or that was seen.
+type Evidence struct {
 	Source     string
-	What       string
+	Claim      string
 	Age        time.Duration // since it was first said so
 	Confidence float64       // from 0 to 1
 }
 
 // Catalogue is a source, to be shown.
 type Catalogue struct {
-	Name       string
-	Members    int
-	Index      uint64
-	Contact    time.Duration // since the last answer; negative = never
-	Behind     time.Duration // that answer's own lag
-	Failures   int           // since the last answer
-	Doubted    bool
-	Doubts     int // how often it was
-	Skipped    int // entries that could not be used: names for addresses, ids or addresses given twice
-	Suppressed int // members whose news is not followed now
-	LastError  string
+	Name         string
+	Members      int
+	Index        uint64
+	SinceContact time.Duration // since the last answer; negative = never
+	Lag          time.Duration // that answer's own lag
+	Failures     int           // since the last answer
+	Doubted      bool
+	DoubtCount   int // how often it was
+	Skipped      int // entries that could not be used: names for addresses, ids or addresses given twice
+	Suppressed   int // members whose news is not followed now
+	LastError    string
 }
--- a/internal/membership/catalogue.go
+++ b/internal/membership/catalogue.go
@@ -74,21 +74,21 @@
 }
 
 // Update handles a catalogue's answer.
-func (m *Members) Update(now time.Duration, name string, n News) {
+func (m *Members) Update(now time.Duration, name string, n Update) {
 	i := m.sourceIndex(name)
 	if i < 0 || m.sources[i].dropped {
 		return
 	}
 	src := m.sources[i]
-	if n.NoLead && !src.trust.Binding {
+	if n.NoLeader && !src.trust.Authoritative {
 		m.updateWithoutLeader(now, i, n)
 		m.processQueue(now)
 		return
 	}
-	src.hasAnswered, src.lastContact, src.index, src.behind, src.failures = true, now, n.Index, n.Behind, 0
+	src.hasAnswered, src.lastContact, src.index, src.behind, src.failures = true, now, n.Index, n.Lag, 0
 	src.skipped += n.Skipped
-	seen := m.receiveFacts(now, i, n.Facts)
-	if n.Whole {
+	seen := m.receiveFacts(now, i, n.Listings)
+	if n.Complete {
 		m.delistMissing(now, i, seen)
 	}
 	src.listed = 0
@@ -97,7 +97,7 @@
 			src.listed++
 		}
 	}
-	if src.doubtedSince > 0 && float64(src.listed) >= (1-m.config.Panic/2)*float64(src.listedBefore) {
+	if src.doubtedSince > 0 && float64(src.listed) >= (1-m.config.PanicFraction/2)*float64(src.listedBefore) {
 		m.endDoubt(now, i)
 	}
 	m.processQueue(now)
@@ -105,11 +105,11 @@
 
 // updateWithoutLeader handles an answer of a catalogue that has no leader: it may be out of date, and only what takes a known member out of
 // use for a while is believed.
-func (m *Members) updateWithoutLeader(now time.Duration, i int, n News) {
+func (m *Members) updateWithoutLeader(now time.Duration, i int, n Update) {
 	src := m.sources[i]
 	src.failures++
 	src.lastErr = "it knows of no leader"
-	for _, f := range n.Facts {
+	for _, f := range n.Listings {
 		if f.Health < Draining || f.Health == Terminated {
 			continue
 		}
@@ -120,7 +120,7 @@
 }
 
 // receiveFacts applies what a catalogue lists, and returns the members that it lists.
-func (m *Members) receiveFacts(now time.Duration, i int, facts []Fact) memberSet {
+func (m *Members) receiveFacts(now time.Duration, i int, facts []Listing) memberSet {
 	src := m.sources[i]
 	seen := memberSet{}
 	for _, f := range facts {
@@ -131,7 +131,7 @@
 			}
 			continue
 		}
-		if _, err := netip.ParseAddrPort(f.Address); err != nil && !src.trust.Binding {
+		if _, err := netip.ParseAddrPort(f.Address); err != nil && !src.trust.Authoritative {
 			src.skipped++ // a host name; names are not resolved here
 			continue
 		}
@@ -156,8 +156,8 @@
 			missing = append(missing, x)
 		}
 	}
-	tooMany := src.listed >= m.config.Least && float64(len(missing)) > m.config.Panic*float64(src.listed)
-	if tooMany && !src.trust.Binding && src.doubtedSince == 0 {
+	tooMany := src.listed >= m.config.PanicMinMembers && float64(len(missing)) > m.config.PanicFraction*float64(src.listed)
+	if tooMany && !src.trust.Authoritative && src.doubtedSince == 0 {
 		src.doubtedSince, src.listedBefore = now, src.listed
 		src.doubts++
 	}
--- a/internal/membership/decide.go
+++ b/internal/membership/decide.go
@@ -8,14 +8,14 @@
 
 // waits tells of a member whose state may change by time alone.
 func (x *Member) isTimeDependent() bool {
-	if x.absentSince > 0 || x.failingSince > 0 || x.renamedAt > 0 || x.Entry.State == Gone {
+	if x.absentSince > 0 || x.failingSince > 0 || x.renamedAt > 0 || x.Entry.State == StateRemoved {
 		return true
 	}
 	return slices.ContainsFunc(x.reports, func(s report) bool { return s.damped })
 }
 
 func (x *Member) isAlive(now time.Duration) bool {
-	return x.lastAlive > 0 && !x.silent && now-x.lastAlive <= x.members.config.Answers
+	return x.lastAlive > 0 && !x.silent && now-x.lastAlive <= x.members.config.AliveTimeout
 }
 
 // decide says what becomes of a member, and why.
@@ -25,16 +25,16 @@
 	lost := time.Duration(0)
 	for i := range x.reports {
 		s, src := &x.reports[i], x.members.sources[i]
-		if s.damped && s.decayedPenalty(now, c.Half) < c.Reuse {
+		if s.damped && s.decayedPenalty(now, c.PenaltyHalfLife) < c.ReuseThreshold {
 			s.damped = false
 		}
 		switch {
 		case s.listed && (s.Health == Draining || s.Health == Maintenance): // whatever else is said
-			return Drains, src.name + " says " + s.Health.String()
-		case s.listed && src.trust.Binding:
-			return Ready, src.name + " lists it"
-		case !s.listed && src.trust.Binding && s.delistedAt > 0 && !src.dropped:
-			return Gone, src.name + " lists it no more"
+			return StateDraining, src.name + " says " + s.Health.String()
+		case s.listed && src.trust.Authoritative:
+			return StateReady, src.name + " lists it"
+		case !s.listed && src.trust.Authoritative && s.delistedAt > 0 && !src.dropped:
+			return StateRemoved, src.name + " lists it no more"
 		case s.damped && !src.dropped:
 			damped = src.name
 		case s.listed && s.Health.admits():
@@ -56,26 +56,26 @@
 	}
 	answers := x.isAlive(now)
 	was, inUse := x.members.view.Get(x.ID)
-	inUse = inUse && was.State == Ready
+	inUse = inUse && was.State == StateReady
 	switch {
 	case passing != "":
-		return Ready, passing + " says passing"
+		return StateReady, passing + " says passing"
 	case answers && critical != "":
-		return Ready, "it answers, though " + critical + " says critical"
+		return StateReady, "it answers, though " + critical + " says critical"
 	case damped != "" && (answers || inUse && !x.silent):
-		return Ready, damped + " flaps, and is not followed"
+		return StateReady, damped + " flaps, and is not followed"
 	case doubted != "" && inUse:
-		return Ready, doubted + " has lost too many at once to be believed"
-	case critical != "" && inUse && now-x.failingSince < c.Failing:
-		return Ready, critical + " says critical, for now"
+		return StateReady, doubted + " has lost too many at once to be believed"
+	case critical != "" && inUse && now-x.failingSince < c.CriticalTimeout:
+		return StateReady, critical + " says critical, for now"
 	case critical != "" || damped != "":
-		return Gone, "it doesn't answer, and " + cmp.Or(critical, damped) + " says no better"
-	case answers && now-x.absentSince < c.Keep:
-		return Ready, "it answers, though nobody lists it"
-	case inUse && now-x.absentSince < c.Lost:
-		return Ready, "it was listed a moment ago"
+		return StateRemoved, "it doesn't answer, and " + cmp.Or(critical, damped) + " says no better"
+	case answers && now-x.absentSince < c.AliveUnlistedTimeout:
+		return StateReady, "it answers, though nobody lists it"
+	case inUse && now-x.absentSince < c.UnlistedTimeout:
+		return StateReady, "it was listed a moment ago"
 	}
-	return Gone, "nobody lists it"
+	return StateRemoved, "nobody lists it"
 }
 
 // describe fills in what the view tells of a member, from the weightiest source that lists it.
@@ -87,7 +87,7 @@
 		if !s.listed && s.delistedAt == 0 {
 			continue
 		}
-		w := src.weight(now, x.members.config.Decay)
+		w := src.weight(now, x.members.config.WeightHalfLife)
 		if !s.listed {
 			w /= 100 // what it last said, where nobody says more
 		}
@@ -101,7 +101,7 @@
 	if best < 0 {
 		return
 	}
-	f := &x.reports[best].Fact
+	f := &x.reports[best].Listing
 	x.Address, x.Zone, x.Group, x.Weight, x.Role = f.Address, f.Zone, f.Group, f.Weight, role
 	x.Started = max(x.Started, f.Started)
 }
--- a/internal/membership/explain.go
+++ b/internal/membership/explain.go
@@ -24,18 +24,18 @@
 				what = "not listed"
 			}
 			if s.damped {
-				what += fmt.Sprintf(", damped (%.0f)", s.decayedPenalty(now, m.config.Half))
+				what += fmt.Sprintf(", damped (%.0f)", s.decayedPenalty(now, m.config.PenaltyHalfLife))
 			}
-			e.Facts = append(e.Facts, Known{Source: src.name, What: what, Age: now - s.unchangedSince, Confidence: src.weight(now, m.config.Decay)})
+			e.Evidence = append(e.Evidence, Evidence{Source: src.name, Claim: what, Age: now - s.unchangedSince, Confidence: src.weight(now, m.config.WeightHalfLife)})
 		}
 		if x.lastAlive > 0 {
-			k := Known{Source: "seen", What: "answers", Age: now - x.lastAlive, Confidence: 1}
+			k := Evidence{Source: "seen", Claim: "answers", Age: now - x.lastAlive, Confidence: 1}
 			if x.silent {
-				k.What = "silent"
+				k.Claim = "silent"
 			}
-			e.Facts = append(e.Facts, k)
+			e.Evidence = append(e.Evidence, k)
 		}
-		slices.SortStableFunc(e.Facts, func(a, b Known) int { return cmp.Compare(b.Confidence, a.Confidence) })
+		slices.SortStableFunc(e.Evidence, func(a, b Evidence) int { return cmp.Compare(b.Confidence, a.Confidence) })
 		out = append(out, e)
 	}
 	slices.SortFunc(out, func(a, b Entry) int { return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.ID, b.ID)) })
@@ -48,10 +48,10 @@
 		if s.dropped {
 			continue
 		}
-		c := Catalogue{Name: s.name, Members: s.listed, Index: s.index, Contact: now - s.lastContact, Behind: s.behind, Failures: s.failures,
-			Doubted: s.doubtedSince > 0, Doubts: s.doubts, Skipped: s.skipped, LastError: s.lastErr}
+		c := Catalogue{Name: s.name, Members: s.listed, Index: s.index, SinceContact: now - s.lastContact, Lag: s.behind, Failures: s.failures,
+			Doubted: s.doubtedSince > 0, DoubtCount: s.doubts, Skipped: s.skipped, LastError: s.lastErr}
 		if !s.hasAnswered {
-			c.Contact = -1
+			c.SinceContact = -1
 		}
 		for _, x := range m.order {
 			if x.report(i).damped {
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -54,7 +54,7 @@
 	if x == nil {
 		return
 	}
-	fresh := x.silent || x.lastAlive == 0 || now-x.lastAlive > m.config.Answers
+	fresh := x.silent || x.lastAlive == 0 || now-x.lastAlive > m.config.AliveTimeout
 	x.lastAlive, x.silent = now, false
 	if x.renamedAt > 0 && opened > 0 && opened < x.renamedAt { // the connection has outlived the change of names
 		x.renamedAt = 0
@@ -78,7 +78,7 @@
 // Tick does what is due by the clock. Ten calls a second are enough.
 func (m *Members) Tick(now time.Duration) {
 	for i, s := range m.sources {
-		if s.doubtedSince > 0 && now-s.doubtedSince >= m.config.PanicFor {
+		if s.doubtedSince > 0 && now-s.doubtedSince >= m.config.PanicDuration {
 			m.endDoubt(now, i)
 		}
 	}
@@ -103,7 +103,7 @@
 	m.dirty = nil
 	for _, x := range list {
 		x.queued = false
-		if x.renamedAt > 0 && now-x.renamedAt >= m.config.Same {
+		if x.renamedAt > 0 && now-x.renamedAt >= m.config.RenameTimeout {
 			m.replace(now, x)
 			continue
 		}
@@ -113,7 +113,7 @@
 
 // judge decides one member, and puts what comes of it into the view.
 func (m *Members) reevaluate(now time.Duration, x *Member) {
-	x.Entry.State, x.Entry.Why = x.decide(now)
+	x.Entry.State, x.Entry.Reason = x.decide(now)
 	x.describe(now)
 	m.publish(x)
 }
@@ -122,7 +122,7 @@
 func (m *Members) publish(x *Member) {
 	was, in := m.view.Get(x.ID)
 	switch {
-	case x.State == Gone:
+	case x.State == StateRemoved:
 		if in {
 			m.view = m.view.Delete(x.ID)
 			m.recordChange(x)
@@ -144,7 +144,7 @@
 // same tells whether nothing has changed that anybody acts on.
 func sameEntry(a, b Entry) bool {
 	return a.Address == b.Address && a.Zone == b.Zone && a.Group == b.Group && a.State == b.State && a.Role == b.Role && a.Weight == b.Weight &&
-		a.Started == b.Started && a.Begun == b.Begun && a.Why == b.Why
+		a.Started == b.Started && a.RestartedAt == b.RestartedAt && a.Reason == b.Reason
 }
 
 // TakeChanges returns the members that have changed since the last call, in the order of their changes.
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -19,32 +19,32 @@
 	t     *testing.T
 	m     *Members
 	now   time.Duration
-	facts map[string]Fact
+	facts map[string]Listing
 	state map[string]State
 	moves int // changes of any state
 }
 
 func begin(t *testing.T, n int) *script {
-	x := &script{t: t, m: New(Config{}), now: 100 * s, facts: map[string]Fact{}, state: map[string]State{}}
+	x := &script{t: t, m: New(Config{}), now: 100 * s, facts: map[string]Listing{}, state: map[string]State{}}
 	x.m.AddCatalogue("c", Trust{})
 	for i := range n {
 		id := fmt.Sprintf("db-%d", i)
-		x.facts[id] = Fact{ID: id, Address: fmt.Sprintf("10.0.0.%d:5432", i+1), Group: i % 3, Weight: 1}
+		x.facts[id] = Listing{ID: id, Address: fmt.Sprintf("10.0.0.%d:5432", i+1), Group: i % 3, Weight: 1}
 	}
 	x.news()
-	x.all(Ready)
+	x.all(StateReady)
 	return x
 }
 
 // news tells all facts, but for those that are left out.
 func (x *script) news(but ...string) {
-	n := News{Whole: true}
+	n := Update{Complete: true}
 	for _, f := range x.facts {
 		if !slices.Contains(but, f.ID) {
-			n.Facts = append(n.Facts, f)
+			n.Listings = append(n.Listings, f)
 		}
 	}
-	slices.SortFunc(n.Facts, func(a, b Fact) int {
+	slices.SortFunc(n.Listings, func(a, b Listing) int {
 		return len(a.ID)*1000 + int(a.ID[len(a.ID)-1]) - len(b.ID)*1000 - int(b.ID[len(b.ID)-1])
 	})
 	x.m.Update(x.now, "c", n)
@@ -97,22 +97,22 @@
 	x := begin(t, 3)
 	x.health("db-1", Critical)
 	x.pass(60*s, "db-1")
-	x.is("db-1", Ready, "critical, and answers")
+	x.is("db-1", StateReady, "critical, and answers")
 	x.pass(40 * s)
-	x.is("db-1", Gone, "critical, and silent for longer than `failing`")
+	x.is("db-1", StateRemoved, "critical, and silent for longer than `failing`")
 	x.health("db-1", Passing)
-	x.is("db-1", Ready, "passing again")
+	x.is("db-1", StateReady, "passing again")
 
 	x.health("db-2", Critical)
 	x.m.MarkSilent(x.now, "db-2")
 	x.pass(20 * s)
-	x.is("db-2", Ready, "a check may err; whoever sends there sees for himself")
+	x.is("db-2", StateReady, "a check may err; whoever sends there sees for himself")
 
-	x.facts["db-9"] = Fact{ID: "db-9", Address: "10.0.0.99:5432", Health: Critical}
+	x.facts["db-9"] = Listing{ID: "db-9", Address: "10.0.0.99:5432", Health: Critical}
 	x.news()
-	x.is("db-9", Gone, "new, and critical: it has not begun yet")
+	x.is("db-9", StateRemoved, "new, and critical: it has not begun yet")
 	x.health("db-9", Passing)
-	x.is("db-9", Ready, "now it has")
+	x.is("db-9", StateReady, "now it has")
 }
 
 // A drain is obeyed with the answer that tells it, whatever else is said, seen, damped or doubted.
@@ -131,11 +131,11 @@
 		f.Health = h
 		x.facts["db-1"] = f
 		x.news("db-2", "db-3", "db-4", "db-5", "db-6")
-		x.is("db-1", Drains, h.String())
+		x.is("db-1", StateDraining, h.String())
 		x.pass(30*s, "db-1")
-		x.is("db-1", Drains, "though it answers")
+		x.is("db-1", StateDraining, "though it answers")
 		x.health("db-1", Passing)
-		x.is("db-1", Ready, "the drain is over")
+		x.is("db-1", StateReady, "the drain is over")
 	}
 }
 
@@ -153,11 +153,11 @@
 	if x.moves > 4 {
 		t.Errorf("%d changes in a minute of flaps", x.moves)
 	}
-	x.is("db-1", Ready, "while it flaps")
+	x.is("db-1", StateReady, "while it flaps")
 	x.health("db-1", Critical)
 	x.m.MarkSilent(x.now, "db-1")
 	x.pass(200 * s)
-	x.is("db-1", Gone, "and is critical for good")
+	x.is("db-1", StateRemoved, "and is critical for good")
 	if c := x.m.Catalogues(x.now)[0]; c.Suppressed != 0 {
 		t.Errorf("still damped: %+v", c)
 	}
@@ -172,11 +172,11 @@
 	x.pass(5 * s)
 	x.news()
 	x.pass(60 * s)
-	x.all(Ready)
+	x.all(StateReady)
 	if x.moves > 0 {
 		t.Errorf("%d changes", x.moves)
 	}
-	if c := x.m.Catalogues(x.now)[0]; c.Doubted || c.Doubts != 1 {
+	if c := x.m.Catalogues(x.now)[0]; c.Doubted || c.DoubtCount != 1 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -185,15 +185,15 @@
 	x := begin(t, 6)
 	x.news("db-0", "db-1", "db-2", "db-3", "db-4", "db-5")
 	x.pass(30 * s)
-	x.all(Ready)
+	x.all(StateReady)
 	x.pass(60*s, "db-0", "db-1") // the doubt ends after a minute; who answers is kept
-	x.is("db-0", Ready, "it answers")
-	x.is("db-5", Gone, "it doesn't, and nobody lists it")
+	x.is("db-0", StateReady, "it answers")
+	x.is("db-5", StateRemoved, "it doesn't, and nobody lists it")
 	x.pass(11*time.Minute, "db-0")
-	x.is("db-0", Gone, "kept for ten minutes and no longer")
+	x.is("db-0", StateRemoved, "kept for ten minutes and no longer")
 	x.news()
 	x.pass(s)
-	x.all(Ready)
+	x.all(StateReady)
 }
 
 // One or two that vanish are no reason to doubt: they are kept as long as they answer, and dropped soon where they don't.
@@ -201,10 +201,10 @@
 	x := begin(t, 6)
 	x.news("db-1", "db-2")
 	x.pass(9*s, "db-2")
-	x.is("db-1", Ready, "a moment ago")
+	x.is("db-1", StateReady, "a moment ago")
 	x.pass(2*s, "db-2")
-	x.is("db-1", Gone, "lost, and silent")
-	x.is("db-2", Ready, "lost, and answers")
+	x.is("db-1", StateRemoved, "lost, and silent")
+	x.is("db-2", StateReady, "lost, and answers")
 	if v, _ := x.m.View(); v.Len() != 5 {
 		t.Errorf("%d members", v.Len())
 	}
@@ -219,25 +219,25 @@
 		f.ID = "new-1"
 		x.facts["new-1"] = f
 		x.news()
-		x.is("db-1", Ready, "a new name for it, so far")
+		x.is("db-1", StateReady, "a new name for it, so far")
 		if same {
 			x.pass(500*ms, "new-1") // on connections that were up at 50 s
 		}
 		x.pass(2 * s)
 		if same {
-			x.is("db-1", Ready, "its connections go on")
+			x.is("db-1", StateReady, "its connections go on")
 			if _, ok := x.state["new-1"]; ok {
 				t.Error("the new name is a member beside it")
 			}
 			x.health("new-1", Draining)
-			x.is("db-1", Drains, "told under its new name")
+			x.is("db-1", StateDraining, "told under its new name")
 			continue
 		}
-		x.is("db-1", Gone, "nothing answers on its connections")
-		x.is("new-1", Ready, "a new database")
+		x.is("db-1", StateRemoved, "nothing answers on its connections")
+		x.is("new-1", StateReady, "a new database")
 		if v, _ := x.m.View(); v.Len() != 6 {
 			t.Errorf("%d members", v.Len())
-		} else if e, _ := v.Get("new-1"); e.Begun != 100*s {
+		} else if e, _ := v.Get("new-1"); e.RestartedAt != 100*s {
 			t.Errorf("it is not known to be cold: %+v", e)
 		}
 	}
@@ -248,7 +248,7 @@
 	x.news()
 	if v, _ := x.m.View(); v.Len() != 3 {
 		t.Errorf("%d members", v.Len())
-	} else if e, _ := v.Get("db-1"); e.Address != "10.0.9.9:5432" || e.Begun != x.now {
+	} else if e, _ := v.Get("db-1"); e.Address != "10.0.9.9:5432" || e.RestartedAt != x.now {
 		t.Errorf("a process doesn't move: %+v", e)
 	}
 	x.pass(5 * s)
@@ -256,7 +256,7 @@
 	x.facts["db-1"] = f
 	x.news()
 	v, _ := x.m.View()
-	if e, _ := v.Get("db-1"); e.Zone != "north" || e.Begun != 100*s {
+	if e, _ := v.Get("db-1"); e.Zone != "north" || e.RestartedAt != 100*s {
 		t.Errorf("it has begun once, not with each change: %+v", e)
 	}
 }
@@ -264,13 +264,13 @@
 // Who knows of no leader is believed in a drain, and in nothing else.
 func TestWithoutALeader(t *testing.T) {
 	x := begin(t, 4)
-	x.m.Update(x.now, "c", News{Whole: true, NoLead: true, Facts: []Fact{{ID: "db-0", Address: "10.0.0.1:5432", Health: Maintenance},
+	x.m.Update(x.now, "c", Update{Complete: true, NoLeader: true, Listings: []Listing{{ID: "db-0", Address: "10.0.0.1:5432", Health: Maintenance},
 		{ID: "db-1", Address: "10.0.0.2:5432", Health: Critical}}})
 	x.look()
-	x.is("db-0", Drains, "a drain")
+	x.is("db-0", StateDraining, "a drain")
 	x.pass(60 * s)
 	for _, id := range []string{"db-1", "db-2", "db-3"} {
-		x.is(id, Ready, "the rest is nobody's word")
+		x.is(id, StateReady, "the rest is nobody's word")
 	}
 	if c := x.m.Catalogues(x.now)[0]; c.LastError == "" || c.Failures != 1 {
 		t.Errorf("%+v", c)
@@ -280,10 +280,10 @@
 // Ids given twice, two nodes with one address, names for addresses: the first counts, the others are told.
 func TestWhatCanNotBe(t *testing.T) {
 	x := begin(t, 3)
-	x.m.Update(x.now, "c", News{Whole: true, Facts: []Fact{x.facts["db-0"], x.facts["db-1"], x.facts["db-2"],
+	x.m.Update(x.now, "c", Update{Complete: true, Listings: []Listing{x.facts["db-0"], x.facts["db-1"], x.facts["db-2"],
 		{ID: "db-1", Address: "10.0.0.77:1"}, {ID: "db-7", Address: "10.0.0.1:5432"}, {ID: "db-8", Address: "db8.example:5432"}}, Skipped: 2})
 	x.look()
-	x.all(Ready)
+	x.all(StateReady)
 	c := x.m.Catalogues(x.now)[0]
 	if v, _ := x.m.View(); v.Len() != 3 || c.Skipped != 5 {
 		t.Errorf("%d members, %+v", v.Len(), c)
@@ -293,33 +293,33 @@
 // A platform's own list binds, in both directions and at once.
 func TestAListThatBinds(t *testing.T) {
 	x := begin(t, 3)
-	x.m.AddCatalogue("platform", Trust{Binding: true})
-	own := []Fact{{ID: "p0", Address: "10.1.0.1:1"}, {ID: "p1", Address: "10.1.0.2:1"}, {ID: "p2", Address: "10.1.0.3:1"}, {ID: "p3", Address: "10.1.0.4:1"}}
-	x.m.Update(x.now, "platform", News{Whole: true, Facts: own})
+	x.m.AddCatalogue("platform", Trust{Authoritative: true})
+	own := []Listing{{ID: "p0", Address: "10.1.0.1:1"}, {ID: "p1", Address: "10.1.0.2:1"}, {ID: "p2", Address: "10.1.0.3:1"}, {ID: "p3", Address: "10.1.0.4:1"}}
+	x.m.Update(x.now, "platform", Update{Complete: true, Listings: own})
 	x.look()
-	x.is("p0", Ready, "listed")
-	x.m.Update(x.now, "platform", News{Facts: []Fact{{ID: "p0", Health: Terminated}}})
+	x.is("p0", StateReady, "listed")
+	x.m.Update(x.now, "platform", Update{Listings: []Listing{{ID: "p0", Health: Terminated}}})
 	x.look()
-	x.is("p0", Gone, "terminated")
+	x.is("p0", StateRemoved, "terminated")
 	x.m.MarkAlive(x.now, "p1", s)
-	x.m.Update(x.now, "platform", News{Whole: true})
+	x.m.Update(x.now, "platform", Update{Complete: true})
 	x.look()
 	for _, id := range []string{"p1", "p2", "p3"} {
-		x.is(id, Gone, "all left out, at once, though it answers")
+		x.is(id, StateRemoved, "all left out, at once, though it answers")
 	}
-	x.all(Ready) // the other catalogue's
+	x.all(StateReady) // the other catalogue's
 	x.m.DropCatalogue(x.now, "c")
 	x.look()
-	x.all(Ready)
+	x.all(StateReady)
 	x.pass(11 * s)
-	x.all(Gone)
+	x.all(StateRemoved)
 }
 
 // Two catalogues under other names: one member, and the drain of either counts. A catalogue that falls silent loses its weight.
 func TestTwoCatalogues(t *testing.T) {
 	x := begin(t, 3)
 	x.m.AddCatalogue("d", Trust{Weight: 0.9})
-	x.m.Update(x.now, "d", News{Whole: true, Facts: []Fact{{ID: "other-name", Address: "10.0.0.1:5432", Zone: "north", Role: Primary}}})
+	x.m.Update(x.now, "d", Update{Complete: true, Listings: []Listing{{ID: "other-name", Address: "10.0.0.1:5432", Zone: "north", Role: Primary}}})
 	x.look()
 	v, _ := x.m.View()
 	if e, ok := v.Get("db-0"); v.Len() != 3 || !ok || e.Zone != "north" || e.Role != Primary {
@@ -333,12 +333,12 @@
 	if e, _ := v.Get("db-0"); e.Zone != "" {
 		t.Errorf("the word of the silent one still counts: %+v", e)
 	}
-	x.m.Update(x.now, "d", News{Whole: true, Facts: []Fact{{ID: "other-name", Address: "10.0.0.1:5432", Health: Draining}}})
+	x.m.Update(x.now, "d", Update{Complete: true, Listings: []Listing{{ID: "other-name", Address: "10.0.0.1:5432", Health: Draining}}})
 	x.look()
-	x.is("db-0", Drains, "by its other name")
+	x.is("db-0", StateDraining, "by its other name")
 	for _, e := range x.m.Explain(x.now) {
-		if e.ID == "db-0" && (len(e.Facts) != 2 || e.Facts[0].Source != "d" || e.Facts[0].Confidence < 0.8) {
-			t.Errorf("%+v", e.Facts)
+		if e.ID == "db-0" && (len(e.Evidence) != 2 || e.Evidence[0].Source != "d" || e.Evidence[0].Confidence < 0.8) {
+			t.Errorf("%+v", e.Evidence)
 		}
 	}
 }
@@ -351,7 +351,7 @@
 	now, k := x.m.View()
 	a, _ := old.Get("db-1")
 	b, _ := now.Get("db-1")
-	if a.State != Ready || b.State != Drains || n == k {
+	if a.State != StateReady || b.State != StateDraining || n == k {
 		t.Errorf("%v and %v, versions %d and %d", a.State, b.State, n, k)
 	}
 }
@@ -360,10 +360,10 @@
 func TestChurnLeavesNothing(t *testing.T) {
 	x := begin(t, 0)
 	for i := range 3600 {
-		n := News{Whole: true}
+		n := Update{Complete: true}
 		for k := range 8 {
 			id := i/4 + k
-			n.Facts = append(n.Facts, Fact{ID: fmt.Sprintf("i-%d", id), Address: fmt.Sprintf("10.%d.%d.%d:1", id>>16&255, id>>8&255, id&255)})
+			n.Listings = append(n.Listings, Listing{ID: fmt.Sprintf("i-%d", id), Address: fmt.Sprintf("10.%d.%d.%d:1", id>>16&255, id>>8&255, id&255)})
 		}
 		x.m.Update(x.now, "c", n)
 		x.pass(s)
@@ -385,9 +385,9 @@
 			id := fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(rt, "id"))
 			switch rapid.IntRange(0, 4).Draw(rt, "event") {
 			case 0, 1:
-				n := News{Whole: rapid.Bool().Draw(rt, "whole")}
+				n := Update{Complete: rapid.Bool().Draw(rt, "whole")}
 				for range rapid.IntRange(0, 6).Draw(rt, "facts") {
-					n.Facts = append(n.Facts, Fact{ID: fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(rt, "id")), Address: fmt.Sprintf("10.0.0.%d:1", rapid.IntRange(0, 5).Draw(rt, "at")),
+					n.Listings = append(n.Listings, Listing{ID: fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(rt, "id")), Address: fmt.Sprintf("10.0.0.%d:1", rapid.IntRange(0, 5).Draw(rt, "at")),
 						Health: Health(rapid.IntRange(0, 5).Draw(rt, "health"))})
 				}
 				x.m.Update(x.now, rapid.SampledFrom([]string{"c", "d"}).Draw(rt, "source"), n)
@@ -404,14 +404,14 @@
 		}
 		v, _ := x.m.View()
 		for id, st := range seen {
-			if e, in := v.Get(id); in != (st != Gone) || in && e.State != st {
+			if e, in := v.Get(id); in != (st != StateRemoved) || in && e.State != st {
 				rt.Fatalf("%s: changes say %v, the view %+v, %v", id, st, e, in)
 			}
 		}
 		for _, e := range x.m.Explain(x.now) {
-			for _, k := range e.Facts {
-				if (k.What == "draining" || k.What == "maintenance") && e.State != Drains {
-					rt.Fatalf("%s is %v, though %s says %s", e.ID, e.State, k.Source, k.What)
+			for _, k := range e.Evidence {
+				if (k.Claim == "draining" || k.Claim == "maintenance") && e.State != StateDraining {
+					rt.Fatalf("%s is %v, though %s says %s", e.ID, e.State, k.Source, k.Claim)
 				}
 			}
 		}
@@ -422,15 +422,15 @@
 func BenchmarkDelta(b *testing.B) {
 	m := New(Config{})
 	m.AddCatalogue("c", Trust{})
-	n := News{Whole: true}
+	n := Update{Complete: true}
 	for i := range 5000 {
-		n.Facts = append(n.Facts, Fact{ID: fmt.Sprintf("i-%d", i), Address: fmt.Sprintf("10.0.%d.%d:1", i>>8, i&255)})
+		n.Listings = append(n.Listings, Listing{ID: fmt.Sprintf("i-%d", i), Address: fmt.Sprintf("10.0.%d.%d:1", i>>8, i&255)})
 	}
 	m.Update(s, "c", n)
 	m.TakeChanges()
 	b.ReportAllocs()
 	for i := range b.N {
-		f := &n.Facts[i%5000]
+		f := &n.Listings[i%5000]
 		f.Zone = fmt.Sprint(i)
 		m.Update(s+time.Duration(i)*ms, "c", n)
 		if got := len(m.TakeChanges()); got != 1 {
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -7,7 +7,7 @@
 
 // report is what a catalogue says of a member.
 type report struct {
-	Fact
+	Listing
 	listed         bool
 	unchangedSince time.Duration // it has said so
 	delistedAt     time.Duration // it listed it until then; 0 = it never did
@@ -28,7 +28,7 @@
 func (h Health) admits() bool { return h == Passing || h == Warning }
 
 // take notes what a source says.
-func (x *Member) receive(now time.Duration, i int, f Fact) {
+func (x *Member) receive(now time.Duration, i int, f Listing) {
 	s := x.report(i)
 	if !s.listed && s.delistedAt > 0 || s.listed && s.Health.admits() != f.Health.admits() && f.Health < Draining && s.Health < Draining {
 		x.addPenalty(now, s)
@@ -39,7 +39,7 @@
 	if f.Started > 0 && f.Started > s.Started && s.Started > 0 {
 		x.lastAlive, x.silent = 0, false // another process: what was seen of the old one is void
 	}
-	s.Fact, s.listed = f, true
+	s.Listing, s.listed = f, true
 	x.enqueue()
 }
 
@@ -56,9 +56,9 @@
 // flap adds a penalty for a change, over what time has left of the earlier ones.
 func (x *Member) addPenalty(now time.Duration, s *report) {
 	c := &x.members.config
-	s.penalty = min(s.decayedPenalty(now, c.Half)+c.Flap, c.Most)
+	s.penalty = min(s.decayedPenalty(now, c.PenaltyHalfLife)+c.FlapPenalty, c.MaxPenalty)
 	s.penaltyAt = now
-	if s.penalty > c.Suppress {
+	if s.penalty > c.SuppressThreshold {
 		s.damped = true
 	}
 }
--- a/internal/net/consul.go
+++ b/internal/net/consul.go
@@ -38,7 +38,7 @@
 
 // Told is where a catalogue's word goes; its methods are called on the loop.
 type Told interface {
-	Told(source string, n membership.News)
+	Told(source string, n membership.Update)
 	ToldFailed(source string, why error)
 }
 
@@ -134,7 +134,7 @@
 }
 
 // ask makes one call. Nothing of an answer counts that is not whole.
-func (c *Consul) ask(ctx context.Context, agent int, q *consul.Query, m *consul.Mapping) (n membership.News, err error) {
+func (c *Consul) ask(ctx context.Context, agent int, q *consul.Query, m *consul.Mapping) (n membership.Update, err error) {
 	patience := consulAnswer
 	if q.Index > 0 {
 		patience += q.Wait + q.Wait/16 // the servers add up to a sixteenth
@@ -161,7 +161,7 @@
 	if err != nil {
 		return n, err
 	}
-	n = membership.News{Whole: true, Index: meta.Index, Behind: meta.LastContact, NoLead: meta.NoLeader}
+	n = membership.Update{Complete: true, Index: meta.Index, Lag: meta.LastContact, NoLeader: meta.NoLeader}
 	mapping := m.WithDefaults()
 	err = consul.Decode(answer.Body, c.cfg.Limits, func(i *consul.Instance) {
 		f, err := mapping.Fact(i)
@@ -169,7 +169,7 @@
 			n.Skipped++
 			return
 		}
-		n.Facts = append(n.Facts, f)
+		n.Listings = append(n.Listings, f)
 	})
 	return n, err
 }
--- a/internal/net/health_test.go
+++ b/internal/net/health_test.go
@@ -97,7 +97,7 @@
 // runPlanner runs the one planner of a tier until the test ends.
 func runPlanner(t *testing.T) (address string) {
 	p, err := planner.Open(planner.Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "127.0.0.1:0"},
-		File: filepath.Join(t.TempDir(), "log"), Rollout: rollout.Config{Lease: 2 * time.Second}})
+		LogFile: filepath.Join(t.TempDir(), "log"), Rollout: rollout.Config{Lease: 2 * time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -41,7 +41,7 @@
 	loop.Post(func() {
 		front.Start(noWatch{}, state.List{Entries: []state.Entry{{Name: "one", Address: "127.0.0.1:1", State: logic.Ready}}})
 	})
-	message := wire.Append(nil, clock.Unix(), clock.Now(), []peers.Fact{{Database: 1, Role: peers.Replica, At: clock.Now()}})
+	message := wire.Append(nil, clock.Unix(), clock.Now(), []peers.Report{{Database: 1, Role: peers.Replica, At: clock.Now()}})
 	count := func(from *stdnet.UDPConn, message []byte, heard, strange uint64) {
 		t.Helper()
 		from.WriteTo(message, p.conn.LocalAddr())
@@ -58,7 +58,10 @@
 	count(friend, message, 1, 0)
 	count(stranger, message, 1, 1)
 	count(friend, message[:7], 1, 2)
-	loop.Post(func() { front.Peers(p); front.Tell([]peers.Fact{{Database: 1, Role: peers.Replica, At: clock.Now()}}) })
+	loop.Post(func() {
+		front.Peers(p)
+		front.Tell([]peers.Report{{Database: 1, Role: peers.Replica, At: clock.Now()}})
+	})
 	buf := make([]byte, 512)
 	friend.SetReadDeadline(time.Now().Add(patience))
 	if n, err := friend.Read(buf); err != nil || n != len(message) {
--- a/internal/net/work.go
+++ b/internal/net/work.go
@@ -98,7 +98,7 @@
 
 // Tier takes what is known of the members. It may be called with the same again; self is 0 for a proxy that is none.
 func (w *Work) Tier(self rollout.Member, t rollout.Membership, life time.Duration) {
-	known := takeover.Membership{Self: takeover.Member(self), Version: t.Version, Until: t.Until, Retention: life}
+	known := takeover.Membership{Self: takeover.Member(self), Version: t.Version, Until: t.ValidUntil, Retention: life}
 	clear(w.where)
 	for _, s := range t.Members {
 		if s.Address != "" {
@@ -107,7 +107,7 @@
 		}
 	}
 	for _, v := range t.Past {
-		p := takeover.PastMembers{Left: v.Left}
+		p := takeover.PastMembers{Left: v.Remaining}
 		for _, m := range v.Members {
 			p.Members = append(p.Members, takeover.Member(m))
 		}
--- a/internal/net/work_test.go
+++ b/internal/net/work_test.go
@@ -45,7 +45,7 @@
 		})
 		<-done
 	})
-	seats.Until = clock.Now() + time.Hour
+	seats.ValidUntil = clock.Now() + time.Hour
 	on(loop, func() {
 		for i, x := range list {
 			x.Tier(rollout.Member(i+1), seats, 2500*time.Millisecond)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -267,19 +267,19 @@
 // members reads how catalogues are merged.
 func (p *parser) members(c *star.Call) starlark.Value {
 	m, minute := &p.file.Members, time.Minute
-	m.Answers = c.Duration("answers", 0, 100*time.Millisecond, minute)
-	m.Lost = c.Duration("lost", 0, 100*time.Millisecond, 60*minute)
-	m.Keep = c.Duration("keep", 0, time.Second, 24*60*minute)
-	m.Failing = c.Duration("failing", 0, time.Second, 24*60*minute)
-	m.Same = c.Duration("same", 0, 10*time.Millisecond, 10*time.Second)
-	m.Panic = c.Float("panic", 0, 0.01, 1)
-	m.PanicFor = c.Duration("panic_for", 0, time.Second, 60*minute)
-	m.Least = c.Int("panic_least", 0, 1, 1<<16)
-	m.Flap = c.Float("flap", 0, 1, 1e6)
-	m.Suppress = c.Float("suppress", 0, 1, 1e6)
-	m.Reuse = c.Float("reuse", 0, 1, 1e6)
-	m.Half = c.Duration("half", 0, time.Second, 60*minute)
-	m.Decay = c.Duration("decay", 0, time.Second, 24*60*minute)
+	m.AliveTimeout = c.Duration("answers", 0, 100*time.Millisecond, minute)
+	m.UnlistedTimeout = c.Duration("lost", 0, 100*time.Millisecond, 60*minute)
+	m.AliveUnlistedTimeout = c.Duration("keep", 0, time.Second, 24*60*minute)
+	m.CriticalTimeout = c.Duration("failing", 0, time.Second, 24*60*minute)
+	m.RenameTimeout = c.Duration("same", 0, 10*time.Millisecond, 10*time.Second)
+	m.PanicFraction = c.Float("panic", 0, 0.01, 1)
+	m.PanicDuration = c.Duration("panic_for", 0, time.Second, 60*minute)
+	m.PanicMinMembers = c.Int("panic_least", 0, 1, 1<<16)
+	m.FlapPenalty = c.Float("flap", 0, 1, 1e6)
+	m.SuppressThreshold = c.Float("suppress", 0, 1, 1e6)
+	m.ReuseThreshold = c.Float("reuse", 0, 1, 1e6)
+	m.PenaltyHalfLife = c.Duration("half", 0, time.Second, 60*minute)
+	m.WeightHalfLife = c.Duration("decay", 0, time.Second, 24*60*minute)
 	if d := m.WithDefaults(); d.Check() != nil {
 		c.Errorf("", "%v", d.Check())
 	}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -20,31 +20,31 @@
 	Replica
 )
 
-// Ails is how a database fared when it was last tried.
-type Ails uint8
+// Status is how a database fared when it was last tried.
+type Status uint8
 
 // The ways in which it may fare. What a peer tells of one that ails is a reason to look, not a verdict.
 const (
-	Well    Ails = iota
-	Failing      // it has answered a request with an error, or broken its connection
-	Silent       // it owes answers and gives none, pings neither
+	Healthy Status = iota
+	Failing        // it has answered a request with an error, or broken its connection
+	Silent         // it owes answers and gives none, pings neither
 )
 
-// Fact is what was seen of a database. Times are on the proxy's own clock.
-type Fact struct {
+// Report is what was seen of a database. Times are on the proxy's own clock.
+type Report struct {
 	Database uint32 // short for the database's number: see Short
 	Role     Role
-	Ails     Ails
+	Status   Status
 	At       time.Duration // when it was so
 	Position time.Duration // all commits up to then are applied; 0 = not told
 }
 
 // Config is what Gossip needs to know of the deployment. The zero value tells and believes nothing.
 type Config struct {
-	Proxies int           // of the tier
-	Fresh   time.Duration // a position is told anew once it has moved by so much
-	Most    int           // facts in one message
-	Phase   float64       // 0 to 1, each proxy's own: turns don't come at one time
+	Proxies  int           // of the tier
+	Interval time.Duration // a position is told anew once it has moved by so much
+	MaxBatch int           // facts in one message
+	Phase    float64       // 0 to 1, each proxy's own: turns don't come at one time
 }
 
 const (
@@ -60,16 +60,16 @@
 	short   map[uint32]*known // nil where two databases share a number: nothing can be said of either
 	pending []*known
 	turn    time.Duration // when the next message may go out
-	out     []Fact
+	out     []Report
 }
 
 // known is what there is to know of one database.
 type known struct {
 	id    uint64
-	seen  Fact // by this proxy, the newest
-	told  Fact // the newest that all have heard, from whomever
-	waits bool // it is in pending
-	fresh bool // it has failed since it was last told of
+	seen  Report // by this proxy, the newest
+	told  Report // the newest that all have heard, from whomever
+	waits bool   // it is in pending
+	fresh bool   // it has failed since it was last told of
 }
 
 // New makes one that knows no database.
@@ -77,11 +77,11 @@
 	return &Gossip{cfg: cfg, known: map[uint64]*known{}, short: map[uint32]*known{}}
 }
 
-// On tells whether anything is ever told.
-func (g *Gossip) On() bool { return g.cfg.Proxies > 1 && g.cfg.Fresh > 0 && g.cfg.Most > 0 }
+// Enabled tells whether anything is ever told.
+func (g *Gossip) Enabled() bool { return g.cfg.Proxies > 1 && g.cfg.Interval > 0 && g.cfg.MaxBatch > 0 }
 
-// Short gives the number of a database in messages, by the finalizer of MurmurHash3.
-func Short(id uint64) uint32 {
+// ShortID gives the number of a database in messages, by the finalizer of MurmurHash3.
+func ShortID(id uint64) uint32 {
 	id ^= id >> 33
 	id *= 0xff51afd7ed558ccd
 	id ^= id >> 33
@@ -89,12 +89,12 @@
 	return uint32(id >> 32)
 }
 
-// Join lets a database be told of; the own list has named it.
-func (g *Gossip) Join(id uint64) {
-	if !g.On() || g.known[id] != nil {
+// Add lets a database be told of; the own list has named it.
+func (g *Gossip) Add(id uint64) {
+	if !g.Enabled() || g.known[id] != nil {
 		return
 	}
-	k, s := &known{id: id}, Short(id)
+	k, s := &known{id: id}, ShortID(id)
 	g.known[id] = k
 	if _, twice := g.short[s]; twice {
 		g.short[s] = nil
@@ -103,21 +103,21 @@
 	g.short[s] = k
 }
 
-// Leave forgets a database. The number of one that shared it stays barred.
-func (g *Gossip) Leave(id uint64) {
-	if s := Short(id); g.known[id] != nil && g.short[s] == g.known[id] {
+// Remove forgets a database. The number of one that shared it stays barred.
+func (g *Gossip) Remove(id uint64) {
+	if s := ShortID(id); g.known[id] != nil && g.short[s] == g.known[id] {
 		delete(g.short, s)
 	}
 	delete(g.known, id)
 }
 
-// Saw notes what this proxy has seen itself.
-func (g *Gossip) Saw(now time.Duration, id uint64, role Role, at, position time.Duration) {
+// Observe notes what this proxy has seen itself.
+func (g *Gossip) Observe(now time.Duration, id uint64, role Role, at, position time.Duration) {
 	k := g.known[id]
-	if k == nil || g.short[Short(id)] != k {
+	if k == nil || g.short[ShortID(id)] != k {
 		return
 	}
-	k.seen.Ails = Well
+	k.seen.Status = Healthy
 	if at >= k.seen.At {
 		k.seen.At = at
 		if role != Unknown {
@@ -128,14 +128,14 @@
 	g.queue(now, k)
 }
 
-// Ailing notes that a database has failed just now. Each failure is told, a silence once: how many fail is what tells a database that
+// ObserveFailure notes that a database has failed just now. Each failure is told, a silence once: how many fail is what tells a database that
 // fails now and then from one that must be left alone.
-func (g *Gossip) Ailing(now time.Duration, id uint64, how Ails) {
+func (g *Gossip) ObserveFailure(now time.Duration, id uint64, how Status) {
 	k := g.known[id]
-	if k == nil || g.short[Short(id)] != k || how == Silent && k.told.Ails == Silent && now-k.told.At < tooOld {
+	if k == nil || g.short[ShortID(id)] != k || how == Silent && k.told.Status == Silent && now-k.told.At < tooOld {
 		return
 	}
-	k.seen.Ails, k.seen.At, k.fresh = how, now, true
+	k.seen.Status, k.seen.At, k.fresh = how, now, true
 	g.queue(now, k)
 }
 
@@ -143,7 +143,7 @@
 func (g *Gossip) queue(now time.Duration, k *known) {
 	if !k.waits && g.news(k) {
 		if len(g.pending) == 0 { // the turn comes at a time of this proxy's own
-			g.turn = max(g.turn, now+time.Duration(g.cfg.Phase*float64(g.cfg.Fresh)/2))
+			g.turn = max(g.turn, now+time.Duration(g.cfg.Phase*float64(g.cfg.Interval)/2))
 		}
 		k.waits = true
 		g.pending = append(g.pending, k)
@@ -159,25 +159,25 @@
 	if s.Role != Unknown && s.At > t.At && (s.Role != t.Role || s.At-t.At >= rolesEvery) {
 		return true
 	}
-	return s.Role == Replica && s.Position >= t.Position+g.cfg.Fresh
+	return s.Role == Replica && s.Position >= t.Position+g.cfg.Interval
 }
 
-// Due gives what is to be told now, in one message; nil = nothing. It is valid until the next call.
-func (g *Gossip) Due(now time.Duration) []Fact {
+// NextMessage gives what is to be told now, in one message; nil = nothing. It is valid until the next call.
+func (g *Gossip) NextMessage(now time.Duration) []Report {
 	if len(g.pending) == 0 || now < g.turn {
 		return nil
 	}
 	g.out = g.out[:0]
 	n := 0
 	for _, k := range g.pending {
-		if len(g.out) == g.cfg.Most {
+		if len(g.out) == g.cfg.MaxBatch {
 			break
 		}
 		n++
 		k.waits = false
 		if g.news(k) && now-k.seen.At < tooOld && g.known[k.id] == k {
 			f := k.seen
-			f.Database = Short(k.id)
+			f.Database = ShortID(k.id)
 			k.told, k.fresh = f, false
 			g.out = append(g.out, f)
 		}
@@ -186,15 +186,15 @@
 	if len(g.out) == 0 {
 		return nil
 	}
-	g.turn = now + g.cfg.Fresh
+	g.turn = now + g.cfg.Interval
 	return g.out
 }
 
-// Believe holds a peer's word against what is known. It gives the database meant, and the fact as far as it may be used; false =
+// Accept holds a peer's word against what is known. It gives the database meant, and the fact as far as it may be used; false =
 // it is of no use: unknown here, from a clock ahead, too old, or claiming data fresher than the moment at which they were seen.
-func (g *Gossip) Believe(now time.Duration, f Fact) (id uint64, used Fact, ok bool) {
+func (g *Gossip) Accept(now time.Duration, f Report) (id uint64, used Report, ok bool) {
 	k := g.short[f.Database]
-	if k == nil || f.At > now+skew || now-f.At > tooOld || f.Position > f.At || f.Role > Replica || f.Ails > Silent || f.At <= 0 {
+	if k == nil || f.At > now+skew || now-f.At > tooOld || f.Position > f.At || f.Role > Replica || f.Status > Silent || f.At <= 0 {
 		return 0, f, false
 	}
 	f.At = min(f.At, now)
@@ -203,7 +203,7 @@
 		k.told.Position = f.Position
 	}
 	if f.At > k.told.At {
-		k.told.At, k.told.Role, k.told.Ails = f.At, f.Role, f.Ails
+		k.told.At, k.told.Role, k.told.Status = f.At, f.Role, f.Status
 	}
 	return k.id, f, true
 }
--- a/internal/planner/client/client.go
+++ b/internal/planner/client/client.go
@@ -19,8 +19,8 @@
 	at       int
 }
 
-// Patience is how long a planner has for an answer.
-const Patience = 2 * time.Second
+// RequestTimeout is how long a planner has for an answer.
+const RequestTimeout = 2 * time.Second
 
 // ErrNoLeader tells that nobody can take a proposal now.
 var ErrNoLeader = errors.New("no planner leads now; try again")
@@ -59,7 +59,7 @@
 	var best *tier.Answer
 	last := errNoAnswer
 	for range c.Planners {
-		a, err := c.one(ctx, c.Planners[c.at%len(c.Planners)], tier.Ask{Do: tier.DoStatus, Number: n}, Patience)
+		a, err := c.one(ctx, c.Planners[c.at%len(c.Planners)], tier.Ask{Do: tier.DoStatus, Number: n}, RequestTimeout)
 		switch {
 		case err != nil || a.State == nil:
 			last = fmt.Errorf("%w: %w", errNoAnswer, errors.Join(err))
@@ -76,11 +76,11 @@
 	return nil, last
 }
 
-// Ask lets the planner that leads do something.
-func (c *Client) Ask(ctx context.Context, ask tier.Ask) (*tier.Answer, error) {
+// Do lets the planner that leads do something.
+func (c *Client) Do(ctx context.Context, ask tier.Ask) (*tier.Answer, error) {
 	last := errNoAnswer
 	for range c.Planners {
-		a, err := c.one(ctx, c.Planners[c.at%len(c.Planners)], ask, Patience)
+		a, err := c.one(ctx, c.Planners[c.at%len(c.Planners)], ask, RequestTimeout)
 		if err == nil && a.Leader == a.Planner {
 			return a, nil
 		}
@@ -96,7 +96,7 @@
 // is none.
 func (c *Client) Propose(ctx context.Context, ask tier.Ask, wait time.Duration) (a *tier.Answer, err error) {
 	for end := time.Now().Add(wait); ; {
-		a, err = c.Ask(ctx, ask)
+		a, err = c.Do(ctx, ask)
 		if err == nil || time.Now().After(end) || ctx.Err() != nil {
 			return a, err
 		}
--- a/internal/planner/config.go
+++ b/internal/planner/config.go
@@ -12,7 +12,7 @@
 	ID      uint64            // from 1 on
 	Listen  string            // where proxies, planners and operators come
 	Peers   map[uint64]string // all planners, this one included, with their addresses
-	File    string            // of the log
+	LogFile string            // of the log
 	Join    bool              // it takes the place of another: its log, which has yet to be begun, comes from the others
 	Rollout rollout.Config
 }
--- a/internal/planner/peer_links.go
+++ b/internal/planner/peer_links.go
@@ -131,7 +131,7 @@
 func (s *server) listenTo(conn net.Conn, id uint64) {
 	f, err := tier.Read(bufio.NewReader(conn))
 	if conn.Close(); err == nil && f.Strange != "" {
-		s.p.post(func() { s.p.failed = fmt.Errorf("%w: planner %d says: %s", ErrStrange, id, f.Strange) })
+		s.p.post(func() { s.p.failed = fmt.Errorf("%w: planner %d says: %s", ErrRejected, id, f.Strange) })
 	}
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -75,7 +75,7 @@
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	st, fresh, err := openStore(cfg.File, fmt.Sprintf("planner %d", cfg.ID))
+	st, fresh, err := openStore(cfg.LogFile, fmt.Sprintf("planner %d", cfg.ID))
 	if err != nil {
 		return nil, err
 	}
@@ -123,10 +123,10 @@
 	return p, nil
 }
 
-// ErrGone tells that this planner has been replaced, and ErrStrange that the others don't take its messages.
+// ErrReplaced tells that this planner has been replaced, and ErrRejected that the others don't take its messages.
 var (
-	ErrGone    = errors.New("this planner has been replaced: stop it for good")
-	ErrStrange = errors.New("the other planners don't take this one's messages")
+	ErrReplaced = errors.New("this planner has been replaced: stop it for good")
+	ErrRejected = errors.New("the other planners don't take this one's messages")
 )
 
 func (p *Planner) restore(snap *pb.Snapshot) (err error) {
@@ -237,8 +237,8 @@
 
 // begin begins to lead.
 func (p *Planner) begin(term rollout.Term) {
-	p.leader = rollout.Lead(p.cfg.Rollout, p.state, term)
-	p.leader.SetChangeBegan(p.pending, p.pendingAt)
+	p.leader = rollout.NewLeader(p.cfg.Rollout, p.state, term)
+	p.leader.SetChangeStart(p.pending, p.pendingAt)
 	p.health = newHealthRelay()
 	if p.cfg.Rollout.Lease > 0 {
 		p.leader.ShareMembers(p.views)
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -102,7 +102,7 @@
 // alone opens one planner of three, of which the test plays the others.
 func alone(t *testing.T) *Planner {
 	p, err := Open(Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "127.0.0.1:0", 2: "127.0.0.1:1", 3: "127.0.0.1:1"},
-		File: filepath.Join(t.TempDir(), "log")})
+		LogFile: filepath.Join(t.TempDir(), "log")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 		t.Fatal(err)
 	}
 	p, err = Open(Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "127.0.0.1:0", 2: ln.Addr().String(), 3: "127.0.0.1:1"},
-		File: filepath.Join(t.TempDir(), "log")})
+		LogFile: filepath.Join(t.TempDir(), "log")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -234,7 +234,7 @@
 
 // A planner that begins, or is sent the state as a whole, may have missed lists of members: it says of none that all are known.
 func TestAPlannerThatBeginsKnowsNotAllLists(t *testing.T) {
-	p, err := Open(Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "127.0.0.1:0"}, File: filepath.Join(t.TempDir(), "log"),
+	p, err := Open(Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "127.0.0.1:0"}, LogFile: filepath.Join(t.TempDir(), "log"),
 		Rollout: rollout.Config{Lease: time.Hour}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/planner/replace.go
+++ b/internal/planner/replace.go
@@ -77,6 +77,6 @@
 	p.connect()
 	p.shorten() // the new one begins with a snapshot that names it
 	if !slices.Contains(p.conf.GetVoters(), p.cfg.ID) && len(p.conf.GetVotersOutgoing()) == 0 && slices.Contains(before, p.cfg.ID) {
-		p.failed = ErrGone
+		p.failed = ErrReplaced
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -33,8 +33,8 @@
 	Tuning   logic.Tuning
 }
 
-// MostBytes bounds a policy's encoded form.
-const MostBytes = 128 << 10
+// MaxBytes bounds a policy's encoded form.
+const MaxBytes = 128 << 10
 
 var (
 	encoder, _ = cbor.CoreDetEncOptions().EncMode()
@@ -45,16 +45,16 @@
 // Encode gives the canonical form: equal policies have equal bytes.
 func (p *Policy) Encode() ([]byte, error) {
 	text, err := encoder.Marshal(p)
-	if err == nil && len(text) > MostBytes {
-		err = fmt.Errorf("policy: %d bytes, %d at most were expected", len(text), MostBytes)
+	if err == nil && len(text) > MaxBytes {
+		err = fmt.Errorf("policy: %d bytes, %d at most were expected", len(text), MaxBytes)
 	}
 	return text, err
 }
 
 // Decode reads a policy. A field that it doesn't know is an error: a policy that is understood in part must not be served under.
 func Decode(text []byte) (*Policy, error) {
-	if len(text) > MostBytes {
-		return nil, fmt.Errorf("policy: %d bytes, %d at most were expected", len(text), MostBytes)
+	if len(text) > MaxBytes {
+		return nil, fmt.Errorf("policy: %d bytes, %d at most were expected", len(text), MaxBytes)
 	}
 	p := &Policy{}
 	if err := decoder.Unmarshal(text, p); err != nil {
@@ -138,8 +138,8 @@
 	return out
 }
 
-// Running is what a proxy has, against which a policy is checked.
-type Running struct {
+// LocalState is what a proxy has, against which a policy is checked.
+type LocalState struct {
 	Classes []string            // of its configuration: clients ask for them
 	InUse   func(string) bool   // whether requests of a class are open, or came lately; nil = of none
 	Groups  func() map[int]bool // whose databases it knows; nil = not known
@@ -147,7 +147,7 @@
 
 // Check tells why a proxy can't serve under a policy; nil = it can. What is open keeps the rules by which it was taken, so that most may
 // change live; what may not: a class that clients use here can't vanish, and a level can't be pinned for a group that isn't here.
-func (p *Policy) Check(r Running) error {
+func (p *Policy) Check(r LocalState) error {
 	if err := p.check(); err != nil {
 		return err
 	}
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -42,7 +42,7 @@
 }
 
 func TestWhatAProxyCanServeUnder(t *testing.T) {
-	here := Running{Classes: []string{"read", "write", "old"}, InUse: func(c string) bool { return c == "old" }, Groups: func() map[int]bool { return map[int]bool{1: true, 2: true, 3: true} }}
+	here := LocalState{Classes: []string{"read", "write", "old"}, InUse: func(c string) bool { return c == "old" }, Groups: func() map[int]bool { return map[int]bool{1: true, 2: true, 3: true} }}
 	for want, change := range map[string]func(*Policy){
 		"old is in use":      func(*Policy) {},
 		"":                   func(p *Policy) { p.Classes = append(p.Classes, logic.Class{Name: "old", Aim: 1, Limit: 1}) },
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -154,10 +154,10 @@
 
 func (s *State) applyRelease(c Command) error {
 	// Fence against a planner that would regard leases as expired too early.
-	if s.HasLed && s.Lease != c.Lease {
+	if s.LeaseSet && s.Lease != c.Lease {
 		return LeaseMismatchError{Tier: s.Lease, Planner: c.Lease}
 	}
-	s.HasLed, s.Lease = true, c.Lease
+	s.LeaseSet, s.Lease = true, c.Lease
 	s.releaseRound(c.Round)
 	return nil
 }
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -67,8 +67,8 @@
 // Empty reports whether there is nothing to carry out.
 func (r Ready) Empty() bool { return len(r.Messages) == 0 && len(r.Commands) == 0 && !r.Confirm }
 
-// Lead begins a term. The leader answers nobody until its first command has been applied, which ends all rounds of earlier terms.
-func Lead(config Config, state *State, term Term) *Leader {
+// NewLeader begins a term. The leader answers nobody until its first command has been applied, which ends all rounds of earlier terms.
+func NewLeader(config Config, state *State, term Term) *Leader {
 	l := &Leader{
 		config:   config.WithDefaults(),
 		state:    state,
@@ -102,8 +102,8 @@
 // list of members may be used.
 func (l *Leader) ShareMembers(history *MembershipHistory) { l.history = history }
 
-// SetChangeBegan tells since when, by this planner's clock, its log has held a change, so that ChangeTimeout doesn't restart with a new leader.
-func (l *Leader) SetChangeBegan(number Number, at time.Duration) {
+// SetChangeStart tells since when, by this planner's clock, its log has held a change, so that ChangeTimeout doesn't restart with a new leader.
+func (l *Leader) SetChangeStart(number Number, at time.Duration) {
 	l.change.knownNumber, l.change.knownSince = number, at
 }
 
--- a/internal/rollout/leader_leases.go
+++ b/internal/rollout/leader_leases.go
@@ -21,7 +21,7 @@
 		l.send(link, l.status(m.Member))
 	}
 	if l.config.Lease > 0 {
-		l.queueRenewal(renewal{member: m.Member, seq: m.Seq, link: link, membersVersion: m.MembersVersion, takesChanges: m.TakesChanges})
+		l.queueRenewal(renewal{member: m.Member, seq: m.Seq, link: link, membersVersion: m.MembersVersion, takesChanges: m.AcceptsDelta})
 	}
 }
 
@@ -89,7 +89,7 @@
 		return m
 	}
 	if joined, left, ok := l.history.Since(r.membersVersion); ok {
-		m.SinceVersion, m.Members, m.LeftMembers = r.membersVersion, joined, left
+		m.BaseVersion, m.Members, m.RemovedMembers = r.membersVersion, joined, left
 	}
 	return m
 }
--- a/internal/rollout/leader_members.go
+++ b/internal/rollout/leader_members.go
@@ -27,12 +27,12 @@
 
 // MemberInfo is what the leader reports of a member.
 type MemberInfo struct {
-	Name       string        `json:"name"`
-	Member     Member        `json:"member"`
-	Number     Number        `json:"number"` // of the policy that it serves under
-	Linked     bool          `json:"linked"`
-	SinceHeard time.Duration `json:"heard"`
-	LeaseLeft  time.Duration `json:"lease"`
+	Name             string        `json:"name"`
+	Member           Member        `json:"member"`
+	Number           Number        `json:"number"` // of the policy that it serves under
+	Linked           bool          `json:"linked"`
+	SinceLastMessage time.Duration `json:"heard"`
+	LeaseRemaining   time.Duration `json:"lease"`
 }
 
 // Members returns what is known of the members, in the order in which they joined.
@@ -43,8 +43,8 @@
 		if member := l.members[entry.Member]; member != nil {
 			info.Number = member.policyNumber
 			info.Linked = member.link != 0
-			info.SinceHeard = now - member.lastHeard
-			info.LeaseLeft = member.leaseEnd - now
+			info.SinceLastMessage = now - member.lastHeard
+			info.LeaseRemaining = member.leaseEnd - now
 		}
 		infos = append(infos, info)
 	}
--- a/internal/rollout/membership_changes_test.go
+++ b/internal/rollout/membership_changes_test.go
@@ -42,7 +42,7 @@
 			message := leader.membersFor(renewal{member: 1, membersVersion: known.Version, takesChanges: known.Version > 0}, nil)
 			after, ok := known.apply(&message)
 			if !ok {
-				t.Fatalf("changes since %d can't be applied to %d", message.SinceVersion, known.Version)
+				t.Fatalf("changes since %d can't be applied to %d", message.BaseVersion, known.Version)
 			}
 			if known = after; known.Version != state.MembersVersion {
 				t.Fatalf("version %d, and it is %d", known.Version, state.MembersVersion)
@@ -60,11 +60,11 @@
 	p.member = 7
 	entry := func(member Member) MemberEntry { return MemberEntry{Member: member, Zone: "z"} }
 	p.Receive(0, Message{Kind: Members, Member: 7, MembersVersion: 3, Members: []MemberEntry{entry(5), entry(7)}})
-	p.Receive(0, Message{Kind: Members, Member: 7, MembersVersion: 6, SinceVersion: 4, LeftMembers: []Member{5}})
+	p.Receive(0, Message{Kind: Members, Member: 7, MembersVersion: 6, BaseVersion: 4, RemovedMembers: []Member{5}})
 	if m := p.Membership(); m.Version != 3 || len(m.Members) != 2 {
 		t.Errorf("%+v", m)
 	}
-	p.Receive(0, Message{Kind: Members, Member: 7, MembersVersion: 6, SinceVersion: 3, LeftMembers: []Member{5}, Members: []MemberEntry{entry(9)}})
+	p.Receive(0, Message{Kind: Members, Member: 7, MembersVersion: 6, BaseVersion: 3, RemovedMembers: []Member{5}, Members: []MemberEntry{entry(9)}})
 	if m := p.Membership(); m.Version != 6 || len(m.Members) != 2 || m.Members[0].Member != 7 || m.Members[1].Member != 9 {
 		t.Errorf("%+v", m)
 	}
@@ -81,10 +81,10 @@
 		history.Applied(time.Hour, state)
 	}
 	leader := Leader{state: state, history: history}
-	if m := leader.membersFor(renewal{membersVersion: 2}, nil); m.SinceVersion != 0 || len(m.Members) != 3 {
+	if m := leader.membersFor(renewal{membersVersion: 2}, nil); m.BaseVersion != 0 || len(m.Members) != 3 {
 		t.Errorf("%+v", m)
 	}
-	if m := leader.membersFor(renewal{membersVersion: 2, takesChanges: true}, nil); m.SinceVersion != 2 || len(m.Members) != 1 {
+	if m := leader.membersFor(renewal{membersVersion: 2, takesChanges: true}, nil); m.BaseVersion != 2 || len(m.Members) != 1 {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/rollout/membership_history.go
+++ b/internal/rollout/membership_history.go
@@ -11,14 +11,14 @@
 	Version uint64        // 0 = nothing is known
 	Members []MemberEntry // sorted by Member
 	Past    []PastMembers // as of when Version was received
-	// Until is how long the list may be used: a lease that was granted while it was current. Later, others may have received another.
-	Until time.Duration
+	// ValidUntil is how long the list may be used: a lease that was granted while it was current. Later, others may have received another.
+	ValidUntil time.Duration
 }
 
 // PastMembers is an earlier list of members that some member may still use.
 type PastMembers struct {
-	Members []Member      `cbor:"1,keyasint"`
-	Left    time.Duration `cbor:"2,keyasint"` // for at most this long
+	Members   []Member      `cbor:"1,keyasint"`
+	Remaining time.Duration `cbor:"2,keyasint"` // for at most this long
 }
 
 // maxPastMembers bounds the earlier lists that are kept. Lists can't be merged: the replicas that a longer list selects are not those that
@@ -138,14 +138,14 @@
 // that is known here.
 func (m *Membership) apply(message *Message) (after Membership, ok bool) {
 	after = Membership{Version: message.MembersVersion, Members: message.Members, Past: message.PastMembers}
-	if message.SinceVersion == 0 {
+	if message.BaseVersion == 0 {
 		return after, true
 	}
-	if message.SinceVersion != m.Version {
+	if message.BaseVersion != m.Version {
 		return Membership{}, false
 	}
 	after.Members = slices.Clone(m.Members)
-	after.Members = slices.DeleteFunc(after.Members, func(entry MemberEntry) bool { return slices.Contains(message.LeftMembers, entry.Member) })
+	after.Members = slices.DeleteFunc(after.Members, func(entry MemberEntry) bool { return slices.Contains(message.RemovedMembers, entry.Member) })
 	after.Members = append(after.Members, message.Members...) // who joins later has a higher number
 	return after, true
 }
@@ -155,7 +155,7 @@
 func (h *MembershipHistory) Past(now time.Duration) (past []PastMembers, complete bool) {
 	for _, p := range h.past {
 		if left := p.replacedAt + h.retention - now; left > 0 {
-			past = append(past, PastMembers{Members: p.members, Left: left})
+			past = append(past, PastMembers{Members: p.members, Remaining: left})
 		}
 	}
 	return past, now >= h.incompleteUntil
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -71,13 +71,13 @@
 	MembersVersion uint64        `cbor:"12,keyasint,omitempty"`
 	Members        []MemberEntry `cbor:"13,keyasint,omitempty"`
 	PastMembers    []PastMembers `cbor:"14,keyasint,omitempty"`
-	// TakesChanges is, with Renew, whether the proxy takes Members that hold what has changed since the version that it knows. Earlier versions
+	// AcceptsDelta is, with Renew, whether the proxy takes Members that hold what has changed since the version that it knows. Earlier versions
 	// of the program don't.
-	TakesChanges bool `cbor:"16,keyasint,omitempty"`
-	// SinceVersion is, with Members, the version that Members and LeftMembers are to be applied to: who has joined since, and who has left.
+	AcceptsDelta bool `cbor:"16,keyasint,omitempty"`
+	// BaseVersion is, with Members, the version that Members and LeftMembers are to be applied to: who has joined since, and who has left.
 	// 0 = Members holds all.
-	SinceVersion uint64   `cbor:"17,keyasint,omitempty"`
-	LeftMembers  []Member `cbor:"18,keyasint,omitempty"`
+	BaseVersion    uint64   `cbor:"17,keyasint,omitempty"`
+	RemovedMembers []Member `cbor:"18,keyasint,omitempty"`
 }
 
 // Link identifies a connection to a proxy. 0 means that there is none.
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -18,20 +18,20 @@
 
 // PendingAnswer is an answer that a change waits for.
 type PendingAnswer struct {
-	Name       string        `json:"name"` // of the member
-	Answer     Answer        `json:"word"`
-	For        time.Duration `json:"for"` // since it was first requested
-	SinceHeard time.Duration `json:"cut"` // since the member's last message
+	Name             string        `json:"name"` // of the member
+	Answer           Answer        `json:"word"`
+	Waited           time.Duration `json:"for"` // since it was first requested
+	SinceLastMessage time.Duration `json:"cut"` // since the member's last message
 }
 
 // Progress describes how far the pending change is.
 type Progress struct {
-	Number  Number          `json:"number"`
-	Members int             `json:"members"`
-	Agreed  int             `json:"-"`
-	Held    int             `json:"-"`
-	For     time.Duration   `json:"for"` // since the change was proposed
-	Waiting []PendingAnswer `json:"waiting"`
+	Number         Number          `json:"number"`
+	Members        int             `json:"members"`
+	Agreed         int             `json:"-"`
+	Held           int             `json:"-"`
+	Age            time.Duration   `json:"for"` // since the change was proposed
+	PendingAnswers []PendingAnswer `json:"waiting"`
 }
 
 // maxDescribed bounds the members that an abort's reason names.
@@ -43,7 +43,7 @@
 	if change == nil || change.Number != l.change.number {
 		return Progress{}, false
 	}
-	progress = Progress{Number: change.Number, Members: len(l.state.Members), For: now - l.change.began}
+	progress = Progress{Number: change.Number, Members: len(l.state.Members), Age: now - l.change.began}
 	for _, entry := range l.state.Members {
 		member := l.members[entry.Member]
 		if member == nil {
@@ -56,7 +56,7 @@
 			progress.Held++
 		}
 		if member.awaitedSince > 0 {
-			progress.Waiting = append(progress.Waiting, member.pendingAnswer(now, entry.Name))
+			progress.PendingAnswers = append(progress.PendingAnswers, member.pendingAnswer(now, entry.Name))
 		}
 	}
 	return progress, true
@@ -67,20 +67,20 @@
 	if m.agreed {
 		answer = AnswerHold
 	}
-	return PendingAnswer{Name: name, Answer: answer, For: now - m.awaitedSince, SinceHeard: now - m.lastHeard}
+	return PendingAnswer{Name: name, Answer: answer, Waited: now - m.awaitedSince, SinceLastMessage: now - m.lastHeard}
 }
 
 // describePending names the members that the change has waited for longest.
 func (l *Leader) describePending(now time.Duration) string {
 	progress, _ := l.Progress(now)
-	waiting := progress.Waiting
+	waiting := progress.PendingAnswers
 	if len(waiting) == 0 {
 		return "the planners' log"
 	}
-	slices.SortFunc(waiting, func(a, b PendingAnswer) int { return int(b.For - a.For) })
+	slices.SortFunc(waiting, func(a, b PendingAnswer) int { return int(b.Waited - a.Waited) })
 	var names []string
 	for _, w := range waiting[:min(len(waiting), maxDescribed)] {
-		names = append(names, fmt.Sprintf("%s (to %s for %v, last heard %v ago)", w.Name, w.Answer, w.For.Round(time.Millisecond), w.SinceHeard.Round(time.Millisecond)))
+		names = append(names, fmt.Sprintf("%s (to %s for %v, last heard %v ago)", w.Name, w.Answer, w.Waited.Round(time.Millisecond), w.SinceLastMessage.Round(time.Millisecond)))
 	}
 	text := strings.Join(names, ", ")
 	if more := len(waiting) - len(names); more > 0 {
--- a/internal/rollout/proxy.go
+++ b/internal/rollout/proxy.go
@@ -143,7 +143,7 @@
 	p.seq++
 	*p.renewalTime(p.seq) = now
 	p.send(Message{Kind: Renew, Member: p.member, Seq: p.seq, Number: p.number,
-		MembersVersion: p.membership.Version, TakesChanges: p.membership.Version > 0})
+		MembersVersion: p.membership.Version, AcceptsDelta: p.membership.Version > 0})
 }
 
 // renewalTime returns where the time of a renewal is kept.
--- a/internal/rollout/proxy_receive.go
+++ b/internal/rollout/proxy_receive.go
@@ -59,7 +59,7 @@
 	}
 	// Fence against a list of members that another has replaced: a lease extends only the list that it was granted with.
 	if m.MembersVersion > 0 && m.MembersVersion == p.membership.Version {
-		p.membership.Until = max(p.membership.Until, end)
+		p.membership.ValidUntil = max(p.membership.ValidUntil, end)
 	}
 }
 
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -22,7 +22,7 @@
 
 func newTestTier(cfg Config, proxies int, check func(Number, []byte) string) *testTier {
 	p := &testTier{now: time.Hour, state: &State{}, deaf: map[int]bool{}}
-	p.leader = Lead(cfg, p.state, 1)
+	p.leader = NewLeader(cfg, p.state, 1)
 	p.settle() // its term begins in the log
 	for i := range proxies {
 		p.proxies = append(p.proxies, NewProxy(cfg, string(rune('a'+i)), uint64(100*i+1), check))
@@ -143,7 +143,7 @@
 	if len(p.state.Members) != 1 || !slices.Equal(p.reasons, []string{"b goes by a lease of 2s, the planners by 1s"}) {
 		t.Errorf("%d members, %q", len(p.state.Members), p.reasons)
 	}
-	other := Lead(Config{Lease: 500 * time.Millisecond}, p.state, 2)
+	other := NewLeader(Config{Lease: 500 * time.Millisecond}, p.state, 2)
 	commit := other.TakeReady().Commands
 	other.Applied(p.now, commit[0], p.state.Apply(commit[0]))
 	if other.Leading() || other.Err() == nil {
@@ -227,7 +227,7 @@
 func TestMembersAreToldToWhoHasAnAddress(t *testing.T) {
 	cfg := Config{Lease: 2 * time.Second}.WithDefaults()
 	p := &testTier{now: time.Hour, state: &State{}, deaf: map[int]bool{}, views: NewMembershipHistory(cfg)}
-	p.leader = Lead(cfg, p.state, 1)
+	p.leader = NewLeader(cfg, p.state, 1)
 	p.leader.ShareMembers(p.views)
 	p.settle()
 	join := func(address string) *Proxy {
@@ -240,18 +240,18 @@
 	}
 	a, mute := join("10.0.0.1:1"), join("")
 	p.pass(time.Second, 0, 1)
-	if x := a.Membership(); len(x.Members) != 2 || x.Members[0].Address != "10.0.0.1:1" || x.Until != a.LeaseEnd() || mute.Membership().Version != 0 {
+	if x := a.Membership(); len(x.Members) != 2 || x.Members[0].Address != "10.0.0.1:1" || x.ValidUntil != a.LeaseEnd() || mute.Membership().Version != 0 {
 		t.Fatalf("%+v, %+v", x, mute.Membership())
 	}
 	p.deaf[0] = true // it is heard, and hears nothing: its list holds until its lease ends
 	until := a.LeaseEnd()
 	c := join("10.0.0.3:1")
 	p.pass(20*time.Millisecond, 0, 1, 2)
-	if x := c.Membership(); len(x.Members) != 3 || len(x.Past) != 1 || len(x.Past[0].Members) != 1 || x.Past[0].Left < until-p.now || a.Membership().Until != until || len(a.Membership().Members) != 2 {
+	if x := c.Membership(); len(x.Members) != 3 || len(x.Past) != 1 || len(x.Past[0].Members) != 1 || x.Past[0].Remaining < until-p.now || a.Membership().ValidUntil != until || len(a.Membership().Members) != 2 {
 		t.Errorf("%+v, %+v, %v", x, a.Membership(), until-p.now)
 	}
 	p.pass(3*time.Second, 1, 2) // the lost one goes
-	if x := c.Membership(); len(x.Members) != 2 || x.Members[0].Name != "b" || x.Until <= p.now {
+	if x := c.Membership(); len(x.Members) != 2 || x.Members[0].Name != "b" || x.ValidUntil <= p.now {
 		t.Errorf("%+v", x)
 	}
 	p.deaf[0] = false
@@ -266,7 +266,7 @@
 	c.RenewLease(p.now + time.Second)
 	c.TakeMessages()
 	c.Receive(p.now+time.Second, Message{Kind: Granted, Member: c.Member(), Seq: c.seq, Lease: cfg.Lease, MembersVersion: before.Version - 1})
-	if c.Membership().Until != before.Until || c.LeaseEnd() <= before.Until {
+	if c.Membership().ValidUntil != before.ValidUntil || c.LeaseEnd() <= before.ValidUntil {
 		t.Error("another list's lease prolongs it")
 	}
 	c.Receive(p.now, Message{Kind: Members, Member: c.Member(), MembersVersion: before.Version - 1}) // nor does an earlier list come back
@@ -276,10 +276,10 @@
 	// A leader that may have missed lists says of none that it is whole, until no member can go by one that it has missed.
 	p.views.MarkIncomplete(p.now)
 	p.pass(cfg.Lease, 1, 2)
-	if c.Membership().Until != before.Until || c.LeaseEnd() <= p.now {
-		t.Errorf("%v, %v", c.Membership().Until, before.Until)
+	if c.Membership().ValidUntil != before.ValidUntil || c.LeaseEnd() <= p.now {
+		t.Errorf("%v, %v", c.Membership().ValidUntil, before.ValidUntil)
 	}
-	if p.pass(time.Second, 1, 2); c.Membership().Until <= p.now {
+	if p.pass(time.Second, 1, 2); c.Membership().ValidUntil <= p.now {
 		t.Error("its list is not prolonged")
 	}
 	p.now += cfg.Lease + cfg.ClockMargin // a has gone meanwhile, and the list with it
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -51,7 +51,7 @@
 	LastMember     Member        `cbor:"5,keyasint,omitempty"` // the highest that was given to a proxy
 	MembersVersion uint64        `cbor:"6,keyasint,omitempty"` // grows with each change of Members
 	ReleasedRound  Round         `cbor:"7,keyasint,omitempty"` // this round and all earlier ones have ended
-	HasLed         bool          `cbor:"8,keyasint,omitempty"` // some planner has led, and Lease is set
+	LeaseSet       bool          `cbor:"8,keyasint,omitempty"` // some planner has led, and Lease is set
 	Lease          time.Duration `cbor:"9,keyasint,omitempty"` // the configured lease of the whole tier; 0 = there are no leases
 
 	// Planners holds the addresses of planners that have replaced others, by their number in the cluster.
--- a/internal/run/tier.go
+++ b/internal/run/tier.go
@@ -38,7 +38,7 @@
 func (p *proxy) agrees(_ rollout.Number, text []byte) string {
 	next, err := policy.Decode(text)
 	if err == nil {
-		here := policy.Running{InUse: func(name string) bool {
+		here := policy.LocalState{InUse: func(name string) bool {
 			for _, c := range p.front.Classes() {
 				if c.Name == name {
 					return c.Taken > 0
@@ -101,5 +101,5 @@
 	c := cfg.Settings.Config
 	p := &policy.Policy{Classes: c.Classes, MaxAttempts: c.MaxAttempts, MayComeBack: c.MayComeBack, MaxComeBack: c.MaxComeBack, Levels: own.Levels,
 		Handover: own.Handover, Tuning: own.Tuning}
-	return p, p.Check(policy.Running{})
+	return p, p.Check(policy.LocalState{})
 }
--- a/internal/state/catalogue.go
+++ b/internal/state/catalogue.go
@@ -32,17 +32,17 @@
 		return
 	case f.merged == nil:
 		f.merged, f.failing = membership.New(*cfg), map[string]bool{}
-		f.merged.AddCatalogue(OwnList, membership.Trust{Binding: true})
+		f.merged.AddCatalogue(OwnList, membership.Trust{Authoritative: true})
 		f.mergeTick()
 		// What is in use stays in use until others know better, also where the platform's list has no word from now on.
-		known := membership.News{Whole: true}
+		known := membership.Update{Complete: true}
 		for _, m := range f.names {
 			if m.state != logic.Gone {
-				known.Facts = append(known.Facts, membership.Fact{ID: m.name, Address: m.address, Zone: m.zone, Group: m.group, Health: healthOf(m.state),
+				known.Listings = append(known.Listings, membership.Listing{ID: m.name, Address: m.address, Zone: m.zone, Group: m.group, Health: healthOf(m.state),
 					Weight: m.size, Started: m.started})
 			}
 		}
-		slices.SortFunc(known.Facts, func(a, b membership.Fact) int { return cmp.Compare(a.ID, b.ID) })
+		slices.SortFunc(known.Listings, func(a, b membership.Listing) int { return cmp.Compare(a.ID, b.ID) })
 		f.merged.Update(f.clock.Now(), OwnList, known)
 	default:
 		f.merged.Configure(*cfg)
@@ -50,7 +50,7 @@
 	if alone {
 		f.merged.DropCatalogue(f.clock.Now(), OwnList)
 	} else {
-		f.merged.AddCatalogue(OwnList, membership.Trust{Binding: true})
+		f.merged.AddCatalogue(OwnList, membership.Trust{Authoritative: true})
 	}
 	f.mergedNews()
 }
@@ -77,7 +77,7 @@
 }
 
 // Told takes in a catalogue's answer.
-func (f *Front) Told(source string, n membership.News) {
+func (f *Front) Told(source string, n membership.Update) {
 	if f.merged == nil {
 		return
 	}
@@ -109,9 +109,9 @@
 
 // ownList lets the platform's list be one source among others.
 func (f *Front) ownList(l List) {
-	n := membership.News{Whole: l.Kind != logic.ListDelta}
+	n := membership.Update{Complete: l.Kind != logic.ListDelta}
 	for _, e := range l.Entries {
-		n.Facts = append(n.Facts, membership.Fact{ID: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Health: healthOf(e.State),
+		n.Listings = append(n.Listings, membership.Listing{ID: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Health: healthOf(e.State),
 			Weight: e.Size, Started: e.Started})
 	}
 	f.merged.Update(f.clock.Now(), OwnList, n)
@@ -128,11 +128,11 @@
 	}
 	l := List{Kind: logic.ListDelta}
 	for _, e := range changes {
-		x := Entry{Name: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group, Size: e.Weight, Started: e.Started, Begun: e.Begun}
-		x.State = [...]logic.MemberState{membership.Gone: logic.Gone, membership.Ready: logic.Ready, membership.Drains: logic.Draining}[e.State]
+		x := Entry{Name: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group, Size: e.Weight, Started: e.Started, Begun: e.RestartedAt}
+		x.State = [...]logic.MemberState{membership.StateRemoved: logic.Gone, membership.StateReady: logic.Ready, membership.StateDraining: logic.Draining}[e.State]
 		m := f.names[e.ID]
 		if m == nil || m.state != x.State {
-			slog.Info("member", "name", e.ID, "address", e.Address, "state", e.State.String(), "why", e.Why)
+			slog.Info("member", "name", e.ID, "address", e.Address, "state", e.State.String(), "why", e.Reason)
 		}
 		if m == nil && x.State == logic.Gone {
 			continue
--- a/internal/state/catalogue_test.go
+++ b/internal/state/catalogue_test.go
@@ -10,11 +10,11 @@
 )
 
 // merging is a bench before which a catalogue stands as well.
-func merging(t *testing.T, alone bool) (*bench, func(facts ...membership.Fact)) {
+func merging(t *testing.T, alone bool) (*bench, func(facts ...membership.Listing)) {
 	b := newBench(t, 9)
 	b.f.Merge(&membership.Config{}, alone)
 	b.f.Source("c")
-	return b, func(facts ...membership.Fact) { b.f.Told("c", membership.News{Whole: true, Facts: facts}) }
+	return b, func(facts ...membership.Listing) { b.f.Told("c", membership.Update{Complete: true, Listings: facts}) }
 }
 
 func (b *bench) listed(name string) (logic.Member, bool) {
@@ -30,7 +30,7 @@
 // of them, and nobody is there twice.
 func TestTheSameDatabasesUnderOtherNames(t *testing.T) {
 	b, tell := merging(t, true)
-	tell(membership.Fact{ID: "other-1", Address: "127.0.0.1:1"}, membership.Fact{ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining})
+	tell(membership.Listing{ID: "other-1", Address: "127.0.0.1:1"}, membership.Listing{ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining})
 	if len(b.f.names) != 4 { // a:1 and a:2 are no addresses of theirs
 		t.Fatalf("%d members", len(b.f.names))
 	}
@@ -39,7 +39,7 @@
 		{Name: "two", Address: "127.0.0.1:2", State: logic.Ready}}})
 	b.f.Merge(&membership.Config{}, true)
 	b.f.Source("c")
-	b.f.Told("c", membership.News{Whole: true, Facts: []membership.Fact{{ID: "other-1", Address: "127.0.0.1:1", Zone: "x"}, {ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining}}})
+	b.f.Told("c", membership.Update{Complete: true, Listings: []membership.Listing{{ID: "other-1", Address: "127.0.0.1:1", Zone: "x"}, {ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining}}})
 	if len(b.f.names) != 2 || b.f.names["two"].state != logic.Draining || b.f.names["one"].zone != "x" || b.f.names["one"].started != 5*time.Second {
 		t.Errorf("%d members, %+v", len(b.f.names), b.f.names["one"])
 	}
@@ -48,7 +48,7 @@
 // A start that is taken from what is seen is placed once: each further change of the member must not make it a new one, cold again.
 func TestAStartIsPlacedOnce(t *testing.T) {
 	b, tell := merging(t, false)
-	f := membership.Fact{ID: "m", Address: "127.0.0.1:9"}
+	f := membership.Listing{ID: "m", Address: "127.0.0.1:9"}
 	tell(f)
 	if e, ok := b.listed("m"); !ok || e.Born != 0 {
 		t.Fatalf("%+v", e)
@@ -97,7 +97,7 @@
 // asked of it. The end of merging leaves the platform's list alone again.
 func TestWhatIsSeenGoesToTheMembership(t *testing.T) {
 	b, tell := merging(t, false)
-	f := membership.Fact{ID: "m", Address: "127.0.0.1:9"}
+	f := membership.Listing{ID: "m", Address: "127.0.0.1:9"}
 	tell(f)
 	f.Health = membership.Critical
 	tell(f)
@@ -128,7 +128,7 @@
 		t.Errorf("%+v", c)
 	}
 	b.f.Merge(nil, false)
-	b.f.Told("c", membership.News{Whole: true, Facts: []membership.Fact{f}}) // late
+	b.f.Told("c", membership.Update{Complete: true, Listings: []membership.Listing{f}}) // late
 	if b.f.Merges() || b.f.MemberFacts() != nil {
 		t.Error("still merging")
 	}
--- a/internal/state/front.go
+++ b/internal/state/front.go
@@ -102,7 +102,7 @@
 	gated   gated
 	teller  Teller // nil = there is no talk with peers
 	message []byte
-	facts   []peers.Fact
+	facts   []peers.Report
 	checks  *sharedChecks // nil = the tier doesn't share health checks
 
 	late     lateAnswers
--- a/internal/state/peers.go
+++ b/internal/state/peers.go
@@ -12,7 +12,7 @@
 func (f *Front) Peers(t Teller) { f.teller = t }
 
 // Tell implements logic.Actions.
-func (f *Front) Tell(facts []peers.Fact) {
+func (f *Front) Tell(facts []peers.Report) {
 	if f.teller == nil {
 		return
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -28,7 +28,7 @@
 	depth int
 
 	givenUp int
-	facts   []peers.Fact
+	facts   []peers.Report
 }
 
 func (b *bench) Now() time.Duration  { return b.now }
@@ -61,8 +61,8 @@
 func (b *bench) Witness(_ time.Duration, _ logic.MemberID, what handover.Testimony, opened time.Duration) {
 	b.note("%s %v", [...]string{"answered", "ended", "mute"}[what], opened-clockBase)
 }
-func (b *bench) Heard(_ time.Duration, facts []peers.Fact) {
-	b.facts = append([]peers.Fact(nil), facts...)
+func (b *bench) Heard(_ time.Duration, facts []peers.Report) {
+	b.facts = append([]peers.Report(nil), facts...)
 }
 func (b *bench) Watch(bool)   {}
 func (b *bench) Fetch()       {}
--- a/internal/wire/consul/consul.go
+++ b/internal/wire/consul/consul.go
@@ -213,14 +213,14 @@
 	"replica": membership.Replica, "secondary": membership.Replica, "standby": membership.Replica, "slave": membership.Replica}
 
 // Fact turns an entry into what membership knows. The error tells of one that can't be used.
-func (m *Mapping) Fact(i *Instance) (membership.Fact, error) {
+func (m *Mapping) Fact(i *Instance) (membership.Listing, error) {
 	meta := func(key string) string {
 		if v, ok := i.Service.Meta[key]; ok {
 			return v
 		}
 		return i.Node.Meta[key]
 	}
-	f := membership.Fact{ID: i.Service.ID, Zone: meta(m.ZoneIn), Group: m.Group, Weight: 1}
+	f := membership.Listing{ID: i.Service.ID, Zone: meta(m.ZoneIn), Group: m.Group, Weight: 1}
 	if f.ID == "" {
 		return f, errors.New("an instance without an id")
 	}
--- a/internal/wire/consul/consul_test.go
+++ b/internal/wire/consul/consul_test.go
@@ -60,12 +60,12 @@
 	}
 	m := Mapping{}.WithDefaults()
 	f, err := m.Fact(&list[0])
-	want := membership.Fact{ID: "db-1", Address: "10.1.10.12:5432", Zone: "north", Group: 3, Health: membership.Warning, Role: membership.Primary, Weight: 10,
+	want := membership.Listing{ID: "db-1", Address: "10.1.10.12:5432", Zone: "north", Group: 3, Health: membership.Warning, Role: membership.Primary, Weight: 10,
 		Started: 1700000000 * time.Second}
 	if err != nil || f != want {
 		t.Errorf("%+v, %v", f, err)
 	}
-	change := func(old, new string) (membership.Fact, error) {
+	change := func(old, new string) (membership.Listing, error) {
 		list, err := decode("["+strings.Replace(entry, old, new, 1)+"]", Limits{})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/wire/peers/peers.go
+++ b/internal/wire/peers/peers.go
@@ -32,7 +32,7 @@
 
 // Append writes a message. shared is the moment on the clock that all read, now the same on the proxy's own; facts that lie too far
 // back to be told are left out. It appends nothing where none is left.
-func Append(dst []byte, shared, now time.Duration, facts []peers.Fact) []byte {
+func Append(dst []byte, shared, now time.Duration, facts []peers.Report) []byte {
 	start := len(dst)
 	dst = append(dst, version)
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(shared/time.Millisecond))
@@ -45,7 +45,7 @@
 			continue
 		}
 		dst = binary.LittleEndian.AppendUint32(dst, f.Database)
-		dst = binary.LittleEndian.AppendUint16(dst, uint16(f.Role)<<14|uint16(f.Ails)<<12|uint16(age))
+		dst = binary.LittleEndian.AppendUint16(dst, uint16(f.Role)<<14|uint16(f.Status)<<12|uint16(age))
 		dst = binary.LittleEndian.AppendUint16(dst, uint16(lag))
 	}
 	if len(dst) == start+head {
@@ -60,7 +60,7 @@
 }
 
 // Parse reads a message that has come at the moment shared, which is now on the proxy's own clock. It appends to dst.
-func Parse(dst []peers.Fact, buf []byte, shared, now time.Duration) ([]peers.Fact, error) {
+func Parse(dst []peers.Report, buf []byte, shared, now time.Duration) ([]peers.Report, error) {
 	if len(buf) < head+size || len(buf) > MaxMessage || (len(buf)-head)%size != 0 {
 		return dst, fmt.Errorf("peers: a message of %d bytes", len(buf))
 	}
@@ -73,7 +73,7 @@
 	moment += time.Duration(int32(binary.LittleEndian.Uint32(buf[1:])-uint32(here))) * time.Millisecond
 	for b := buf[head:]; len(b) > 0; b = b[size:] {
 		age, lag := binary.LittleEndian.Uint16(b[4:]), binary.LittleEndian.Uint16(b[6:])
-		f := peers.Fact{Database: binary.LittleEndian.Uint32(b), Role: peers.Role(age >> 14), Ails: peers.Ails(age >> 12 & 3),
+		f := peers.Report{Database: binary.LittleEndian.Uint32(b), Role: peers.Role(age >> 14), Status: peers.Status(age >> 12 & 3),
 			At: moment - time.Duration(age&maxAge)*time.Millisecond}
 		if lag != noPosition {
 			f.Position = moment - time.Duration(lag)*time.Millisecond
--- a/internal/wire/peers/peers_test.go
+++ b/internal/wire/peers/peers_test.go
@@ -18,16 +18,16 @@
 		shared := time.Duration(1767225600)*time.Second + micros("shared", 1e9)
 		here, there := 24*time.Hour+micros("here", 1e9), 24*time.Hour+micros("there", 1e9)
 		way := micros("way", 30000)
-		f := peers.Fact{Database: rapid.Uint32().Draw(t, "database"), Role: peers.Role(rapid.IntRange(0, 2).Draw(t, "role")),
-			Ails: peers.Ails(rapid.IntRange(0, 2).Draw(t, "ails")), At: here - micros("age", 2e6)}
+		f := peers.Report{Database: rapid.Uint32().Draw(t, "database"), Role: peers.Role(rapid.IntRange(0, 2).Draw(t, "role")),
+			Status: peers.Status(rapid.IntRange(0, 2).Draw(t, "ails")), At: here - micros("age", 2e6)}
 		f.Position = f.At - micros("lag", 3e6)
-		buf := Append(nil, shared, here, []peers.Fact{f})
+		buf := Append(nil, shared, here, []peers.Report{f})
 		got, err := Parse(nil, buf, shared+way, there+way)
 		if err != nil || len(got) != 1 {
 			t.Fatalf("%v %v", got, err)
 		}
 		g, offset := got[0], there-here
-		if g.Database != f.Database || g.Role != f.Role || g.Ails != f.Ails {
+		if g.Database != f.Database || g.Role != f.Role || g.Status != f.Status {
 			t.Fatalf("%+v of %+v", g, f)
 		}
 		for _, x := range [][2]time.Duration{{f.At, g.At}, {f.Position, g.Position}} {
@@ -40,13 +40,13 @@
 
 func TestMessagesAreBoundedAndOddOnesRefused(t *testing.T) {
 	now := 24 * time.Hour
-	buf := Append(nil, now, now, make([]peers.Fact, 100))
+	buf := Append(nil, now, now, make([]peers.Report, 100))
 	if len(buf) != 0 { // of nothing but facts of long ago
 		t.Fatalf("%d bytes", len(buf))
 	}
-	facts := make([]peers.Fact, 100)
+	facts := make([]peers.Report, 100)
 	for i := range facts {
-		facts[i] = peers.Fact{Database: uint32(i), At: now}
+		facts[i] = peers.Report{Database: uint32(i), At: now}
 	}
 	buf = Append(nil, now, now, facts)
 	if got, err := Parse(nil, buf, now, now); len(buf) > MaxMessage || err != nil || len(got) != MaxFacts || got[0].Position != 0 {
--- a/internal/wire/sim/frames.go
+++ b/internal/wire/sim/frames.go
@@ -433,7 +433,7 @@
 }
 
 // Tell implements logic.Actions.
-func (e *Encoder) Tell(facts []peers.Fact) {
+func (e *Encoder) Tell(facts []peers.Report) {
 	if e.message = wirepeers.Append(e.message[:0], e.Now, e.Now, facts); len(e.message) > 0 {
 		e.Share(everyone, string(e.message))
 	}
--- a/logic/api.go
+++ b/logic/api.go
@@ -280,8 +280,8 @@
 	Timer(now time.Duration, id TimerID)
 	// Witness tells what became of a connection from before a silence, up since opened.
 	Witness(now time.Duration, id MemberID, what handover.Testimony, opened time.Duration)
-	Heard(now time.Duration, facts []peers.Fact) // what a peer tells; valid during the call only
-	Abandoned(now time.Duration, id RequestID)   // the client left; nothing more is owed
+	Heard(now time.Duration, facts []peers.Report) // what a peer tells; valid during the call only
+	Abandoned(now time.Duration, id RequestID)     // the client left; nothing more is owed
 }
 
 // Actions are what a router asks of its front, at the time of the event that it is handling.
@@ -292,8 +292,8 @@
 	Fail(id RequestID)                           // final: nothing is promised about the effect
 	Cancel(id RequestID, attempt int)
 	SetTimer(id TimerID, at time.Duration)
-	Watch(on bool)     // ask the list for changes from now on
-	Fetch()            // ask for the whole list once
-	Tell([]peers.Fact) // to all peers, in one message; valid during the call only
+	Watch(on bool)       // ask the list for changes from now on
+	Fetch()              // ask for the whole list once
+	Tell([]peers.Report) // to all peers, in one message; valid during the call only
 	Log(text string)
 }
--- a/logic/front_test.go
+++ b/logic/front_test.go
@@ -57,7 +57,7 @@
 func (f *front) SetTimer(_ TimerID, at time.Duration) { f.timers = append(f.timers, at) }
 func (f *front) Watch(bool)                           { f.watches++ }
 func (f *front) Fetch()                               {}
-func (f *front) Tell([]peers.Fact)                    {}
+func (f *front) Tell([]peers.Report)                  {}
 func (f *front) Log(string)                           {}
 
 // The classes of the tests' configuration.
@@ -229,7 +229,7 @@
 func (printer) SetTimer(TimerID, time.Duration) {}
 func (printer) Watch(bool)                      {}
 func (printer) Fetch()                          {}
-func (printer) Tell([]peers.Fact)               {}
+func (printer) Tell([]peers.Report)             {}
 func (printer) Log(string)                      {}
 
 var _ Events = (*Router)(nil)
--- a/logic/health.go
+++ b/logic/health.go
@@ -52,7 +52,7 @@
 func (r *Router) sharesChecks() bool { return r.checks.perSecond > 0 }
 
 // informed tells whether others spare this proxy most pings, so that it does without one of a member's own.
-func (r *Router) informed() bool { return r.sharesChecks() || r.peers.On() }
+func (r *Router) informed() bool { return r.sharesChecks() || r.peers.Enabled() }
 
 // thin tells of traffic for which pings at their periods are too many, so that they go out at need. Where checks are shared these keep
 // within the budget, save while a primary is looked for.
@@ -161,4 +161,4 @@
 }
 
 // ShortNumber gives the number of a member in the tier's messages.
-func ShortNumber(id MemberID) subset.DatabaseID { return subset.DatabaseID(peers.Short(uint64(id))) }
+func ShortNumber(id MemberID) subset.DatabaseID { return subset.DatabaseID(peers.ShortID(uint64(id))) }
--- a/logic/large_fleet_test.go
+++ b/logic/large_fleet_test.go
@@ -111,8 +111,8 @@
 	f.pongLarge()
 	f.passLarge(3 * time.Second)
 	for id := range MemberID(1000) {
-		fact := peers.Fact{Database: peers.Short(uint64(id + 1)), Ails: peers.Silent, At: f.now}
-		f.r.Heard(f.now, []peers.Fact{fact})
+		fact := peers.Report{Database: peers.ShortID(uint64(id + 1)), Status: peers.Silent, At: f.now}
+		f.r.Heard(f.now, []peers.Report{fact})
 	}
 	for _, m := range f.probes {
 		if f.r.members[m].Group != 7 {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -118,7 +118,7 @@
 		m.seat = g.lead.Join(uint64(e.ID))
 		r.members[e.ID] = m
 		r.order = append(r.order, m)
-		r.peers.Join(uint64(e.ID))
+		r.peers.Add(uint64(e.ID))
 		g.members = append(g.members, m) // a Born above zero makes it cold, below
 	}
 	if e.Born > m.Born { // restarted: its role is open again, its log goes on from where it stood
@@ -148,7 +148,7 @@
 		return false
 	}
 	delete(r.members, m.ID)
-	r.peers.Leave(uint64(m.ID))
+	r.peers.Remove(uint64(m.ID))
 	m.group.members = slices.DeleteFunc(m.group.members, func(x *member) bool { return x == m })
 	m.group.lead.Leave(now, m.seat)
 	r.follow(now, m.group) // the one that left may have stood before another
@@ -190,7 +190,7 @@
 
 // learn takes a role and a position that were true at the time at, as this front has seen.
 func (r *Router) learn(m *member, role Role, position, at, now time.Duration) {
-	r.peers.Saw(now, uint64(m.ID), peers.Role(role), at, position)
+	r.peers.Observe(now, uint64(m.ID), peers.Role(role), at, position)
 	r.believe(m, role, position, at, now)
 	if position > 0 {
 		m.lag = now - m.position
@@ -226,7 +226,7 @@
 		return
 	}
 	m.group.lead.Silent(now, m.seat)
-	r.peers.Ailing(now, uint64(m.ID), peers.Silent)
+	r.peers.ObserveFailure(now, uint64(m.ID), peers.Silent)
 	r.follow(now, m.group)
 	r.hedge(now, m)
 }
@@ -583,7 +583,7 @@
 	from, sure := m.seat.Cold(now, r.cfg.Cold)
 	if sure == 0 {
 		return true
-	} else if r.peers.On() && !r.priority.Admits(merit, r.luck) {
+	} else if r.peers.Enabled() && !r.priority.Admits(merit, r.luck) {
 		return false
 	}
 	most := fallPart + (fallDoubt-fallPart)*(1-sure)
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -17,18 +17,18 @@
 // newPeers makes the room in which that is decided. Peers talk where that is allowed and where pings at the design's periods, from all
 // proxies, would be too many: a position is worth telling once it has grown older than those would let it.
 func (r *Router) newPeers() *peers.Gossip {
-	cfg := peers.Config{Proxies: r.cfg.Fronts, Most: r.cfg.PeerFacts, Phase: float64(mix(r.cfg.Seed)>>11) / (1 << 53)}
+	cfg := peers.Config{Proxies: r.cfg.Fronts, MaxBatch: r.cfg.PeerFacts, Phase: float64(mix(r.cfg.Seed)>>11) / (1 << 53)}
 	if r.pings.Many() {
-		cfg.Fresh = time.Duration(min(max(float64(r.cfg.Fronts)/worthTelling, 1), 2) * float64(r.pings.Shortest()))
+		cfg.Interval = time.Duration(min(max(float64(r.cfg.Fronts)/worthTelling, 1), 2) * float64(r.pings.Shortest()))
 	}
 	return peers.New(cfg)
 }
 
 // Heard takes what a peer tells. It is evidence of roles and of positions, and no sign of life to this front.
-func (r *Router) Heard(now time.Duration, facts []peers.Fact) {
+func (r *Router) Heard(now time.Duration, facts []peers.Report) {
 	r.begin(now)
 	for _, f := range facts {
-		if id, f, ok := r.peers.Believe(now, f); ok {
+		if id, f, ok := r.peers.Accept(now, f); ok {
 			r.heardOf(now, r.members[MemberID(id)], f)
 		}
 	}
@@ -38,19 +38,19 @@
 }
 
 // heardOf takes one fact. A silence is a reason to ping, and a failure counts as one of this front's own; neither is a verdict.
-func (r *Router) heardOf(now time.Duration, m *member, f peers.Fact) {
-	if f.Ails != peers.Well { // a role from before, told with the time of a failure, would outlive a change of primary
+func (r *Router) heardOf(now time.Duration, m *member, f peers.Report) {
+	if f.Status != peers.Healthy { // a role from before, told with the time of a failure, would outlive a change of primary
 		f.Role = peers.Unknown
 	}
 	r.believe(m, Role(f.Role), f.Position, f.At, now)
 	switch {
-	case f.Ails == peers.Silent:
+	case f.Status == peers.Silent:
 		inUse := !r.pings.OnNeed() || m.group.inRounds
 		if inUse && m.heardAt < f.At && !m.seat.Silent && now-m.probedAt >= wordEvery {
 			r.probe(now, m)
 		}
 		return
-	case f.Ails == peers.Failing:
+	case f.Status == peers.Failing:
 		r.failures.Note(now, &m.bench, 1)
 		r.failures.Spread(now, &m.bench, r.cfg.Fronts, r.rng.Float64())
 	default:
@@ -62,16 +62,16 @@
 // failed counts a quick failure that this front has seen, and lets its peers know.
 func (r *Router) failed(now time.Duration, m *member) {
 	r.failures.Note(now, &m.bench, 1)
-	if r.peers.On() {
+	if r.peers.Enabled() {
 		r.failures.Spread(now, &m.bench, r.cfg.Fronts, r.rng.Float64())
-		r.peers.Ailing(now, uint64(m.ID), peers.Failing)
+		r.peers.ObserveFailure(now, uint64(m.ID), peers.Failing)
 	}
 }
 
 // firstPing gives when a member just listed is pinged first: at once, or, where peers talk, spread over the time that a fresh front may
 // wait, for what the first of them learn spares the others theirs.
 func (r *Router) firstPing(now time.Duration) time.Duration {
-	if !r.peers.On() {
+	if !r.peers.Enabled() {
 		return now
 	}
 	return now + time.Duration(r.rng.Float64()*float64(freshHold))
@@ -93,7 +93,7 @@
 
 // tell hands out what the others are to hear by now.
 func (r *Router) tell(now time.Duration) {
-	if facts := r.peers.Due(now); len(facts) > 0 {
+	if facts := r.peers.NextMessage(now); len(facts) > 0 {
 		r.act.Tell(facts)
 	}
 }
--- a/logic/peers_test.go
+++ b/logic/peers_test.go
@@ -14,8 +14,8 @@
 }
 
 // word is a peer's fact of a member.
-func (f *front) word(id MemberID, role peers.Role, ails peers.Ails, lag time.Duration) {
-	f.r.Heard(f.now, []peers.Fact{{Database: peers.Short(uint64(id)), Role: role, Ails: ails, At: f.now, Position: f.now - lag}})
+func (f *front) word(id MemberID, role peers.Role, ails peers.Status, lag time.Duration) {
+	f.r.Heard(f.now, []peers.Report{{Database: peers.ShortID(uint64(id)), Role: role, Status: ails, At: f.now, Position: f.now - lag}})
 }
 
 // Each of 80 proxies held nearly every bounded read for a ping of its own, 1.3 pings a request.
@@ -25,7 +25,7 @@
 	f.now += 5 * time.Second
 	f.probes = nil
 	for id := MemberID(2); id <= 4; id++ {
-		f.word(id, peers.Replica, peers.Well, 60*ms)
+		f.word(id, peers.Replica, peers.Healthy, 60*ms)
 	}
 	if s := f.mustSend(f.request(clsBounded, 1)); s.to == 1 || len(f.probes) > 0 {
 		t.Fatalf("sent to %d, %d pings, though a peer has told of recent replicas", s.to, len(f.probes))
@@ -95,7 +95,7 @@
 	if len(f.probes) == 6 {
 		t.Fatal("all are pinged at once")
 	}
-	f.word(6, peers.Replica, peers.Well, 60*ms)
+	f.word(6, peers.Replica, peers.Healthy, 60*ms)
 	spared := f.r.members[6].probedAt == 0
 	f.pass(400 * ms)
 	for id := MemberID(1); id <= 6; id++ {
@@ -130,10 +130,10 @@
 		told := 0
 		for range 4 { // a position each period of pings
 			f.now += f.r.pings.Shortest()
-			f.r.peers.Saw(f.now, 2, peers.Replica, f.now, f.now)
+			f.r.peers.Observe(f.now, 2, peers.Replica, f.now, f.now)
 			f.now += f.r.pings.Shortest() / 2 // its turn
-			for _, fact := range f.r.peers.Due(f.now) {
-				if fact.Database == peers.Short(2) {
+			for _, fact := range f.r.peers.NextMessage(f.now) {
+				if fact.Database == peers.ShortID(2) {
 					told++
 				}
 			}
--- a/logic/refusal_test.go
+++ b/logic/refusal_test.go
@@ -139,9 +139,9 @@
 		"all members have just started":         func(s *thinProxy) { s.startAnew(1, 2, 3, 4, 5, 6) },
 		"peers told of failures everywhere": func(s *thinProxy) {
 			for range 10 {
-				var facts []peers.Fact
+				var facts []peers.Report
 				for id := range MemberID(members) {
-					facts = append(facts, peers.Fact{Database: peers.Short(uint64(id + 1)), At: s.now, Ails: peers.Failing})
+					facts = append(facts, peers.Report{Database: peers.ShortID(uint64(id + 1)), At: s.now, Status: peers.Failing})
 				}
 				s.r.Heard(s.now, facts)
 				s.run(100 * ms)
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -166,7 +166,7 @@
 func (w *world) SetTimer(_ TimerID, at time.Duration) { w.timers = append(w.timers, at) }
 func (w *world) Watch(bool)                           {}
 func (w *world) Fetch()                               {}
-func (w *world) Tell([]peers.Fact)                    {}
+func (w *world) Tell([]peers.Report)                  {}
 func (w *world) Log(string)                           {}
 
 func newWorld(t *testing.T, seed uint64) *world {
--- a/logic/state.go
+++ b/logic/state.go
@@ -260,7 +260,7 @@
 // replacements are listed beside them, and each would be given half of its part.
 func (r *Router) bearers(g *group) float64 {
 	n := len(g.members)
-	if r.peers.On() {
+	if r.peers.Enabled() {
 		n = 0
 		for _, m := range g.members {
 			if m.State == Ready {
