--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -87,14 +87,14 @@
 	case sim.Submit:
 		r.Request(now, e.Request)
 	case sim.Head:
-		r.Started(now, e.ID, e.Attempt)
+		r.ResponseStarted(now, e.ID, e.Attempt)
 	case sim.Outcome:
 		r.Outcome(now, e.Outcome)
 	case sim.Probed:
-		r.Probed(now, e.Probed)
+		r.ProbeDone(now, e.Probed)
 	case sim.Datagram:
 		if facts, err := peers.Parse(nil, e.Message, now, now); err == nil {
-			r.Heard(now, facts)
+			r.PeerFacts(now, facts)
 		}
 	case sim.Timer:
 		r.Timer(now, e.Timer)
--- a/internal/lab/virtual/connections.go
+++ b/internal/lab/virtual/connections.go
@@ -108,8 +108,8 @@
 
 func (w *world) reply(p fleet.Reply) state.Reply {
 	out := state.Reply{Role: p.Role, Position: int64((w.clock.Unix() - w.clock.now + p.Position) / time.Millisecond)}
-	out.Result = [...]logic.Result{fleet.Served: logic.OK, fleet.NotPrimary: logic.Miss, fleet.TooFarBack: logic.Miss,
-		fleet.TurnedAway: logic.Full, fleet.Broken: logic.Failed}[p.Result]
+	out.Result = [...]logic.Result{fleet.Served: logic.OK, fleet.NotPrimary: logic.Misdirected, fleet.TooFarBack: logic.Misdirected,
+		fleet.TurnedAway: logic.Rejected, fleet.Broken: logic.Failed}[p.Result]
 	return out
 }
 
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -108,9 +108,9 @@
 
 // LogicConfig is what the router is told of a fleet.
 func LogicConfig(f fleet.Config, seed uint64) logic.Config {
-	c := logic.Config{Seed: seed, Fronts: 1, Tick: 5 * time.Millisecond, Pull: true, Carried: true, Checks: logic.ChecksWait,
-		MayProbe: true, MayCancel: true, MayComeBack: true, MaxAttempts: 6, MaxComeBack: 500 * time.Millisecond,
-		Cold: 13 * time.Second, ColdShare: 0.18, FallMultiple: 2.5}
+	c := logic.Config{Seed: seed, Proxies: 1, Tick: 5 * time.Millisecond, ListOnRequest: true, SessionTokens: true, LagCheck: logic.LagCheckWait,
+		EnableProbes: true, EnableCancel: true, EnableRetryAfter: true, MaxAttempts: 6, MaxRetryAfter: 500 * time.Millisecond,
+		ColdPeriod: 13 * time.Second, ColdShare: 0.18, OverloadMultiple: 2.5}
 	for _, x := range f.Classes {
 		c.Classes = append(c.Classes, x.Class)
 	}
@@ -292,8 +292,8 @@
 func (w *world) front(n *node) *state.Front {
 	cfg := &w.cfg
 	decide := LogicConfig(cfg.Fleet, cfg.ProxySeed+uint64(n.i)<<32+uint64(n.life)<<52)
-	decide.Handover, decide.Tuning, decide.Fronts = cfg.Handover, cfg.Tuning, max(cfg.Proxies, 1)
-	decide.PeerFacts = cfg.Tier.Peers
+	decide.Handover, decide.Tuning, decide.Proxies = cfg.Handover, cfg.Tuning, max(cfg.Proxies, 1)
+	decide.MaxPeerFacts = cfg.Tier.Peers
 	if len(cfg.Tier.Splits) > 0 || cfg.Tier.Uneven > 0 || cfg.Observer != nil {
 		decide.Zone = n.zone
 	}
--- a/internal/levels/controller.go
+++ b/internal/levels/controller.go
@@ -95,7 +95,7 @@
 	}
 	for i := range c.plan {
 		r := &c.cfg.Ladder[c.level].Rules[i]
-		c.plan[i] = logic.Admission{Share: c.share(i), NoRepeats: !r.Repeats, ComeBack: r.ComeBack}
+		c.plan[i] = logic.Admission{Share: c.share(i), NoRetries: !r.Repeats, RetryAfter: r.ComeBack}
 	}
 	return c.plan
 }
@@ -115,7 +115,7 @@
 func (c *Controller) Level() int { return c.level }
 
 // Tick takes what happened since the last one and decides.
-func (c *Controller) Tick(now time.Duration, f *logic.GroupFacts) Decision {
+func (c *Controller) Tick(now time.Duration, f *logic.GroupStats) Decision {
 	dt := now - c.last
 	c.last = now
 	if dt <= 0 {
@@ -195,31 +195,31 @@
 }
 
 // freeze tells of times in which outcomes are no sign of load, and keeps why.
-func (c *Controller) freeze(now, dt time.Duration, f *logic.GroupFacts) bool {
+func (c *Controller) freeze(now, dt time.Duration, f *logic.GroupStats) bool {
 	if dt > stoodStill {
 		c.frozenUntil = max(c.frozenUntil, now+window)
 		c.frozen = "the proxy stood still"
 	}
-	if f.Usable == 0 {
+	if f.UsableMembers == 0 {
 		c.frozenUntil = max(c.frozenUntil, now+c.cfg.Settle)
 		c.frozen = "no database of the group answers"
 	}
 	// Members that come and go, and cold ones, make their group refuse at any load: what each bears is bounded then.
-	if f.Usable != c.usable || f.Members != c.members {
+	if f.UsableMembers != c.usable || f.ReadyMembers != c.members {
 		if c.members > 0 {
 			c.frozenUntil = max(c.frozenUntil, now+c.cfg.Settle)
 			c.frozen = "databases come and go"
 		}
-		c.usable, c.members = f.Usable, f.Members
+		c.usable, c.members = f.UsableMembers, f.ReadyMembers
 	}
-	if f.Warmth < warmEnough*float64(f.Members) {
+	if f.WarmCapacity < warmEnough*float64(f.ReadyMembers) {
 		c.frozenUntil = max(c.frozenUntil, now+1)
 		c.frozen = "some databases are cold or silent"
 	}
 	switch {
-	case !f.Primary && c.noPrimary == 0:
+	case !f.HasPrimary && c.noPrimary == 0:
 		c.noPrimary = now
-	case f.Primary && c.noPrimary > 0:
+	case f.HasPrimary && c.noPrimary > 0:
 		c.noPrimary = 0
 		c.frozenUntil = max(c.frozenUntil, now+c.cfg.Settle)
 		c.frozen = "a primary was just found"
--- a/internal/levels/estimate.go
+++ b/internal/levels/estimate.go
@@ -20,7 +20,7 @@
 }
 
 // measure takes a tick's counts into the averages.
-func (c *Controller) measure(f *logic.GroupFacts, dt time.Duration) {
+func (c *Controller) measure(f *logic.GroupStats, dt time.Duration) {
 	weight := 1 - math.Exp(-float64(dt)/float64(window))
 	for i := range c.offered {
 		t := &f.Classes[i]
@@ -29,24 +29,24 @@
 			lost = 0
 		}
 		c.offered[i].add(float64(t.Offered), dt, window)
-		c.served[i].add(float64(t.InAim+t.Late), dt, window)
+		c.served[i].add(float64(t.InTime+t.Late), dt, window)
 		c.lost[i].add(float64(lost), dt, window)
 		if c.cost[i] == 0 {
-			c.cost[i] = t.Cost.Seconds()
+			c.cost[i] = t.ServiceTime.Seconds()
 		}
 	}
 	done := 0.0
 	for i := range c.served {
-		done += float64(f.Classes[i].InAim+f.Classes[i].Late) * c.cost[i]
+		done += float64(f.Classes[i].InTime+f.Classes[i].Late) * c.cost[i]
 	}
 	c.did = done / dt.Seconds()
 	c.done.add(done, dt, learnSpan)
-	c.warmth = f.Warmth
-	c.strain += weight * (f.Strain - c.strain)
+	c.warmth = f.WarmCapacity
+	c.strain += weight * (f.LatencyRatio - c.strain)
 	// Under strain answers take longer than the work in them.
 	if c.level == 0 && c.strain < easy && c.loss(1) < c.cfg.Leave {
 		for i := range c.cost {
-			c.cost[i] += costRate * (f.Classes[i].Cost.Seconds() - c.cost[i])
+			c.cost[i] += costRate * (f.Classes[i].ServiceTime.Seconds() - c.cost[i])
 		}
 	}
 }
--- a/internal/net/database.go
+++ b/internal/net/database.go
@@ -143,9 +143,9 @@
 	case "":
 		r.Result = logic.OK
 	case pg.CodeReadOnly, pg.CodeTooFarBack:
-		r.Result = logic.Miss
+		r.Result = logic.Misdirected
 	case pg.CodeTooMany, pg.CodeNotNow:
-		r.Result = logic.Full
+		r.Result = logic.Rejected
 	default:
 		r.Unfit = pg.Unfit(db.reply.Code)
 	}
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -51,7 +51,7 @@
 }
 
 // NewDiscovery makes the client; generation is that of the list in hand, bound by when a change has to be known here, as
-// logic.Config.ListBound has it.
+// logic.Config.ListMaxDelay has it.
 func NewDiscovery(loop *Loop, clock state.Clock, front *state.Front, address string, generation int64, bound time.Duration) *Discovery {
 	return &Discovery{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front, address: address,
 		generation: generation, times: limit.Calls{Bound: bound},
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -231,7 +231,7 @@
 func newService(seed uint64, bound time.Duration) *service {
 	s := &service{clock: &handClock{now: time.Hour}, rng: rand.New(rand.NewPCG(seed, 1)), gen: 3}
 	cfg := settings
-	cfg.Seed, cfg.Pull, cfg.ListBound, cfg.Tick = seed, true, bound, 50*time.Millisecond
+	cfg.Seed, cfg.ListOnRequest, cfg.ListMaxDelay, cfg.Tick = seed, true, bound, 50*time.Millisecond
 	var err error
 	if s.front, err = state.New(state.Config{Logic: cfg, MaxLinks: 4}, s.clock, &Databases{}); err != nil {
 		panic(err)
--- a/internal/net/ending_test.go
+++ b/internal/net/ending_test.go
@@ -99,7 +99,7 @@
 			}
 		})
 		cfg := settings
-		cfg.MayCancel = cancel
+		cfg.EnableCancel = cancel
 		s, front, loop := proxyWith(t, cfg, database, 400, 1)
 		var clients []*peer
 		for range 300 {
@@ -124,7 +124,7 @@
 		}
 		if n := onLoop(loop, func() (out int) {
 			for _, d := range front.Databases() {
-				out += d.Out
+				out += d.InFlight
 			}
 			return out
 		}); n != 0 {
@@ -221,7 +221,7 @@
 // A database has closed a pooled connection, and the kernel alone knows: the poller, which is elsewhere, has not read it. A request that takes
 // the connection in this moment is not written to it, for one that may not be repeated would be lost there; it goes out on another.
 func TestACloseThatTheKernelAloneKnows(t *testing.T) {
-	for _, effect := range []logic.Effect{logic.Free, logic.SingleShot} {
+	for _, effect := range []logic.Effect{logic.Idempotent, logic.SingleShot} {
 		conns := make(chan stdnet.Conn, 9)
 		var db counted
 		cfg := settings
--- a/internal/net/health_test.go
+++ b/internal/net/health_test.go
@@ -76,7 +76,7 @@
 	all := &databases{loop: loop}
 	class := logic.Class{Name: "any", Aim: time.Second, Limit: time.Second}
 	front, err := state.New(state.Config{Logic: logic.Config{Seed: uint64(i), Tick: 5 * time.Millisecond, Classes: []logic.Class{class},
-		MayProbe: true, Fronts: 6}, ConnectTimeout: time.Second, IdleClose: time.Minute, MaxLinks: 100}, clock, all)
+		EnableProbes: true, Proxies: 6}, ConnectTimeout: time.Second, IdleClose: time.Minute, MaxLinks: 100}, clock, all)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -228,5 +228,5 @@
 func numberOf(name string) subset.DatabaseID {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
-	return logic.ShortNumber(logic.MemberID(hash.Sum64()))
+	return logic.ShortID(logic.MemberID(hash.Sum64()))
 }
--- a/internal/net/mysql_database.go
+++ b/internal/net/mysql_database.go
@@ -215,7 +215,7 @@
 			return false, err
 		}
 		r := db.failure(&e)
-		if r.Result != logic.Full {
+		if r.Result != logic.Rejected {
 			return false, errLogin
 		}
 		db.away = &r
@@ -320,12 +320,12 @@
 	r := state.Reply{Result: logic.Failed, Body: db.raw}
 	switch mysql.OutcomeOf(e) {
 	case mysql.Miss:
-		r.Result = logic.Miss
+		r.Result = logic.Misdirected
 		if e.Number != mysql.ErrTooFarBehind {
 			r.Role = logic.RoleReplica
 		}
 	case mysql.TurnedAway:
-		r.Result = logic.Full
+		r.Result = logic.Rejected
 	case mysql.Unfit:
 		r.Unfit = true
 	case mysql.Forgotten:
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -234,7 +234,7 @@
 	}
 	// A list that is pushed comes as far as the agent on the own machine, which has to be asked for it like any other service. Without
 	// this, nobody asked at all: the router asks only where it is told so.
-	s.Config.Pull, s.Config.Pushed = true, !s.Config.Pull
+	s.Config.ListOnRequest, s.Config.ListFromAgent = true, !s.Config.ListOnRequest
 	p := &proxy{clock: clock}
 	databases := &net.Databases{ConnectTimeout: s.ConnectTimeout}
 	var err error
@@ -266,7 +266,7 @@
 			return nil, fmt.Errorf("admin: %w", err)
 		}
 	}
-	if cfg.PeerListen != "" && cfg.PeersAll != "" && s.Config.PeerFacts > 0 {
+	if cfg.PeerListen != "" && cfg.PeersAll != "" && s.Config.MaxPeerFacts > 0 {
 		peers, err := net.ListenPeers(p.loop, p.front, cfg.PeerListen, cfg.Peers, cfg.PeersAll)
 		if errors.Is(err, net.ErrPeers) {
 			return nil, err
@@ -278,7 +278,7 @@
 			p.front.Peers(peers)
 		}
 	}
-	p.discovery = net.NewDiscovery(p.loop, p.clock, p.front, cfg.Discovery, cfg.Known.Generation, s.Config.ListBound)
+	p.discovery = net.NewDiscovery(p.loop, p.clock, p.front, cfg.Discovery, cfg.Known.Generation, s.Config.ListMaxDelay)
 	p.loop.Post(func() {
 		p.startedAt = p.clock.Now()
 		p.front.Start(p.discovery, net.ListOf(cfg.Known))
--- a/internal/run/tier.go
+++ b/internal/run/tier.go
@@ -78,7 +78,7 @@
 		return
 	}
 	c := p.front.Config()
-	c.Classes, c.MaxAttempts, c.MayComeBack, c.MaxComeBack = next.Classes, next.MaxAttempts, next.MayComeBack, next.MaxComeBack
+	c.Classes, c.MaxAttempts, c.EnableRetryAfter, c.MaxRetryAfter = next.Classes, next.MaxAttempts, next.MayComeBack, next.MaxComeBack
 	p.front.Reload(c)
 	for _, k := range next.Classes {
 		p.patience = min(max(p.patience, k.Limit), longestPatience)
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	c := cfg.Settings.Config
-	p := &policy.Policy{Classes: c.Classes, MaxAttempts: c.MaxAttempts, MayComeBack: c.MayComeBack, MaxComeBack: c.MaxComeBack, Levels: own.Levels,
+	p := &policy.Policy{Classes: c.Classes, MaxAttempts: c.MaxAttempts, MayComeBack: c.EnableRetryAfter, MaxComeBack: c.MaxRetryAfter, Levels: own.Levels,
 		Handover: own.Handover, Tuning: own.Tuning}
 	return p, p.Check(policy.Running{})
 }
--- a/internal/state/audit_test.go
+++ b/internal/state/audit_test.go
@@ -106,7 +106,7 @@
 }
 
 func (q *audited) Refused(time.Duration) {
-	if q.class.Effect != logic.Free && !(q.class.Effect == logic.Guarded && q.class.Scope == logic.ScopeAll) {
+	if q.class.Effect != logic.Idempotent && !(q.class.Effect == logic.Guarded && q.class.Scope == logic.ScopeAll) {
 		for _, x := range q.tries {
 			if x.mayRun {
 				q.a.t.Errorf("request %d (%s) is refused though it may have run", q.n, q.class.Name)
@@ -204,7 +204,7 @@
 		t.Errorf("request %d is sent %v after its client left", q.n, a.now-q.leftAt)
 	case len(q.answers) > 0:
 		t.Errorf("request %d is sent behind its answer", q.n)
-	case to.Name == "" || to.State != logic.Ready && !(to.State == logic.Gone && a.cfg.DrainOnly && !a.drains[to.Name]):
+	case to.Name == "" || to.State != logic.Ready && !(to.State == logic.Gone && a.cfg.IgnoreGone && !a.drains[to.Name]):
 		t.Errorf("request %d is sent to %s, which is listed as %s", q.n, c.address, stateName(to.State))
 	case a.now >= q.until || wait <= 0 || a.now+wait > q.until:
 		t.Errorf("request %d is sent at %v of %v, to wait for %v", q.n, a.now-q.at, q.until-q.at, wait)
@@ -215,7 +215,7 @@
 		if x.open {
 			t.Errorf("request %d has two attempts out", q.n)
 		}
-		if !x.mayRun || q.class.Effect == logic.Free {
+		if !x.mayRun || q.class.Effect == logic.Idempotent {
 			continue
 		}
 		if q.class.Effect == logic.SingleShot || a.now > x.at+q.class.DedupWindow || x.group != to.Group && q.class.Scope == logic.ScopeCell ||
@@ -249,9 +249,9 @@
 	}
 	switch a.draw(16) {
 	case 1:
-		a.after(took, func() { c.tellOf(x, clean(logic.Miss)) })
+		a.after(took, func() { c.tellOf(x, clean(logic.Misdirected)) })
 	case 2:
-		a.after(took, func() { c.tellOf(x, clean(logic.Full)) })
+		a.after(took, func() { c.tellOf(x, clean(logic.Rejected)) })
 	case 3:
 		a.after(took, func() { c.tellOf(x, reply(Reply{Result: logic.Failed, Role: role})) })
 	case 4: // reset under the request
@@ -269,7 +269,7 @@
 		a.after(10*took, func() { c.tellOf(x, reply(Reply{Result: logic.OK, Body: body, Role: role})) })
 	default:
 		if q.class.Read == logic.Write && role != logic.RolePrimary {
-			a.after(took, func() { c.tellOf(x, clean(logic.Miss)) })
+			a.after(took, func() { c.tellOf(x, clean(logic.Misdirected)) })
 			break
 		}
 		a.after(took, func() {
@@ -358,10 +358,10 @@
 		return time.Duration(rapid.IntRange(from, to).Draw(t, name)) * time.Millisecond
 	}
 	yes := func(name string) bool { return rapid.Bool().Draw(t, name) }
-	c := logic.Config{Seed: uint64(rapid.IntRange(1, 9).Draw(t, "seed")), Fronts: rapid.IntRange(1, 3).Draw(t, "fronts"), Tick: 5 * time.Millisecond,
-		Pull: true, Carried: yes("carried"), MayProbe: yes("probes"), MayCancel: yes("cancel"), MayComeBack: yes("come back"),
-		MaxAttempts: rapid.IntRange(1, 6).Draw(t, "attempts"), MaxComeBack: 300 * time.Millisecond, Cold: 2 * time.Second, ColdShare: 0.2,
-		FallMultiple: 2.5, DrainOnly: yes("drain only"), Checks: logic.Checks(rapid.IntRange(0, 2).Draw(t, "checks")),
+	c := logic.Config{Seed: uint64(rapid.IntRange(1, 9).Draw(t, "seed")), Proxies: rapid.IntRange(1, 3).Draw(t, "fronts"), Tick: 5 * time.Millisecond,
+		ListOnRequest: true, SessionTokens: yes("carried"), EnableProbes: yes("probes"), EnableCancel: yes("cancel"), EnableRetryAfter: yes("come back"),
+		MaxAttempts: rapid.IntRange(1, 6).Draw(t, "attempts"), MaxRetryAfter: 300 * time.Millisecond, ColdPeriod: 2 * time.Second, ColdShare: 0.2,
+		OverloadMultiple: 2.5, IgnoreGone: yes("drain only"), LagCheck: logic.LagCheck(rapid.IntRange(0, 2).Draw(t, "checks")),
 		Zone: rapid.IntRange(0, 1).Draw(t, "zone")}
 	for i := range rapid.IntRange(1, 4).Draw(t, "classes") {
 		x := logic.Class{Name: fmt.Sprint("class ", i), Read: logic.Freshness(rapid.IntRange(0, 4).Draw(t, "read")), MaxAge: ms("age", 50, 800),
@@ -550,8 +550,8 @@
 				t.Errorf("an attempt still waits for a connection to %s", m.name)
 			}
 		}
-		if v, ok := f.planned.Member(a.now, m.id); ok && v.Out > 0 {
-			t.Errorf("%d of %s's slots are not returned", v.Out, m.name)
+		if v, ok := f.planned.MemberStats(a.now, m.id); ok && v.InFlight > 0 {
+			t.Errorf("%d of %s's slots are not returned", v.InFlight, m.name)
 		}
 	}
 	if f.links != open || held != open {
--- a/internal/state/catalogue.go
+++ b/internal/state/catalogue.go
@@ -27,7 +27,7 @@
 		if f.merged != nil {
 			f.merged = nil
 			f.Deadlines.Clear(&f.merging)
-			f.Fetch()
+			f.FetchList()
 		}
 		return
 	case f.merged == nil:
@@ -149,7 +149,7 @@
 		return
 	}
 	switch {
-	case r.Result == logic.OK || r.Result == logic.Miss || r.Result == logic.Failed || r.Result == logic.Full:
+	case r.Result == logic.OK || r.Result == logic.Misdirected || r.Result == logic.Failed || r.Result == logic.Rejected:
 		f.merged.MarkAlive(f.clock.Now(), m.name, r.opened)
 	case silent:
 		f.merged.MarkSilent(f.clock.Now(), m.name)
--- a/internal/state/catalogue_test.go
+++ b/internal/state/catalogue_test.go
@@ -50,21 +50,21 @@
 	b, tell := merging(t, false)
 	f := membership.Fact{ID: "m", Address: "127.0.0.1:9"}
 	tell(f)
-	if e, ok := b.listed("m"); !ok || e.Born != 0 {
+	if e, ok := b.listed("m"); !ok || e.StartedAt != 0 {
 		t.Fatalf("%+v", e)
 	}
 	f.Address = "127.0.0.1:10" // another process
 	b.pass(3 * time.Second)
 	tell(f)
 	first, _ := b.listed("m")
-	if first.Born != b.now {
-		t.Errorf("begun at %v, now is %v", first.Born, b.now)
+	if first.StartedAt != b.now {
+		t.Errorf("begun at %v, now is %v", first.StartedAt, b.now)
 	}
 	b.pass(3 * time.Second)
 	for i, step := range []time.Duration{2 * time.Millisecond, -2 * time.Millisecond} { // wall clocks are set
 		f.Zone, b.step = [...]string{"x", "y"}[i], step
 		tell(f)
-		if again, _ := b.listed("m"); again.Born != first.Born || again.Zone != i {
+		if again, _ := b.listed("m"); again.StartedAt != first.StartedAt || again.Zone != i {
 			t.Errorf("%+v, before %+v", again, first)
 		}
 	}
@@ -80,15 +80,15 @@
 	}
 	at := b.Unix() - time.Second
 	first := tell(at)
-	if first.Born != b.now-time.Second {
+	if first.StartedAt != b.now-time.Second {
 		t.Errorf("%+v", first)
 	}
 	for _, step := range []time.Duration{time.Microsecond, -time.Microsecond, -time.Second} {
-		if b.step = step; tell(at).Born != first.Born {
+		if b.step = step; tell(at).StartedAt != first.StartedAt {
 			t.Errorf("a clock that was set by %v makes a start of it", step)
 		}
 	}
-	if tell(at+500*time.Millisecond).Born <= first.Born {
+	if tell(at+500*time.Millisecond).StartedAt <= first.StartedAt {
 		t.Error("a later start is one")
 	}
 }
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -75,11 +75,11 @@
 	switch r {
 	case logic.OK:
 		c.OK++
-	case logic.Miss:
+	case logic.Misdirected:
 		c.Miss++
 	case logic.Failed:
 		c.Error++
-	case logic.Full:
+	case logic.Rejected:
 		c.Full++
 	case logic.TimedOut:
 		c.TimedOut++
--- a/internal/state/ending.go
+++ b/internal/state/ending.go
@@ -13,7 +13,7 @@
 
 // EndAll answers at once whatever is still owed an answer. It may be called again: what came meanwhile is ended too.
 func (f *Front) EndAll() {
-	f.tell(func() { f.planned.EndAll(f.clock.Now()) })
+	f.tell(func() { f.planned.FinishAll(f.clock.Now()) })
 	var left []logic.RequestID // what the router hasn't been told of
 	for id, q := range f.requests {
 		if q.caller != nil {
--- a/internal/state/ending_test.go
+++ b/internal/state/ending_test.go
@@ -35,7 +35,7 @@
 				t.Errorf("%d requests were written, want %d", b.conns[0].sent, c.sent)
 			}
 			if c.sent == 0 {
-				b.want(outcome(logic.Moot, name == "no client any more"))
+				b.want(outcome(logic.NotSent, name == "no client any more"))
 				if busy := b.f.names["one"]; busy != nil && len(busy.opening) > 0 {
 					t.Error("the connection is still taken for one in the making")
 				}
@@ -56,7 +56,7 @@
 	if b.conns[0].sent != 1 {
 		t.Errorf("%d requests were written, want the first alone", b.conns[0].sent)
 	}
-	b.want(outcome(logic.Moot, true), outcome(logic.OK, true))
+	b.want(outcome(logic.NotSent, true), outcome(logic.OK, true))
 }
 
 // A connection in the making, whose attempt has gone out on one that an answer freed, serves the next attempt where no other may be opened.
@@ -116,7 +116,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, 9)
-			b.f.cfg.Logic.DrainOnly = true
+			b.f.cfg.Logic.IgnoreGone = true
 			b.take(&caller{})
 			for _, l := range c.lists {
 				b.f.Listed(l)
--- a/internal/state/figures.go
+++ b/internal/state/figures.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		listed++
-		if m.state != logic.Ready || f.planned != nil && f.planned.Avoids(now, m.id) {
+		if m.state != logic.Ready || f.planned != nil && f.planned.Excluded(now, m.id) {
 			avoided++
 		}
 	}
--- a/internal/state/front.go
+++ b/internal/state/front.go
@@ -147,8 +147,8 @@
 		f.classes[c.Name] = i
 	}
 	f.perClass = make([]ClassCounters, len(cfg.Logic.Classes))
-	if cfg.Logic.Connections == 0 {
-		cfg.Logic.Connections = cfg.MaxLinks
+	if cfg.Logic.MaxConnections == 0 {
+		cfg.Logic.MaxConnections = cfg.MaxLinks
 	}
 	var err error
 	f.planned, err = logic.New(cfg.Logic, f)
@@ -291,7 +291,7 @@
 	if m == nil || q.caller == nil || q.open != nil {
 		f.tell(func() {
 			f.router.Outcome(f.clock.Now(), logic.Outcome{Request: id, Attempt: a.n, Member: to,
-				Result: logic.Moot, Finished: q.caller == nil})
+				Result: logic.NotSent, Finished: q.caller == nil})
 		})
 		return
 	}
@@ -360,9 +360,9 @@
 		f.answer(q.id, &f.Counters.Failed, failedOf, func(c Caller) { c.Unfit(r.Body) })
 	}
 	now := f.clock.Now()
-	o := logic.Outcome{Request: q.id, Attempt: a.n, Member: a.to.id, Result: r.Result, Took: now - a.sentAt,
+	o := logic.Outcome{Request: q.id, Attempt: a.n, Member: a.to.id, Result: r.Result, Elapsed: now - a.sentAt,
 		Finished: q.caller == nil, Role: r.Role, Position: place(f.clock, time.Duration(r.Position)*time.Millisecond),
-		Load: f.report(r), Opened: r.opened, Refused: r.refused}
+		Load: f.report(r), ConnOpenedAt: r.opened, DialRefused: r.refused}
 	f.forget(q)
 	f.tell(func() { f.router.Outcome(f.clock.Now(), o) })
 }
@@ -377,14 +377,14 @@
 	f.Deadlines.Set(d, at, func() { f.tell(func() { f.router.Timer(f.clock.Now(), id) }) })
 }
 
-// Watch implements logic.Actions.
-func (f *Front) Watch(on bool) {
+// WatchList implements logic.Actions.
+func (f *Front) WatchList(on bool) {
 	f.Counters.ListCalls++
 	f.watcher.Watch(on)
 }
 
-// Fetch implements logic.Actions.
-func (f *Front) Fetch() {
+// FetchList implements logic.Actions.
+func (f *Front) FetchList() {
 	f.Counters.ListCalls++
 	f.watcher.Fetch()
 }
--- a/internal/state/health.go
+++ b/internal/state/health.go
@@ -55,7 +55,7 @@
 	}
 	if f.SharesChecks() {
 		f.checks.dropSubset(f)
-		f.tell(func() { f.planned.ShareChecks(f.clock.Now(), 0) })
+		f.tell(func() { f.planned.SetSharedChecks(f.clock.Now(), 0) })
 	}
 	f.checks = &sharedChecks{config: config, members: map[subset.DatabaseID]logic.MemberID{}}
 	f.checks.listed(f)
@@ -117,7 +117,7 @@
 		s.node = nil
 		f.Deadlines.Clear(&s.timer)
 		s.dropSubset(f)
-		f.tell(func() { f.planned.ShareChecks(f.clock.Now(), 0) })
+		f.tell(func() { f.planned.SetSharedChecks(f.clock.Now(), 0) })
 		return
 	}
 	config := healthcheck.Config{Self: s.config.Self, Epoch: s.config.Epoch, Seed: s.config.Seed, Plan: plan}
@@ -128,7 +128,7 @@
 	}
 	s.node.SetDatabases(now, s.databases)
 	s.node.SetTier(now, s.tier)
-	f.tell(func() { f.planned.ShareChecks(f.clock.Now(), plan.ChecksPerSecond) })
+	f.tell(func() { f.planned.SetSharedChecks(f.clock.Now(), plan.ChecksPerSecond) })
 	f.Deadlines.Set(&s.timer, now+nodeTick, func() { s.tick(f) })
 }
 
@@ -143,7 +143,7 @@
 		if m.state != logic.Ready {
 			continue
 		}
-		number := logic.ShortNumber(id)
+		number := logic.ShortID(id)
 		if _, taken := s.members[number]; taken {
 			shared[number] = true
 		}
@@ -181,7 +181,7 @@
 	}
 	orders := s.node.Tick(now)
 	for _, number := range orders.Checks {
-		f.tell(func() { f.planned.Check(f.clock.Now(), s.members[number]) })
+		f.tell(func() { f.planned.SendCheck(f.clock.Now(), s.members[number]) })
 	}
 	for _, m := range orders.Messages {
 		if m.ToPlanner { // there is no way to single peers yet
@@ -210,7 +210,7 @@
 func (s *sharedChecks) tellVerdicts(f *Front) {
 	for _, x := range s.node.TakeVerdicts(f.clock.Now()) {
 		f.Counters.Verdicts++
-		f.tell(func() { f.planned.Verdict(f.clock.Now(), s.members[x.Database], x.Verdict) })
+		f.tell(func() { f.planned.ApplyVerdict(f.clock.Now(), s.members[x.Database], x.Verdict) })
 	}
 }
 
@@ -221,22 +221,22 @@
 	}
 	now, seen := f.clock.Now(), observation(r)
 	load := f.report(r)
-	seen.ColdStart = seen.Answered && m.born > 0 && now-m.born < f.cfg.Logic.Cold
+	seen.ColdStart = seen.Answered && m.born > 0 && now-m.born < f.cfg.Logic.ColdPeriod
 	seen.Role, seen.Position = roleOf(load.Role), load.Position
-	s.node.Checked(now, logic.ShortNumber(m.id), seen)
+	s.node.Checked(now, logic.ShortID(m.id), seen)
 }
 
 // served takes an answer to a request as evidence of life.
 func (s *sharedChecks) served(f *Front, m *member, r Reply) {
 	if s != nil && s.node != nil && observation(r).Answered {
-		s.node.Served(f.clock.Now(), logic.ShortNumber(m.id))
+		s.node.Served(f.clock.Now(), logic.ShortID(m.id))
 	}
 }
 
 // observation says what a reply tells of its database's health.
 func observation(r Reply) healthcheck.Observation {
 	switch r.Result {
-	case logic.OK, logic.Miss, logic.Full:
+	case logic.OK, logic.Misdirected, logic.Rejected:
 		return healthcheck.Observation{Answered: true}
 	case logic.Failed:
 		return healthcheck.Observation{Answered: true, Failing: true}
--- a/internal/state/links.go
+++ b/internal/state/links.go
@@ -193,7 +193,7 @@
 	f := l.f
 	switch l.state {
 	case linkOpening: // it did not come up, and nothing was written
-		if r.Result != logic.Full {
+		if r.Result != logic.Rejected {
 			r.Result = logic.ConnectFailed
 		}
 		l.fail(r)
@@ -279,7 +279,7 @@
 func (l *link) Unopened() {
 	if l.state == linkOpening {
 		l.f.Counters.NoRoom++
-		l.fail(Reply{Result: logic.Moot})
+		l.fail(Reply{Result: logic.NotSent})
 	}
 }
 
@@ -307,7 +307,7 @@
 	switch {
 	case a != nil:
 		l.f.end(a, r)
-	case l.probing && r.Result == logic.Moot:
+	case l.probing && r.Result == logic.NotSent:
 		l.f.probeUnsent(l.m.id)
 	case l.probing && was != linkIdle:
 		l.f.probed(l.m, r, 0)
--- a/internal/state/members.go
+++ b/internal/state/members.go
@@ -68,7 +68,7 @@
 
 // take puts a list into effect.
 func (f *Front) take(l List) {
-	out := logic.List{Kind: l.Kind, Entries: make([]logic.Member, 0, len(l.Entries))}
+	out := logic.MemberList{Kind: l.Kind, Entries: make([]logic.Member, 0, len(l.Entries))}
 	f.changesLogged = 0
 	defer f.logFurtherChanges()
 	for _, m := range f.names {
@@ -78,7 +78,7 @@
 		m := f.member(e)
 		m.seen = true
 		out.Entries = append(out.Entries, logic.Member{ID: m.id, Zone: f.zone(e.Zone), Group: logic.GroupID(e.Group),
-			State: e.State, Size: e.Size, Born: m.born})
+			State: e.State, Size: e.Size, StartedAt: m.born})
 	}
 	if l.Kind != logic.ListDelta {
 		for _, m := range f.names {
@@ -117,7 +117,7 @@
 	if f.merged != nil {
 		f.merged.CatalogueFailed(f.clock.Now(), OwnList, why.Error())
 	}
-	f.tell(func() { f.router.Members(f.clock.Now(), logic.List{Kind: logic.ListFailed}) })
+	f.tell(func() { f.router.Members(f.clock.Now(), logic.MemberList{Kind: logic.ListFailed}) })
 }
 
 // member finds the member of an entry, or makes it, and brings it up to date.
@@ -178,13 +178,13 @@
 // sendable tells whether the list lets a new attempt go to a member. Where only a drain binds, one that is gone may be sent to, unless it
 // was draining before: its absence from a later list does not lift the drain.
 func (f *Front) sendable(m *member) bool {
-	return m.state == logic.Ready || m.state == logic.Gone && f.cfg.Logic.DrainOnly && !m.drained
+	return m.state == logic.Ready || m.state == logic.Gone && f.cfg.Logic.IgnoreGone && !m.drained
 }
 
 // forgetGone drops a member that is gone, once no connection to it is left: databases come and go under new names
 // all day. Where the list binds no one, only a whole list that leaves it out tells that it won't be sent to again.
 func (f *Front) forgetGone(m *member) {
-	if m.state == logic.Gone && (!m.seen || !f.cfg.Logic.DrainOnly) && len(m.links) == 0 && m.probe == nil && m.witness == nil &&
+	if m.state == logic.Gone && (!m.seen || !f.cfg.Logic.IgnoreGone) && len(m.links) == 0 && m.probe == nil && m.witness == nil &&
 		f.names[m.name] == m {
 		delete(f.names, m.name)
 		delete(f.members, m.id)
--- a/internal/state/place.go
+++ b/internal/state/place.go
@@ -31,7 +31,7 @@
 	unclaimed := func(l *link) bool { return l.attempt == nil && l.address == a.to.address }
 	i := slices.IndexFunc(a.to.opening, unclaimed)
 	if i < 0 {
-		f.drop(a, Reply{Result: logic.Moot})
+		f.drop(a, Reply{Result: logic.NotSent})
 		return
 	}
 	l := a.to.opening[i]
@@ -58,7 +58,7 @@
 	if f.stale(a) || l.address != a.to.address {
 		l.attempt, a.link = nil, nil
 		f.rest(l)
-		f.end(a, Reply{Result: logic.Moot})
+		f.end(a, Reply{Result: logic.NotSent})
 		return
 	}
 	l.state, l.attempt, a.link = linkBusy, a, l
--- a/internal/state/probes.go
+++ b/internal/state/probes.go
@@ -56,7 +56,7 @@
 
 // probeUnsent tells the router that a probe was never sent, which says nothing of its member.
 func (f *Front) probeUnsent(to logic.MemberID) {
-	f.tell(func() { f.router.Probed(f.clock.Now(), logic.Probed{Member: to, Result: logic.Moot}) })
+	f.tell(func() { f.router.ProbeDone(f.clock.Now(), logic.ProbeResult{Member: to, Result: logic.NotSent}) })
 }
 
 func (f *Front) ask(l *link) {
@@ -90,15 +90,15 @@
 		defer w.askAgain()
 	}
 	f.checks.checked(f, m, r)
-	p := logic.Probed{Member: m.id, Result: r.Result, Took: took, Report: f.report(r), Opened: r.opened, Refused: r.refused}
-	f.tell(func() { f.router.Probed(f.clock.Now(), p) })
+	p := logic.ProbeResult{Member: m.id, Result: r.Result, Elapsed: took, Report: f.report(r), ConnOpenedAt: r.opened, DialRefused: r.refused}
+	f.tell(func() { f.router.ProbeDone(f.clock.Now(), p) })
 }
 
 // testify ends a witness, and tells the router what became of it.
 func (l *link) testify(what handover.Testimony) {
 	f, m, opened := l.f, l.m, l.upAt
 	f.close(l)
-	f.tell(func() { f.router.Witness(f.clock.Now(), m.id, what, opened) })
+	f.tell(func() { f.router.ConnectionEvidence(f.clock.Now(), m.id, what, opened) })
 }
 
 // askAgain lets a witness speak, once the way is free: what was sent into a cut may be lost for good, or come many seconds
--- a/internal/state/reduced.go
+++ b/internal/state/reduced.go
@@ -33,7 +33,7 @@
 type reduced struct {
 	cfg     *levels.Config
 	groups  map[logic.GroupID]*levels.Controller
-	facts   logic.GroupFacts
+	facts   logic.GroupStats
 	timer   Deadline
 	history []LevelChange
 }
@@ -48,7 +48,7 @@
 	if cfg == nil {
 		f.Deadlines.Clear(&r.timer)
 		for id := range was {
-			f.planned.Plan(id, nil)
+			f.planned.SetAdmission(id, nil)
 		}
 		return
 	}
@@ -60,7 +60,7 @@
 		from := c.Status(now).Name
 		d, next := c.Adopt(now, cfg)
 		r.groups[id] = next
-		f.planned.Plan(id, next.Plan())
+		f.planned.SetAdmission(id, next.Plan())
 		if d.Changed {
 			f.levelChanged(id, from, d)
 		}
@@ -73,7 +73,7 @@
 	now := f.clock.Now()
 	f.Deadlines.Set(&r.timer, now+levelTick, f.levelTick)
 	for _, id := range f.planned.Groups() {
-		if !f.planned.Facts(now, id, &r.facts) {
+		if !f.planned.GroupStats(now, id, &r.facts) {
 			continue
 		}
 		c := r.groups[id]
@@ -82,7 +82,7 @@
 			r.groups[id] = c
 		}
 		d := c.Tick(now, &r.facts)
-		f.planned.Plan(id, c.Plan())
+		f.planned.SetAdmission(id, c.Plan())
 		if d.Changed {
 			f.levelChanged(id, r.cfg.Ladder[d.From].Name, d)
 		}
--- a/internal/state/reload.go
+++ b/internal/state/reload.go
@@ -9,8 +9,8 @@
 // Reload puts the classes of another configuration into force, and its limits on attempts and on hints. What is open goes on under the
 // rules by which it was taken; a class that is not named any more is unknown from now on.
 func (f *Front) Reload(cfg logic.Config) {
-	f.cfg.Logic.MaxAttempts, f.cfg.Logic.MayComeBack, f.cfg.Logic.MaxComeBack = cfg.MaxAttempts, cfg.MayComeBack, cfg.MaxComeBack
-	at := f.planned.Reload(cfg.Classes, cfg.MaxAttempts, cfg.MayComeBack, cfg.MaxComeBack)
+	f.cfg.Logic.MaxAttempts, f.cfg.Logic.EnableRetryAfter, f.cfg.Logic.MaxRetryAfter = cfg.MaxAttempts, cfg.EnableRetryAfter, cfg.MaxRetryAfter
+	at := f.planned.Reload(cfg.Classes, cfg.MaxAttempts, cfg.EnableRetryAfter, cfg.MaxRetryAfter)
 	classes := slices.Clone(f.cfg.Logic.Classes)
 	f.classes = map[string]int{}
 	for i, c := range cfg.Classes {
--- a/internal/state/shortage_test.go
+++ b/internal/state/shortage_test.go
@@ -12,8 +12,8 @@
 func TestACheckWithoutRoomForItsConnectionIsNoSilence(t *testing.T) {
 	b := newBench(t, 0)
 	b.f.Probe(b.id("one"))
-	if b.probe.Result != logic.Moot || b.probe.Member != b.id("one") {
-		t.Errorf("the router was told result %d, want %d", b.probe.Result, logic.Moot)
+	if b.probe.Result != logic.NotSent || b.probe.Member != b.id("one") {
+		t.Errorf("the router was told result %d, want %d", b.probe.Result, logic.NotSent)
 	}
 	if b.f.names["one"].silent {
 		t.Error("the database counts as silent, and was never asked")
@@ -24,7 +24,7 @@
 func TestAnAttemptWithoutRoomForItsConnectionBlamesNobody(t *testing.T) {
 	b := newBench(t, 0)
 	b.take(&caller{})
-	b.want("request", outcome(logic.Moot, false))
+	b.want("request", outcome(logic.NotSent, false))
 }
 
 // A dial that fails for want of something on this machine, such as a descriptor, is treated like one that was never made.
@@ -32,13 +32,13 @@
 	b := newBench(t, 9)
 	b.f.Probe(b.id("one"))
 	b.conns[0].to.Unopened()
-	if b.probe.Result != logic.Moot || b.f.names["one"].silent || b.f.links != 0 {
+	if b.probe.Result != logic.NotSent || b.f.names["one"].silent || b.f.links != 0 {
 		t.Errorf("a check: result %d, silent %v, %d connections counted", b.probe.Result, b.f.names["one"].silent, b.f.links)
 	}
 	b.told = nil
 	b.take(&caller{})
 	b.conns[1].to.Unopened()
-	b.want("request", outcome(logic.Moot, false))
+	b.want("request", outcome(logic.NotSent, false))
 	if b.f.Counters.NoRoom != 2 {
 		t.Errorf("%d connections are counted as without room, want 2", b.f.Counters.NoRoom)
 	}
--- a/internal/state/show.go
+++ b/internal/state/show.go
@@ -39,7 +39,7 @@
 	Name, Address string
 	Group         int
 	State         string // as listed
-	logic.MemberFacts
+	logic.MemberStats
 	Role   string
 	Health string
 	Behind time.Duration // age of the newest position known; negative = none is known
@@ -65,23 +65,23 @@
 
 func (f *Front) view(m *member) DatabaseView {
 	d := DatabaseView{Name: m.name, Address: m.address, State: stateName(m.state), Health: "ok", Behind: -1}
-	if facts, ok := f.planned.Member(f.clock.Now(), m.id); ok {
-		d.MemberFacts, d.Group = facts, int(facts.Group)
+	if facts, ok := f.planned.MemberStats(f.clock.Now(), m.id); ok {
+		d.MemberStats, d.Group = facts, int(facts.Group)
 		switch {
 		case facts.Silent:
 			d.Health = "silent"
-		case facts.Benched:
+		case facts.Failing:
 			d.Health = "failing"
 		case facts.Cold:
-			if d.Health = "cold"; facts.Doubt > 0 {
-				d.Health = fmt.Sprintf("cold? %.0f%%", 100*facts.Doubt)
+			if d.Health = "cold"; facts.RestartDoubt > 0 {
+				d.Health = fmt.Sprintf("cold? %.0f%%", 100*facts.RestartDoubt)
 			}
 		}
 		if facts.Position > 0 {
 			d.Behind = f.clock.Now() - facts.Position
 		}
 	}
-	d.Role = roleNames[d.MemberFacts.Role]
+	d.Role = roleNames[d.MemberStats.Role]
 	return d
 }
 
@@ -102,7 +102,7 @@
 // Switches gives the groups' places in their order, and behind them the last switches that have ended, the newest first.
 func (f *Front) Switches() (out []SwitchView) {
 	now := f.clock.Now()
-	groups, ended := f.planned.Switches(now)
+	groups, ended := f.planned.Handovers(now)
 	name := func(id uint64) string {
 		if m := f.members[logic.MemberID(id)]; m != nil {
 			return m.name
@@ -129,10 +129,10 @@
 }
 
 // Tune puts another tuning of the routes into force.
-func (f *Front) Tune(t logic.Tuning) { f.planned.Tune(t) }
+func (f *Front) Tune(t logic.Tuning) { f.planned.SetTuning(t) }
 
 // Handover puts other settings for switches into force; they must have passed their Check.
-func (f *Front) Handover(cfg handover.Config) { f.planned.Handover(cfg) }
+func (f *Front) Handover(cfg handover.Config) { f.planned.SetHandoverConfig(cfg) }
 
 // PoolView is the connections to a database.
 type PoolView struct {
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -20,9 +20,9 @@
 	now   time.Duration
 	conns []*conn
 	told  []string
-	probe logic.Probed
+	probe logic.ProbeResult
 	last  logic.Outcome
-	list  logic.List
+	list  logic.MemberList
 	req   logic.Request
 	onReq func()
 	depth int
@@ -41,7 +41,7 @@
 	b.told = append(b.told, fmt.Sprintf(format, args...))
 }
 
-func (b *bench) Members(_ time.Duration, l logic.List) { b.list = l }
+func (b *bench) Members(_ time.Duration, l logic.MemberList) { b.list = l }
 func (b *bench) Request(_ time.Duration, q logic.Request) {
 	b.note("request")
 	b.depth++
@@ -50,18 +50,21 @@
 	}
 	b.depth--
 }
-func (b *bench) Started(time.Duration, logic.RequestID, int) {}
+func (b *bench) ResponseStarted(time.Duration, logic.RequestID, int) {}
 func (b *bench) Outcome(_ time.Duration, o logic.Outcome) {
 	b.last = o
 	b.note("outcome %d finished=%v", o.Result, o.Finished)
 }
-func (b *bench) Probed(_ time.Duration, p logic.Probed)   { b.probe = p; b.note("probed %d", p.Result) }
+func (b *bench) ProbeDone(_ time.Duration, p logic.ProbeResult) {
+	b.probe = p
+	b.note("probed %d", p.Result)
+}
 func (b *bench) Timer(time.Duration, logic.TimerID)       { b.note("timer") }
 func (b *bench) Abandoned(time.Duration, logic.RequestID) { b.note("abandoned") }
-func (b *bench) Witness(_ time.Duration, _ logic.MemberID, what handover.Testimony, opened time.Duration) {
+func (b *bench) ConnectionEvidence(_ time.Duration, _ logic.MemberID, what handover.Testimony, opened time.Duration) {
 	b.note("%s %v", [...]string{"answered", "ended", "mute"}[what], opened-clockBase)
 }
-func (b *bench) Heard(_ time.Duration, facts []peers.Fact) {
+func (b *bench) PeerFacts(_ time.Duration, facts []peers.Fact) {
 	b.facts = append([]peers.Fact(nil), facts...)
 }
 func (b *bench) Watch(bool)   {}
@@ -181,7 +184,7 @@
 		"refused":        {func(b *bench) { b.conns[0].to.Refused() }, logic.ConnectFailed},
 		"reset on dial":  {func(b *bench) { b.conns[0].to.Down() }, logic.ConnectFailed},
 		"never up":       {func(b *bench) { b.pass(250 * time.Millisecond) }, logic.ConnectFailed},
-		"turned away":    {func(b *bench) { b.conns[0].to.Reply(Reply{Result: logic.Full}) }, logic.Full},
+		"turned away":    {func(b *bench) { b.conns[0].to.Reply(Reply{Result: logic.Rejected}) }, logic.Rejected},
 		"unwelcome":      {func(b *bench) { b.conns[0].to.Reply(Reply{Result: logic.Failed}) }, logic.ConnectFailed},
 		"not written":    {func(b *bench) { b.conns[0].err = errors.New("broken"); b.conns[0].to.Up() }, logic.ConnectFailed},
 		"broken behind":  {func(b *bench) { b.conns[0].to.Up(); b.conns[0].to.Down() }, logic.Reset},
@@ -194,8 +197,8 @@
 			b.take(&caller{})
 			c.do(b)
 			b.want("request", outcome(c.want, false))
-			if b.last.Refused != (name == "refused") {
-				t.Errorf("told that nothing listens there: %v", b.last.Refused)
+			if b.last.DialRefused != (name == "refused") {
+				t.Errorf("told that nothing listens there: %v", b.last.DialRefused)
 			}
 			if !b.conns[0].closed {
 				t.Error("the connection is still open: what comes on it would be taken for the next answer")
@@ -297,7 +300,7 @@
 	b := newBench(t, 9)
 	id := b.take(&caller{})
 	b.f.Send(id, b.id("two"), time.Second)
-	if b.want("request", outcome(logic.Moot, false)); len(b.conns) != 1 {
+	if b.want("request", outcome(logic.NotSent, false)); len(b.conns) != 1 {
 		t.Errorf("%d connections", len(b.conns))
 	}
 }
@@ -309,7 +312,7 @@
 	if _, err := b.f.Take(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c}); err != nil {
 		t.Fatal(err)
 	}
-	b.want("request", outcome(logic.Moot, false), fmt.Sprintf("probed %d", logic.Moot))
+	b.want("request", outcome(logic.NotSent, false), fmt.Sprintf("probed %d", logic.NotSent))
 	b.f.Refuse(1, time.Millisecond)
 	c.want(t, "refused 1ms")
 }
@@ -381,7 +384,7 @@
 	b.conns[0].to.Up()
 	b.pass(2 * time.Millisecond)
 	b.conns[0].to.Reply(Reply{Result: logic.OK, Load: Load{Told: true, Role: logic.RolePrimary, Position: 1767312000.05, Queue: -1}})
-	if p := b.probe; p.Took != 2*time.Millisecond || p.Report.Role != logic.RolePrimary || len(b.conns) != 1 {
+	if p := b.probe; p.Elapsed != 2*time.Millisecond || p.Report.Role != logic.RolePrimary || len(b.conns) != 1 {
 		t.Errorf("%+v", p)
 	}
 	want := clockBase + 50*time.Millisecond
@@ -453,7 +456,7 @@
 
 func TestListIsPassedOnWithMovesAndLeavers(t *testing.T) {
 	b := newBench(t, 9)
-	if e := b.list.Entries; b.list.Kind != logic.ListCached || len(e) != 2 || e[0].Zone != 1 || e[1].Zone != -1 || e[0].Born != 0 {
+	if e := b.list.Entries; b.list.Kind != logic.ListCached || len(e) != 2 || e[0].Zone != 1 || e[1].Zone != -1 || e[0].StartedAt != 0 {
 		t.Fatalf("%+v", b.list)
 	}
 	b.take(&caller{})
@@ -461,7 +464,7 @@
 	b.conns[0].to.Reply(Reply{Result: logic.OK})
 	b.f.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Ready,
 		Started: b.Unix() - time.Second}}})
-	if e := b.list.Entries; len(e) != 1 || e[0].ID != b.id("one") || e[0].Born != b.now-time.Second {
+	if e := b.list.Entries; len(e) != 1 || e[0].ID != b.id("one") || e[0].StartedAt != b.now-time.Second {
 		t.Errorf("%+v", b.list)
 	}
 	if !b.conns[0].closed {
--- a/internal/state/subset.go
+++ b/internal/state/subset.go
@@ -61,7 +61,7 @@
 		_, kept := inSubset[id]
 		f.setOutsideSubset(m, used && !kept)
 	}
-	f.tell(func() { f.planned.UseSubset(ids) })
+	f.tell(func() { f.planned.SetSubset(ids) })
 }
 
 // setOutsideSubset tells whether connections to a member are to be closed soon where they are idle; those that are idle now, too.
@@ -84,7 +84,7 @@
 	for _, m := range f.members {
 		f.setOutsideSubset(m, false)
 	}
-	f.tell(func() { f.planned.UseSubset(nil) })
+	f.tell(func() { f.planned.SetSubset(nil) })
 }
 
 // usedGroups gives the groups that this proxy sends requests to.
@@ -114,12 +114,12 @@
 		if m == nil {
 			continue
 		}
-		facts, ok := f.planned.Member(now, m.id)
+		facts, ok := f.planned.MemberStats(now, m.id)
 		if !ok {
 			continue
 		}
 		databases = append(databases, subset.Database{ID: number, Group: subset.GroupID(m.group), Role: roleOf(facts.Role), Zone: m.zone,
-			Usable: m.state == logic.Ready && !facts.Silent && !facts.Benched})
+			Usable: m.state == logic.Ready && !facts.Silent && !facts.Failing})
 	}
 	return databases
 }
--- a/internal/state/tier.go
+++ b/internal/state/tier.go
@@ -162,7 +162,7 @@
 		}
 	}
 	class := q.class
-	out := logic.Request{ID: q.id, Class: class, Group: logic.GroupID(in.Group), Caller: in.Session,
+	out := logic.Request{ID: q.id, Class: class, Group: logic.GroupID(in.Group), ClientKey: in.Session,
 		Deadline: q.until, Retry: in.Retry}
 	if c, ok := in.Command.(interface{ Size() int }); ok {
 		out.Size = c.Size()
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -113,23 +113,23 @@
 	}
 	listRole, err1 := word("domain.list_role", d.ListRole, map[string]logic.ListRole{
 		"none": logic.ListRoleNone, "start": logic.ListRoleStart, "late": logic.ListRoleLate})
-	checks, err2 := word("domain.server_checks", d.Checks, map[string]logic.Checks{
-		"none": logic.ChecksNone, "refuse": logic.ChecksRefuse, "wait": logic.ChecksWait})
+	checks, err2 := word("domain.server_checks", d.Checks, map[string]logic.LagCheck{
+		"none": logic.LagCheckNone, "refuse": logic.LagCheckRefuse, "wait": logic.LagCheckWait})
 	pull, err3 := word("discovery", j.Discovery, map[string]bool{"pushed": false, "on_request": true})
 	carried, err4 := word("domain.session_marks", d.Marks, map[string]bool{"remembered": false, "carried": true})
 	if err := errors.Join(err1, err2, err3, err4); err != nil {
 		return Settings{}, err
 	}
 	cfg := logic.Config{
-		Seed: seed, Fronts: j.Fleet, Zone: j.Zone, OverShare: j.OverShare, Tick: micros(j.Tick),
-		Pull: pull, ListRole: listRole, Carried: carried, Checks: checks,
-		MayProbe: l.Probes, MayCancel: l.MayCancel, Parallel: l.Parallel, MayComeBack: l.RetryAfter,
-		MaxAttempts: l.MaxAttempts, MaxComeBack: micros(l.MaxRetryAfter),
-		Cold: micros(s.Cold), ColdShare: s.ColdShare, FallMultiple: s.Multiple, DrainOnly: s.DrainOnly,
+		Seed: seed, Proxies: j.Fleet, Zone: j.Zone, OverShareWorth: j.OverShare, Tick: micros(j.Tick),
+		ListOnRequest: pull, ListRole: listRole, SessionTokens: carried, LagCheck: checks,
+		EnableProbes: l.Probes, EnableCancel: l.MayCancel, ParallelAttempts: l.Parallel, EnableRetryAfter: l.RetryAfter,
+		MaxAttempts: l.MaxAttempts, MaxRetryAfter: micros(l.MaxRetryAfter),
+		ColdPeriod: micros(s.Cold), ColdShare: s.ColdShare, OverloadMultiple: s.Multiple, IgnoreGone: s.DrainOnly,
 	}
-	cfg.ListBound = listBound(pull, micros(s.AskWithin), micros(s.Drain))
+	cfg.ListMaxDelay = listBound(pull, micros(s.AskWithin), micros(s.Drain))
 	if l.Peers {
-		cfg.PeerFacts = peers.MaxFacts
+		cfg.MaxPeerFacts = peers.MaxFacts
 	}
 	for i, c := range j.Classes {
 		class, err := parseClass(c, d.Freshness[i])
@@ -170,7 +170,7 @@
 	read, err1 := word("freshness", freshness, map[string]logic.Freshness{"any": logic.Any,
 		"bounded": logic.Bounded, "session": logic.Session, "fresh": logic.Fresh, "write": logic.Write})
 	effect, err2 := word("effect", c.Effect, map[string]logic.Effect{
-		"free": logic.Free, "guarded": logic.Guarded, "single_shot": logic.SingleShot})
+		"free": logic.Idempotent, "guarded": logic.Guarded, "single_shot": logic.SingleShot})
 	scope, err3 := word("key_scope", c.Scope, map[string]logic.KeyScope{
 		"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell})
 	if err := errors.Join(err1, err2, err3); err != nil {
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -26,11 +26,11 @@
 		t.Fatal(err)
 	}
 	c := s.Config
-	if c.Seed != 9 || c.Fronts != 3 || c.Tick != 5*time.Millisecond || c.Zone != 1 || !c.Pull || !c.Carried ||
-		c.Checks != logic.ChecksWait || c.ListRole != logic.ListRoleLate ||
+	if c.Seed != 9 || c.Proxies != 3 || c.Tick != 5*time.Millisecond || c.Zone != 1 || !c.ListOnRequest || !c.SessionTokens ||
+		c.LagCheck != logic.LagCheckWait || c.ListRole != logic.ListRoleLate ||
 		c.Classes[0].MaxAge != 800*time.Millisecond || c.Classes[1].Scope != logic.ScopeCell ||
 		c.Classes[1].DedupWindow != 1200*time.Millisecond || c.Tenants[0].Quota != 12.5 ||
-		c.FallMultiple != 3 || s.Origin != 613484020636*time.Microsecond || len(s.Fields) != 2 {
+		c.OverloadMultiple != 3 || s.Origin != 613484020636*time.Microsecond || len(s.Fields) != 2 {
 		t.Errorf("%+v", s)
 	}
 	for want, text := range map[string]string{
--- a/internal/wire/sim/frames.go
+++ b/internal/wire/sim/frames.go
@@ -78,12 +78,12 @@
 	Instance uint32
 	Seed     uint64
 	Settings []byte
-	List     logic.List
+	List     logic.MemberList
 	Request  logic.Request
 	ID       logic.RequestID
 	Attempt  int
 	Outcome  logic.Outcome
-	Probed   logic.Probed
+	Probed   logic.ProbeResult
 	Timer    logic.TimerID
 	Message  []byte // of a peer
 }
@@ -218,7 +218,7 @@
 	for ; len(raw) > 0; raw = raw[entrySize:] {
 		e := record(raw[:entrySize])
 		m := logic.Member{ID: e.member(0), Zone: int(e.u16(6)), Group: logic.GroupID(e.u16(10)),
-			Primary: e.f32(13) == 1, Size: float64(e.f32(17)), Born: micros64(e.u64(21))}
+			Primary: e.f32(13) == 1, Size: float64(e.f32(17)), StartedAt: micros64(e.u64(21))}
 		switch e.u8(12) {
 		case 1:
 			m.State = logic.Ready
@@ -264,12 +264,12 @@
 		e.Kind, e.Timer = Timer, logic.TimerID(rec.u64(5))
 	case codePong:
 		e.Kind = Probed
-		e.Probed = logic.Probed{Member: rec.member(7), Took: rec.micros(13), Report: sc.report(rec, 17)}
+		e.Probed = logic.ProbeResult{Member: rec.member(7), Elapsed: rec.micros(13), Report: sc.report(rec, 17)}
 		e.Probed.Result, err = result(rec.u16(5))
 	case codeEnd:
 		e.Kind = Outcome
 		e.Outcome = logic.Outcome{Request: logic.RequestID(rec.u64(5)), Attempt: int(rec.u8(17)),
-			Member: rec.member(18), Took: rec.micros(24), Finished: rec.u8(28) != 0, Load: sc.report(rec, 31)}
+			Member: rec.member(18), Elapsed: rec.micros(24), Finished: rec.u8(28) != 0, Load: sc.report(rec, 31)}
 		e.Outcome.Role, e.Outcome.Position = sc.note(rec.u32(13))
 		e.Outcome.Result, err = result(rec.u16(29))
 	case codeAbandoned:
@@ -288,11 +288,11 @@
 	case 100:
 		return logic.OK, nil
 	case 101:
-		return logic.Miss, nil
+		return logic.Misdirected, nil
 	case 301:
 		return logic.Failed, nil
 	case 302:
-		return logic.Full, nil
+		return logic.Rejected, nil
 	case 303:
 		return logic.TimedOut, nil
 	case 304:
@@ -302,7 +302,7 @@
 	case 306:
 		return logic.Cancelled, nil
 	case 307:
-		return logic.Moot, nil
+		return logic.NotSent, nil
 	}
 	return 0, fmt.Errorf("outcome code %d is unknown", code)
 }
@@ -425,15 +425,15 @@
 	rec.putU64(13, uint64((at+time.Microsecond-1)/time.Microsecond))
 }
 
-// Watch implements logic.Actions.
-func (e *Encoder) Watch(on bool) {
+// WatchList implements logic.Actions.
+func (e *Encoder) WatchList(on bool) {
 	if rec := e.add(actObserve); on {
 		rec[5] = 1
 	}
 }
 
-// Tell implements logic.Actions.
-func (e *Encoder) Tell(facts []peers.Fact) {
+// SendToPeers implements logic.Actions.
+func (e *Encoder) SendToPeers(facts []peers.Fact) {
 	if e.message = wirepeers.Append(e.message[:0], e.Now, e.Now, facts); len(e.message) > 0 {
 		e.Share(everyone, string(e.message))
 	}
@@ -442,8 +442,8 @@
 // everyone is the target of what goes to all peers.
 const everyone = math.MaxUint32
 
-// Fetch implements logic.Actions.
-func (e *Encoder) Fetch() { e.add(actPull) }
+// FetchList implements logic.Actions.
+func (e *Encoder) FetchList() { e.add(actPull) }
 
 // Log implements logic.Actions.
 func (e *Encoder) Log(text string) { e.text(actRecord, text) }
--- a/internal/wire/sim/sim_test.go
+++ b/internal/wire/sim/sim_test.go
@@ -80,7 +80,7 @@
 		t.Errorf("Timer %+v, Abandoned %+v", ev[1], ev[2])
 	}
 	o := ev[3].Outcome
-	want := logic.Outcome{Request: 25486, Member: 0x074a120a2bc3, Result: logic.OK, Took: 18500 * time.Microsecond,
+	want := logic.Outcome{Request: 25486, Member: 0x074a120a2bc3, Result: logic.OK, Elapsed: 18500 * time.Microsecond,
 		Finished: true, Role: logic.RolePrimary, Position: time.Second + 6*time.Millisecond}
 	want.Member = logic.MemberID(0x0a124a07)<<16 | 0x2bc3
 	want.Load.Queue = -1
@@ -102,11 +102,11 @@
 	}
 	x, y := ev[0].List, ev[1].List
 	if x.Kind != logic.ListCached || len(x.Entries) != 1 || !x.Entries[0].Primary || x.Entries[0].State != logic.Ready ||
-		x.Entries[0].Zone != 1 || x.Entries[0].Group != 11 || x.Entries[0].Size != 1 || x.Entries[0].Born != 0 {
+		x.Entries[0].Zone != 1 || x.Entries[0].Group != 11 || x.Entries[0].Size != 1 || x.Entries[0].StartedAt != 0 {
 		t.Errorf("first list: %+v", x)
 	}
 	if y.Kind != logic.ListFull || len(y.Entries) != 1 || y.Entries[0].State != logic.Draining || y.Entries[0].Size != 1.5 ||
-		y.Entries[0].Born != 0x5d1420*time.Microsecond || y.Entries[0].Primary {
+		y.Entries[0].StartedAt != 0x5d1420*time.Microsecond || y.Entries[0].Primary {
 		t.Errorf("second list: %+v", y)
 	}
 	if ev[2].List.Kind != logic.ListFailed || len(ev[2].List.Entries) != 0 {
@@ -188,9 +188,9 @@
 	e.Refuse(id, time.Second)
 	e.Fail(id)
 	e.Cancel(id, 2)
-	e.Watch(true)
-	e.Watch(false)
-	e.Fetch()
+	e.WatchList(true)
+	e.WatchList(false)
+	e.FetchList()
 	e.ShutIdle(m)
 	e.Share(0xffffffff, "hi 7")
 	e.GiveIn("no")
--- a/logic/api.go
+++ b/logic/api.go
@@ -50,7 +50,7 @@
 
 // The kinds of effect.
 const (
-	Free       Effect = iota // safe to repeat
+	Idempotent Effect = iota // safe to repeat
 	Guarded                  // carries a key; repeats are dropped for Class.DedupWindow
 	SingleShot               // must never run twice
 )
@@ -65,14 +65,14 @@
 	ScopeCell                 // members of the same group
 )
 
-// Checks says what a member does with a read for which it lags too far behind.
-type Checks uint8
+// LagCheck says what a member does with a read for which it lags too far behind.
+type LagCheck uint8
 
 // The kinds of member-side checks.
 const (
-	ChecksNone   Checks = iota // answers from what it has
-	ChecksRefuse               // answers OutcomeMiss at once
-	ChecksWait                 // waits a little, then OutcomeMiss
+	LagCheckNone   LagCheck = iota // answers from what it has
+	LagCheckRefuse                 // answers OutcomeMiss at once
+	LagCheckWait                   // waits a little, then OutcomeMiss
 )
 
 // ListRole says how far the member list tells who is primary.
@@ -109,39 +109,39 @@
 // Config is all that a router is told at its start. Every field is a fact about the deployment; the zero
 // value of an optional one means "not so" or "none".
 type Config struct {
-	Seed   uint64 // for the router's own random numbers
-	Fronts int    // how many fronts share the traffic
-	Zone   int    // the zone of this front
+	Seed    uint64 // for the router's own random numbers
+	Proxies int    // how many fronts share the traffic
+	Zone    int    // the zone of this front
 
-	Classes   []Class
-	Tenants   []Tenant
-	OverShare float64 // worth of a request beyond its tenant's share, as a part of its class's
+	Classes        []Class
+	Tenants        []Tenant
+	OverShareWorth float64 // worth of a request beyond its tenant's share, as a part of its class's
 
-	Tick time.Duration // the front hands over events no more often than this
-	Pull bool          // the member list comes only when asked for (Watch, Fetch)
-	// Pushed tells that an agent on this machine has the list, and that what the agent has counts as told from the router's first event on:
+	Tick          time.Duration // the front hands over events no more often than this
+	ListOnRequest bool          // the member list comes only when asked for (Watch, Fetch)
+	// ListFromAgent tells that an agent on this machine has the list, and that what the agent has counts as told from the router's first event on:
 	// a fresh router holds requests until the first call for it has ended. With Pull.
-	Pushed bool
-	// ListBound is by when a change of the list has to be known here, counted from when the list's service had it and could be reached,
+	ListFromAgent bool
+	// ListMaxDelay is by when a change of the list has to be known here, counted from when the list's service had it and could be reached,
 	// whatever call to it failed before; 0 = limit.DefaultBound.
-	ListBound time.Duration
-	ListRole  ListRole
-	Carried   bool // requests carry their session's token; otherwise the router remembers commits
-	Checks    Checks
-
-	MayProbe    bool
-	Connections int // to members that this front may have at once; 0 = any number
-	MayCancel   bool
-	Parallel    bool // two attempts of one request may be out together
-	PeerFacts   int  // how many facts a message to all peers holds; 0 = there is no talk
-	MayComeBack bool // clients are told when to come back
-	MaxAttempts int
-	MaxComeBack time.Duration // longest hint that clients heed
-
-	Cold         time.Duration // a started member is warm after this at most
-	ColdShare    float64       // a started member's capacity is at least this part of its usual one
-	FallMultiple float64       // a cold member that is sent more than this times its capacity falls over
-	DrainOnly    bool          // only a listed drain binds, "gone" doesn't
+	ListMaxDelay  time.Duration
+	ListRole      ListRole
+	SessionTokens bool // requests carry their session's token; otherwise the router remembers commits
+	LagCheck      LagCheck
+
+	EnableProbes     bool
+	MaxConnections   int // to members that this front may have at once; 0 = any number
+	EnableCancel     bool
+	ParallelAttempts bool // two attempts of one request may be out together
+	MaxPeerFacts     int  // how many facts a message to all peers holds; 0 = there is no talk
+	EnableRetryAfter bool // clients are told when to come back
+	MaxAttempts      int
+	MaxRetryAfter    time.Duration // longest hint that clients heed
+
+	ColdPeriod       time.Duration // a started member is warm after this at most
+	ColdShare        float64       // a started member's capacity is at least this part of its usual one
+	OverloadMultiple float64       // a cold member that is sent more than this times its capacity falls over
+	IgnoreGone       bool          // only a listed drain binds, "gone" doesn't
 
 	Handover handover.Config // what is held while a group has no primary; nothing by itself
 	Tuning   Tuning
@@ -167,16 +167,16 @@
 
 // Request is one try of a client.
 type Request struct {
-	ID       RequestID
-	Class    int // index into Config.Classes
-	Tenant   int // index into Config.Tenants
-	Group    GroupID
-	Session  SessionID
-	Caller   uint64        // the same with each try of one caller, for draws; 0 = each request by itself
-	Deadline time.Duration // when the client gives this try up
-	TokenAge time.Duration // Config.Carried: how long ago the session's last write was committed; 0 = none
-	Retry    bool          // the client says that it is a repeat
-	Size     int           // in bytes; 0 = not told
+	ID        RequestID
+	Class     int // index into Config.Classes
+	Tenant    int // index into Config.Tenants
+	Group     GroupID
+	Session   SessionID
+	ClientKey uint64        // the same with each try of one caller, for draws; 0 = each request by itself
+	Deadline  time.Duration // when the client gives this try up
+	TokenAge  time.Duration // Config.SessionTokens: how long ago the session's last write was committed; 0 = none
+	Retry     bool          // the client says that it is a repeat
+	Size      int           // in bytes; 0 = not told
 }
 
 // Result is how an attempt or a probe ended.
@@ -185,34 +185,34 @@
 // The results. NeverRan tells which of them prove that the attempt had no effect.
 const (
 	OK            Result = iota
-	Miss                 // turned away untouched: not the primary, or too far behind
+	Misdirected          // turned away untouched: not the primary, or too far behind
 	Failed               // the member answered with an error; it may have run
-	Full                 // turned away unseen: queue full or draining
+	Rejected             // turned away unseen: queue full or draining
 	TimedOut             // no answer in time; it may have run
 	ConnectFailed        // no connection could be made
 	Reset                // the connection broke; it may have run
 	Cancelled            // withdrawn; it may have run
-	Moot                 // never sent
+	NotSent              // never sent
 )
 
 // NeverRan tells whether the result proves that nothing ran.
 func (r Result) NeverRan() bool {
-	return r == Miss || r == Full || r == ConnectFailed || r == Moot
+	return r == Misdirected || r == Rejected || r == ConnectFailed || r == NotSent
 }
 
 // Outcome is the end of one attempt; every Send gets exactly one.
 type Outcome struct {
-	Request  RequestID
-	Attempt  int // 0 for the request's first Send, then 1, 2 ...
-	Member   MemberID
-	Result   Result
-	Took     time.Duration
-	Finished bool          // the request has had its final answer; a first OK gives it by itself
-	Role     Role          // what the answer told of the member's role
-	Position time.Duration // all commits up to then are applied (rounded down); of an OK write: its commit
-	Load     Report        // where answers carry reports
-	Opened   time.Duration // since when the connection was up that brought the answer; 0 = not told
-	Refused  bool          // of ConnectFailed: the dial was refused, so nothing listens there
+	Request      RequestID
+	Attempt      int // 0 for the request's first Send, then 1, 2 ...
+	Member       MemberID
+	Result       Result
+	Elapsed      time.Duration
+	Finished     bool          // the request has had its final answer; a first OK gives it by itself
+	Role         Role          // what the answer told of the member's role
+	Position     time.Duration // all commits up to then are applied (rounded down); of an OK write: its commit
+	Load         Report        // where answers carry reports
+	ConnOpenedAt time.Duration // since when the connection was up that brought the answer; 0 = not told
+	DialRefused  bool          // of ConnectFailed: the dial was refused, so nothing listens there
 }
 
 // Report is what a member says of itself, somewhat old.
@@ -222,14 +222,14 @@
 	Queue    float64       // requests waiting; negative = not told
 }
 
-// Probed is the result of one Probe.
-type Probed struct {
-	Member  MemberID
-	Result  Result
-	Took    time.Duration
-	Report  Report
-	Opened  time.Duration // as in Outcome
-	Refused bool          // as in Outcome
+// ProbeResult is the result of one Probe.
+type ProbeResult struct {
+	Member       MemberID
+	Result       Result
+	Elapsed      time.Duration
+	Report       Report
+	ConnOpenedAt time.Duration // as in Outcome
+	DialRefused  bool          // as in Outcome
 }
 
 // MemberState is what the list knows of a member's process.
@@ -244,13 +244,13 @@
 
 // Member is one entry of the member list.
 type Member struct {
-	ID      MemberID
-	Zone    int
-	Group   GroupID
-	State   MemberState
-	Primary bool
-	Size    float64
-	Born    time.Duration // when its process last started; 0 = long ago
+	ID        MemberID
+	Zone      int
+	Group     GroupID
+	State     MemberState
+	Primary   bool
+	Size      float64
+	StartedAt time.Duration // when its process last started; 0 = long ago
 }
 
 // ListKind says how a list event relates to what came before.
@@ -264,24 +264,24 @@
 	ListFailed                 // a call failed or the watch broke; nothing is changed
 )
 
-// List is news of the members.
-type List struct {
+// MemberList is news of the members.
+type MemberList struct {
 	Kind    ListKind
 	Entries []Member // valid only during the call
 }
 
 // Events are what a front tells its router. Calls must come one at a time, with a clock that never goes back.
 type Events interface {
-	Members(now time.Duration, l List)
+	Members(now time.Duration, l MemberList)
 	Request(now time.Duration, q Request)
-	Started(now time.Duration, id RequestID, attempt int) // a streamed answer has begun
+	ResponseStarted(now time.Duration, id RequestID, attempt int) // a streamed answer has begun
 	Outcome(now time.Duration, o Outcome)
-	Probed(now time.Duration, p Probed)
+	ProbeDone(now time.Duration, p ProbeResult)
 	Timer(now time.Duration, id TimerID)
-	// Witness tells what became of a connection from before a silence, up since opened.
-	Witness(now time.Duration, id MemberID, what handover.Testimony, opened time.Duration)
-	Heard(now time.Duration, facts []peers.Fact) // what a peer tells; valid during the call only
-	Abandoned(now time.Duration, id RequestID)   // the client left; nothing more is owed
+	// ConnectionEvidence tells what became of a connection from before a silence, up since opened.
+	ConnectionEvidence(now time.Duration, id MemberID, what handover.Testimony, opened time.Duration)
+	PeerFacts(now time.Duration, facts []peers.Fact) // what a peer tells; valid during the call only
+	Abandoned(now time.Duration, id RequestID)       // the client left; nothing more is owed
 }
 
 // Actions are what a router asks of its front, at the time of the event that it is handling.
@@ -292,8 +292,8 @@
 	Fail(id RequestID)                           // final: nothing is promised about the effect
 	Cancel(id RequestID, attempt int)
 	SetTimer(id TimerID, at time.Duration)
-	Watch(on bool)     // ask the list for changes from now on
-	Fetch()            // ask for the whole list once
-	Tell([]peers.Fact) // to all peers, in one message; valid during the call only
+	WatchList(on bool)        // ask the list for changes from now on
+	FetchList()               // ask for the whole list once
+	SendToPeers([]peers.Fact) // to all peers, in one message; valid during the call only
 	Log(text string)
 }
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -27,14 +27,14 @@
 	)
 	rng := rand.New(rand.NewPCG(seed, uint64(proxies)))
 	cfg := testConfig()
-	cfg.Fronts, cfg.Cold = proxies, cold
+	cfg.Proxies, cfg.ColdPeriod = proxies, cold
 	start := func(now time.Duration, born time.Duration) *coldFront {
 		cfg.Seed = rng.Uint64()
 		f := &coldFront{front: newFront(t, cfg)}
 		f.now = now
 		f.list(ListCached, 4)
 		if born > 0 {
-			f.r.Members(f.now, List{Entries: []Member{{ID: 2, State: Ready, Born: born}}})
+			f.r.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: born}}})
 		}
 		return f
 	}
@@ -52,7 +52,7 @@
 			born = now
 			for _, place := range all {
 				for _, f := range place {
-					f.r.Members(now, List{Entries: []Member{{ID: 2, State: Ready, Born: born}}})
+					f.r.Members(now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: born}}})
 				}
 			}
 		}
@@ -106,7 +106,7 @@
 		}
 		middle := from + window/2 - born
 		share := cfg.ColdShare + (1-cfg.ColdShare)*min(middle.Seconds()/cold.Seconds(), 1)
-		allowed := cfg.FallMultiple * share * full * window.Seconds()
+		allowed := cfg.OverloadMultiple * share * full * window.Seconds()
 		beyond = max(beyond, float64(n)-(allowed+2*math.Sqrt(allowed)+2))
 	}
 	return beyond, len(there)
--- a/logic/draws.go
+++ b/logic/draws.go
@@ -62,7 +62,7 @@
 
 // callerKey names a request's caller together with its class.
 func callerKey(q *Request) uint64 {
-	who := q.Caller
+	who := q.ClientKey
 	if who == 0 {
 		who = uint64(q.ID)
 	}
--- a/logic/ending.go
+++ b/logic/ending.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// EndAll gives every open request its final answer now, in the order in which they came: refused where nothing of it can have run, failed
+// FinishAll gives every open request its final answer now, in the order in which they came: refused where nothing of it can have run, failed
 // elsewhere. It is for a front that ends before their deadlines: what its process takes with it unanswered would be lost.
-func (r *Router) EndAll(now time.Duration) {
+func (r *Router) FinishAll(now time.Duration) {
 	r.begin(now)
 	ids := make([]RequestID, 0, len(r.requests))
 	for id := range r.requests {
--- a/logic/front_test.go
+++ b/logic/front_test.go
@@ -55,9 +55,9 @@
 }
 func (f *front) Cancel(RequestID, int)                { f.cancels++ }
 func (f *front) SetTimer(_ TimerID, at time.Duration) { f.timers = append(f.timers, at) }
-func (f *front) Watch(bool)                           { f.watches++ }
-func (f *front) Fetch()                               {}
-func (f *front) Tell([]peers.Fact)                    {}
+func (f *front) WatchList(bool)                       { f.watches++ }
+func (f *front) FetchList()                           {}
+func (f *front) SendToPeers([]peers.Fact)             {}
 func (f *front) Log(string)                           {}
 
 // The classes of the tests' configuration.
@@ -71,7 +71,7 @@
 )
 
 func testConfig() Config {
-	return Config{Seed: 7, Fronts: 2, Tick: 5 * ms, Classes: []Class{
+	return Config{Seed: 7, Proxies: 2, Tick: 5 * ms, Classes: []Class{
 		{Name: "bounded", Read: Bounded, MaxAge: 800 * ms, Aim: 500 * ms, Limit: 1500 * ms, Worth: 1},
 		{Name: "session", Read: Session, Aim: 400 * ms, Limit: 1000 * ms, Worth: 1},
 		{Name: "any", Read: Any, Aim: 4 * time.Second, Limit: 8 * time.Second, Worth: 6},
@@ -79,9 +79,9 @@
 			Aim: 1500 * ms, Limit: 2 * time.Second, Worth: 4},
 		{Name: "unsafe", Read: Write, Effect: SingleShot, Aim: 500 * ms, Limit: 5 * time.Second, Worth: 3},
 		{Name: "fresh", Read: Fresh, Aim: 500 * ms, Limit: 2 * time.Second, Worth: 1},
-	}, MayProbe: true, MayCancel: true, Parallel: true, MayComeBack: true, MaxAttempts: 8,
-		MaxComeBack: 500 * ms, Cold: 16 * time.Second,
-		ColdShare: 0.16, FallMultiple: 3}
+	}, EnableProbes: true, EnableCancel: true, ParallelAttempts: true, EnableRetryAfter: true, MaxAttempts: 8,
+		MaxRetryAfter: 500 * ms, ColdPeriod: 16 * time.Second,
+		ColdShare: 0.16, OverloadMultiple: 3}
 }
 
 func newFront(t *testing.T, cfg Config) *front {
@@ -107,7 +107,7 @@
 func entry(id int) Member { return Member{ID: MemberID(id), Group: 0, State: Ready} }
 
 func (f *front) list(kind ListKind, n int) {
-	var l List
+	var l MemberList
 	l.Kind = kind
 	for i := 1; i <= n; i++ {
 		l.Entries = append(l.Entries, entry(i))
@@ -135,7 +135,7 @@
 		if m == 1 {
 			rep = Report{Role: RolePrimary, Position: f.now}
 		}
-		f.r.Probed(f.now, Probed{Member: m, Took: ms, Report: rep})
+		f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ms, Report: rep})
 	}
 }
 
@@ -175,8 +175,8 @@
 
 // end reports the end of an attempt, with the role and position that the member would tell.
 func (f *front) end(s sent, res Result) {
-	o := Outcome{Request: s.id, Attempt: s.n, Member: s.to, Result: res, Took: f.now - s.at, Finished: res == OK}
-	if res == OK || res == Miss || res == Failed || res == Full {
+	o := Outcome{Request: s.id, Attempt: s.n, Member: s.to, Result: res, Elapsed: f.now - s.at, Finished: res == OK}
+	if res == OK || res == Misdirected || res == Failed || res == Rejected {
 		o.Role, o.Position = RoleReplica, f.now-10*ms
 		if s.to == 1 {
 			o.Role, o.Position = RolePrimary, f.now
@@ -212,7 +212,7 @@
 		return
 	}
 	now := 10 * time.Second
-	r.Members(now, List{Kind: ListFull, Entries: []Member{{ID: 42, Group: 3, State: Ready}}})
+	r.Members(now, MemberList{Kind: ListFull, Entries: []Member{{ID: 42, Group: 3, State: Ready}}})
 	r.Request(now, Request{ID: 1, Class: 0, Group: 3, Deadline: now + time.Second})
 	// Output: send request 1 to member 42
 }
@@ -227,9 +227,9 @@
 func (printer) Fail(RequestID)                  {}
 func (printer) Cancel(RequestID, int)           {}
 func (printer) SetTimer(TimerID, time.Duration) {}
-func (printer) Watch(bool)                      {}
-func (printer) Fetch()                          {}
-func (printer) Tell([]peers.Fact)               {}
+func (printer) WatchList(bool)                  {}
+func (printer) FetchList()                      {}
+func (printer) SendToPeers([]peers.Fact)        {}
 func (printer) Log(string)                      {}
 
 var _ Events = (*Router)(nil)
--- a/logic/health.go
+++ b/logic/health.go
@@ -39,8 +39,8 @@
 	return b.saved > reservedPart*b.perSecond
 }
 
-// ShareChecks tells that the tier shares health checks, and how many a second this proxy may send; 0 = they are not shared.
-func (r *Router) ShareChecks(now time.Duration, perSecond float64) {
+// SetSharedChecks tells that the tier shares health checks, and how many a second this proxy may send; 0 = they are not shared.
+func (r *Router) SetSharedChecks(now time.Duration, perSecond float64) {
 	r.checks = checkBudget{perSecond: perSecond, at: now}
 	r.pings.Shared = perSecond > 0
 	for _, m := range r.order {
@@ -65,7 +65,7 @@
 
 // probe sends a health check, if none is out.
 func (r *Router) probe(now time.Duration, m *member) {
-	if r.cfg.MayProbe && !m.probing && m.State == Ready {
+	if r.cfg.EnableProbes && !m.probing && m.State == Ready {
 		m.probing, m.probedAt = true, now
 		r.checks.spend(now)
 		r.wake(m)
@@ -76,7 +76,7 @@
 // trustsMembers tells whether a bounded read may go to a member whose position is not known to be recent enough. Where checks are shared,
 // positions come with answers and are old in groups that get few requests; members that check for themselves answer no read from data
 // that is too old.
-func (r *Router) trustsMembers() bool { return r.sharesChecks() && r.cfg.Checks != ChecksNone }
+func (r *Router) trustsMembers() bool { return r.sharesChecks() && r.cfg.LagCheck != LagCheckNone }
 
 // mayQualify tells whether a member is likely to be recent enough for a bounded read: its lag was within the bound when it last told its
 // position, or it has told none yet.
@@ -91,8 +91,8 @@
 	}
 }
 
-// Check sends a health check that this proxy owes its tier. Its outcome comes as that of any other.
-func (r *Router) Check(now time.Duration, id MemberID) {
+// SendCheck sends a health check that this proxy owes its tier. Its outcome comes as that of any other.
+func (r *Router) SendCheck(now time.Duration, id MemberID) {
 	r.begin(now)
 	if m := r.members[id]; m != nil {
 		r.probe(now, m)
@@ -105,9 +105,9 @@
 	return g != nil && ping.InUse(now, g.rate.last)
 }
 
-// Verdict takes what a quorum of the tier's checkers has found out about a member. A death counts as a failed health check of this
+// ApplyVerdict takes what a quorum of the tier's checkers has found out about a member. A death counts as a failed health check of this
 // proxy's own. Its end does not count as an answer: a member that is used is checked first, and one that is not when it is.
-func (r *Router) Verdict(now time.Duration, id MemberID, v healthcheck.Verdict) {
+func (r *Router) ApplyVerdict(now time.Duration, id MemberID, v healthcheck.Verdict) {
 	r.begin(now)
 	m := r.members[id]
 	if m == nil || !r.sharesChecks() {
@@ -127,7 +127,7 @@
 	}
 	if v.Failing && !was.Failing {
 		r.failures.Note(now, &m.bench, 1)
-		r.failures.Spread(now, &m.bench, r.cfg.Fronts, r.rng.Float64())
+		r.failures.Spread(now, &m.bench, r.cfg.Proxies, r.rng.Float64())
 	}
 	if was.State == healthcheck.Ejected && !m.ejected && m.seat.Silent && ping.InUse(now, m.group.rate.last) {
 		r.probe(now, m)
@@ -150,7 +150,7 @@
 // startedCold takes the word of a quorum that a member has just started, where nothing is known of it here. It only ever makes this proxy
 // send less: a start that is known stays as it is, and a member that is cold is never taken for a warm one.
 func (r *Router) startedCold(now time.Duration, m *member, at time.Duration) {
-	if _, sure := m.seat.Cold(now, r.cfg.Cold); sure == 0 && at > 0 {
+	if _, sure := m.seat.Cold(now, r.cfg.ColdPeriod); sure == 0 && at > 0 {
 		m.group.lead.Born(now, m.seat, min(at, now), false)
 		r.follow(now, m.group)
 	}
@@ -160,5 +160,5 @@
 	return [...]Role{subset.RoleUnknown: RoleUnknown, subset.Replica: RoleReplica, subset.Primary: RolePrimary}[role]
 }
 
-// ShortNumber gives the number of a member in the tier's messages.
-func ShortNumber(id MemberID) subset.DatabaseID { return subset.DatabaseID(peers.Short(uint64(id))) }
+// ShortID gives the number of a member in the tier's messages.
+func ShortID(id MemberID) subset.DatabaseID { return subset.DatabaseID(peers.Short(uint64(id))) }
--- a/logic/health_test.go
+++ b/logic/health_test.go
@@ -12,23 +12,23 @@
 func sharing(t *testing.T) *front {
 	f := settled(t, manyFronts(), 4)
 	f.pass(400 * ms)
-	f.r.ShareChecks(f.now, 10)
+	f.r.SetSharedChecks(f.now, 10)
 	f.probes = nil
 	return f
 }
 
 func TestOnlyAQuorumsDeathEjects(t *testing.T) {
 	f := sharing(t)
-	f.r.Verdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, Votes: 1, Quorum: 2})
-	f.r.Verdict(f.now, 3, healthcheck.Verdict{State: healthcheck.Doubted, Votes: 2, Quorum: 2})
+	f.r.ApplyVerdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, Votes: 1, Quorum: 2})
+	f.r.ApplyVerdict(f.now, 3, healthcheck.Verdict{State: healthcheck.Doubted, Votes: 2, Quorum: 2})
 	if f.r.members[2].seat.Silent || f.r.members[3].seat.Silent {
 		t.Error("a single checker's word, or one in doubt, has ejected a member")
 	}
-	f.r.Verdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Ejected, Votes: 2, Quorum: 2})
+	f.r.ApplyVerdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Ejected, Votes: 2, Quorum: 2})
 	if m := f.r.members[2]; !m.seat.Silent || f.r.usable(m, f.now) {
 		t.Error("a quorum's death has not ejected the member")
 	}
-	f.r.Verdict(f.now, 1, healthcheck.Verdict{State: healthcheck.Ejected, Votes: 2, Quorum: 2, Role: subset.Replica, RoleAt: f.now})
+	f.r.ApplyVerdict(f.now, 1, healthcheck.Verdict{State: healthcheck.Ejected, Votes: 2, Quorum: 2, Role: subset.Replica, RoleAt: f.now})
 	if f.r.members[1].role() != RolePrimary {
 		t.Error("the role of before a death is believed with it")
 	}
@@ -37,17 +37,17 @@
 // A verdict is no answer: whoever was ejected is used once it has answered this proxy itself, and is asked when it is to be used.
 func TestTheEndOfAnEjectionIsCheckedFirst(t *testing.T) {
 	f := sharing(t)
-	f.r.Verdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Ejected})
+	f.r.ApplyVerdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Ejected})
 	f.pass(6 * time.Second)
 	if len(f.probes) > 0 {
 		t.Errorf("an ejected member is checked by all: %v", f.probes)
 	}
 	f.r.members[2].group.rate.add(f.now, thinSpan)
-	f.r.Verdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving})
+	f.r.ApplyVerdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving})
 	if !f.r.members[2].seat.Silent || len(f.probes) != 1 || f.probes[0] != 2 {
 		t.Errorf("silent %v, checks %v", f.r.members[2].seat.Silent, f.probes)
 	}
-	f.r.Probed(f.now, Probed{Member: 2, Result: OK, Took: ms, Report: Report{Role: RoleReplica, Queue: -1}})
+	f.r.ProbeDone(f.now, ProbeResult{Member: 2, Result: OK, Elapsed: ms, Report: Report{Role: RoleReplica, Queue: -1}})
 	if f.r.members[2].seat.Silent {
 		t.Error("it has answered")
 	}
@@ -57,16 +57,16 @@
 	f := sharing(t)
 	m := f.r.members[3]
 	heard := f.now - 30*ms
-	f.r.Verdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleAt: f.now, Position: heard})
+	f.r.ApplyVerdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleAt: f.now, Position: heard})
 	f.pass(200 * ms)
 	if m.position != heard {
 		t.Errorf("position %v, heard was %v", m.position, heard)
 	}
-	f.r.Verdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleAt: f.now, Position: heard - time.Second})
+	f.r.ApplyVerdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleAt: f.now, Position: heard - time.Second})
 	if m.position != heard {
 		t.Error("a position has gone back")
 	}
-	f.r.Verdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleAt: f.now + time.Second, Position: f.now + time.Second})
+	f.r.ApplyVerdict(f.now, 3, healthcheck.Verdict{Role: subset.Replica, RoleAt: f.now + time.Second, Position: f.now + time.Second})
 	if m.position > f.now {
 		t.Error("data from the future")
 	}
@@ -76,19 +76,19 @@
 func TestHearsayNeverLoosensAColdBudget(t *testing.T) {
 	f := sharing(t)
 	m := f.r.members[2]
-	f.r.entry(f.now, Member{ID: 2, Group: m.Group, State: Ready, Size: 1, Born: f.now - time.Second})
+	f.r.entry(f.now, Member{ID: 2, Group: m.Group, State: Ready, Size: 1, StartedAt: f.now - time.Second})
 	cold := f.r.warmth(f.now, m)
-	f.r.Verdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, Role: subset.Replica, RoleAt: f.now})
-	f.r.Verdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, ColdStart: true, Role: subset.Replica, RoleAt: f.now - 10*time.Second})
+	f.r.ApplyVerdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, Role: subset.Replica, RoleAt: f.now})
+	f.r.ApplyVerdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, ColdStart: true, Role: subset.Replica, RoleAt: f.now - 10*time.Second})
 	if got := f.r.warmth(f.now, m); got != cold || cold >= 1 {
 		t.Errorf("warmth %v, and %v after hearsay", cold, got)
 	}
-	f.r.Verdict(f.now, 3, healthcheck.Verdict{State: healthcheck.Serving, ColdStart: true, Role: subset.Replica, RoleAt: f.now})
+	f.r.ApplyVerdict(f.now, 3, healthcheck.Verdict{State: healthcheck.Serving, ColdStart: true, Role: subset.Replica, RoleAt: f.now})
 	if m := f.r.members[3]; f.r.warmth(f.now, m) >= 1 || m.role() != RoleReplica {
 		t.Errorf("warmth %v, role %v", f.r.warmth(f.now, m), m.role())
 	}
 	f.r.entry(f.now, Member{ID: 4, Group: m.Group, State: Draining, Size: 1})
-	f.r.Verdict(f.now, 4, healthcheck.Verdict{State: healthcheck.Serving, Role: subset.Replica, RoleAt: f.now})
+	f.r.ApplyVerdict(f.now, 4, healthcheck.Verdict{State: healthcheck.Serving, Role: subset.Replica, RoleAt: f.now})
 	if f.r.usable(f.r.members[4], f.now) {
 		t.Error("a drain is lifted by hearsay")
 	}
@@ -115,9 +115,9 @@
 
 // thinSharing is sharing in a group that has had no request for five seconds, with the budget of checks spent: all positions are too old
 // for a bounded read, and none can be asked for.
-func thinSharing(t *testing.T, checks Checks) *front {
+func thinSharing(t *testing.T, checks LagCheck) *front {
 	f := sharing(t)
-	f.r.cfg.Checks = checks
+	f.r.cfg.LagCheck = checks
 	f.pass(5 * time.Second)
 	for range 20 {
 		f.r.checks.spend(f.now)
@@ -127,7 +127,7 @@
 
 // Each bounded read of a thin group went to the primary once checks were shared, and crowded its writes out.
 func TestBoundedReadsStayOnReplicasWhereChecksAreShared(t *testing.T) {
-	f := thinSharing(t, ChecksWait)
+	f := thinSharing(t, LagCheckWait)
 	s := f.mustSend(f.request(clsBounded, 1))
 	if s.to == 1 || len(f.probes) > 0 {
 		t.Errorf("sent to %d with %d checks, though the replicas' lag was small when last told", s.to, len(f.probes))
@@ -143,10 +143,10 @@
 }
 
 func TestAReplicaThatTurnsABoundedReadAwayGetsNoOther(t *testing.T) {
-	f := thinSharing(t, ChecksRefuse)
+	f := thinSharing(t, LagCheckRefuse)
 	id := f.request(clsBounded, 0)
 	first := f.mustSend(id)
-	f.end(first, Miss)
+	f.end(first, Misdirected)
 	f.r.members[first.to].position = 0 // the answer told none
 	f.end(f.mustSend(id), OK)
 	for range 20 {
@@ -159,7 +159,7 @@
 		f.end(f.mustSend(id), OK)
 	}
 	f.r.members[first.to].probing = true
-	f.r.Probed(f.now, Probed{Member: first.to, Result: OK, Took: ms, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
+	f.r.ProbeDone(f.now, ProbeResult{Member: first.to, Result: OK, Elapsed: ms, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
 	if q := (&request{class: &f.r.cfg.Classes[clsBounded]}); !q.mayQualify(f.r.members[first.to]) {
 		t.Error("it has told a recent position")
 	}
@@ -167,7 +167,7 @@
 
 // Where members answer from whatever they have, the position filter alone keeps a read from data that is too old.
 func TestNoBoundedReadOnTrustWhereMembersDontCheck(t *testing.T) {
-	f := thinSharing(t, ChecksNone)
+	f := thinSharing(t, LagCheckNone)
 	if s := f.mustSend(f.request(clsBounded, 1)); s.to != 1 {
 		t.Errorf("sent to %d, whose position is %v old", s.to, f.now-f.r.members[s.to].position)
 	}
--- a/logic/hold_test.go
+++ b/logic/hold_test.go
@@ -11,7 +11,7 @@
 // holding is a deployment that holds writes through a switch, one attempt at a time.
 func holding() Config {
 	cfg := testConfig()
-	cfg.Parallel, cfg.Handover = false, handover.Config{Hold: true}
+	cfg.ParallelAttempts, cfg.Handover = false, handover.Config{Hold: true}
 	w := &cfg.Classes[clsGuarded]
 	w.Aim, w.Limit, w.DedupWindow, w.Late = 600*ms, 3*time.Second, 3*time.Second, 0.3
 	return cfg
@@ -19,7 +19,7 @@
 
 // drain lists a member as draining.
 func (f *front) drain(m MemberID) {
-	f.r.Members(f.now, List{Kind: ListDelta, Entries: []Member{{ID: m, State: Draining}}})
+	f.r.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: m, State: Draining}}})
 }
 
 // passAs lets time go by with another primary, or none; members in mute say nothing.
@@ -37,7 +37,7 @@
 			if m == primary {
 				rep = Report{Role: RolePrimary, Position: f.now}
 			}
-			f.r.Probed(f.now, Probed{Member: m, Took: ms, Report: rep})
+			f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ms, Report: rep})
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	f.drain(1)
 	id := f.request(clsGuarded, 1)
 	f.passAs(0, 50*ms)
-	f.r.Members(f.now, List{Kind: ListFull})
+	f.r.Members(f.now, MemberList{Kind: ListFull})
 	f.list(ListFull, 3)
 	f.wantFinal(id, "refused")
 	if len(f.r.requests) > 0 {
@@ -159,7 +159,7 @@
 	for i := range 60 {
 		id := f.request(clsGuarded, SessionID(i+2))
 		f.wantFinal(id, "refused")
-		if f.hints[id] > f.r.cfg.MaxComeBack || f.hints[id] < 100*ms {
+		if f.hints[id] > f.r.cfg.MaxRetryAfter || f.hints[id] < 100*ms {
 			t.Fatalf("come back after %v", f.hints[id])
 		}
 		seen[f.hints[id].Truncate(50*ms)]++
@@ -177,7 +177,7 @@
 	f.drain(1)
 	id := f.request(clsGuarded, 1)
 	f.passAs(0, 100*ms)
-	f.r.Handover(handover.Config{})
+	f.r.SetHandoverConfig(handover.Config{})
 	f.passAs(0, 10*ms)
 	f.wantFinal(id, "refused")
 	if f.r.groups[0].lead.Holds() > 0 {
@@ -203,7 +203,7 @@
 	if n := f.r.groups[0].lead.Holds(); n > 0 || len(f.r.requests) > 0 {
 		t.Errorf("%d are held, %d requests kept", n, len(f.r.requests))
 	}
-	f.r.Members(f.now, List{Kind: ListFull}) // what is held is answered now
+	f.r.Members(f.now, MemberList{Kind: ListFull}) // what is held is answered now
 }
 
 // A hundred held at once leave as the new primary's limit allows, and none of them is forgotten.
@@ -227,7 +227,7 @@
 			if f.now-a.sentAt >= 40*ms {
 				served++
 				f.finals[a.req.ID] = "served"
-				f.r.Outcome(f.now, Outcome{Request: a.req.ID, Attempt: a.n, Member: 2, Result: OK, Took: f.now - a.sentAt,
+				f.r.Outcome(f.now, Outcome{Request: a.req.ID, Attempt: a.n, Member: 2, Result: OK, Elapsed: f.now - a.sentAt,
 					Finished: true, Role: RolePrimary, Position: f.now})
 				if f.r.groups[0].lead.Holds() > 0 && m.out[len(m.out)-1].sentAt != f.now {
 					t.Fatalf("a place was freed, %d wait, and none goes", f.r.groups[0].lead.Holds())
@@ -264,7 +264,7 @@
 		if f.cancels > 0 {
 			s, _ := f.last(id)
 			if s.n == 0 {
-				f.r.Outcome(f.now, Outcome{Request: id, Member: 1, Result: Cancelled, Took: f.now - s.at})
+				f.r.Outcome(f.now, Outcome{Request: id, Member: 1, Result: Cancelled, Elapsed: f.now - s.at})
 			}
 		}
 		f.passAs(2, 200*ms, 1)
@@ -335,7 +335,7 @@
 func TestThePrimaryIsLookedFor(t *testing.T) {
 	for fronts, least := range map[int]int{2: 15, 40: 3} {
 		cfg := holding()
-		cfg.Fronts = fronts
+		cfg.Proxies = fronts
 		f := settled(t, cfg, 3)
 		f.request(clsBounded, 0)
 		f.drain(1)
@@ -347,7 +347,7 @@
 			f.r.Timer(f.now, tickTimer)
 			for _, m := range f.probes {
 				n++
-				f.r.Probed(f.now, Probed{Member: m, Took: ms, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
+				f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ms, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
 			}
 		}
 		if n < least || n > 45 {
@@ -363,7 +363,7 @@
 		before := f.now
 		f.request(clsBounded, 0)
 		f.passAs(1, 3*time.Second, 3)
-		f.r.Probed(f.now, Probed{Member: 3, Result: TimedOut})
+		f.r.ProbeDone(f.now, ProbeResult{Member: 3, Result: TimedOut})
 		f.passAs(1, 2*time.Second)
 		m := f.r.members[3]
 		if m.seat.Silent || f.r.warmth(f.now, m) == 1 {
@@ -374,7 +374,7 @@
 			opened = before
 		}
 		f.r.probe(f.now, m)
-		f.r.Probed(f.now, Probed{Member: 3, Took: ms, Opened: opened, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
+		f.r.ProbeDone(f.now, ProbeResult{Member: 3, Elapsed: ms, ConnOpenedAt: opened, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
 		if (f.r.warmth(f.now, m) < 1) == kept {
 			t.Errorf("answered on a connection from before: %v, cold: %v", kept, f.r.warmth(f.now, m))
 		}
@@ -387,7 +387,7 @@
 	for _, refused := range []bool{false, true} {
 		f := settled(t, holding(), 4)
 		f.passAs(1, 3*time.Second, 3)
-		f.r.Probed(f.now, Probed{Member: 3, Result: ConnectFailed, Refused: refused})
+		f.r.ProbeDone(f.now, ProbeResult{Member: 3, Result: ConnectFailed, DialRefused: refused})
 		f.passAs(1, 8*time.Second)
 		if m := f.r.members[3]; m.seat.Silent || (f.r.warmth(f.now, m) < 1) != refused {
 			t.Errorf("refused %v: silent %v, warmth %v, doubt %v", refused, m.seat.Silent, f.r.warmth(f.now, m), m.seat.Doubt())
--- a/logic/housekeeping.go
+++ b/logic/housekeeping.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// Witness holds what became of a connection from before a silence against the doubt.
-func (r *Router) Witness(now time.Duration, id MemberID, what handover.Testimony, opened time.Duration) {
+// ConnectionEvidence holds what became of a connection from before a silence against the doubt.
+func (r *Router) ConnectionEvidence(now time.Duration, id MemberID, what handover.Testimony, opened time.Duration) {
 	if m := r.members[id]; m != nil && what == handover.Answered {
 		r.heard(m, now)
 		r.evidence(now, m, opened)
@@ -35,7 +35,7 @@
 	}
 	r.started, r.startAt = true, now
 	r.act.SetTimer(tickTimer, now+max(housekeeping, r.cfg.Tick))
-	if r.cfg.Pull {
+	if r.cfg.ListOnRequest {
 		r.ask(now)
 	}
 }
@@ -81,14 +81,14 @@
 	due, m.restsTill = r.pings.Due(now, &ping.Member{Probed: m.probedAt, Placed: m.placedAt, Owes: owes,
 		First: m.firstAt, Known: m.toldAt > 0, Ejected: m.ejected,
 		Silent: m.seat.Silent, Primary: m.role() == RolePrimary, Headless: g.primary == nil, Asked: g.rate.last,
-		Search: g.lead.Searching(now, r.cfg.Fronts), Members: len(g.members), Rate: r.rateOf(now, g)})
+		Search: g.lead.Searching(now, r.cfg.Proxies), Members: len(g.members), Rate: r.rateOf(now, g)})
 	if due {
 		r.probe(now, m)
 	}
 }
 
-// Probed takes the result of a ping.
-func (r *Router) Probed(now time.Duration, p Probed) {
+// ProbeDone takes the result of a ping.
+func (r *Router) ProbeDone(now time.Duration, p ProbeResult) {
 	r.begin(now)
 	m := r.members[p.Member]
 	if m == nil || !m.probing {
@@ -97,21 +97,21 @@
 	m.probing = false
 	switch p.Result {
 	case OK:
-		m.ping = cmp.Or(m.ping, max(p.Took, 1))
-		m.ping += time.Duration(pingWeight * float64(p.Took-m.ping))
+		m.ping = cmp.Or(m.ping, max(p.Elapsed, 1))
+		m.ping += time.Duration(pingWeight * float64(p.Elapsed-m.ping))
 		r.heard(m, now)
-		r.evidence(now, m, p.Opened)
+		r.evidence(now, m, p.ConnOpenedAt)
 		// A primary stands at the present, so its position dates the report; a replica's is no later.
 		m.queue, m.queueAt = p.Report.Queue, now
 		r.learn(m, p.Report.Role, p.Report.Position, cmp.Or(p.Report.Position, now), now)
-	case Full, Miss, Failed:
+	case Rejected, Misdirected, Failed:
 		r.heard(m, now)
-	case Moot: // it was never sent, which says nothing of the member
+	case NotSent: // it was never sent, which says nothing of the member
 	default:
 		if m.heardAt <= m.probedAt {
 			r.lost(m, now)
 		}
-		if p.Refused {
+		if p.DialRefused {
 			m.seat.Refused()
 		}
 	}
@@ -124,8 +124,8 @@
 
 // opening tells of a fresh router that the agent has yet to answer, or a member of the group a ping.
 func (r *Router) opening(now time.Duration, g *group) bool {
-	listOwed := r.cfg.Pushed && !r.calls.Ended()
-	if now-r.startAt >= freshHold || !r.cfg.MayProbe && !listOwed {
+	listOwed := r.cfg.ListFromAgent && !r.calls.Ended()
+	if now-r.startAt >= freshHold || !r.cfg.EnableProbes && !listOwed {
 		return false
 	}
 	if listOwed || len(g.members) == 0 {
@@ -166,5 +166,5 @@
 
 func (r *Router) ask(now time.Duration) {
 	r.calls.Called(now)
-	r.act.Watch(true)
+	r.act.WatchList(true)
 }
--- a/logic/large_fleet_test.go
+++ b/logic/large_fleet_test.go
@@ -12,9 +12,9 @@
 func large(t *testing.T, groups int) *front {
 	t.Helper()
 	cfg := testConfig()
-	cfg.Fronts, cfg.PeerFacts, cfg.Connections = 400, 17, 122
+	cfg.Proxies, cfg.MaxPeerFacts, cfg.MaxConnections = 400, 17, 122
 	f := newFront(t, cfg)
-	l := List{Kind: ListCached}
+	l := MemberList{Kind: ListCached}
 	for id := range 4 * groups {
 		l.Entries = append(l.Entries, Member{ID: MemberID(id + 1), Group: GroupID(id / 4), State: Ready})
 	}
@@ -40,7 +40,7 @@
 		if (m-1)%4 == 0 {
 			report = Report{Role: RolePrimary, Position: f.now}
 		}
-		f.r.Probed(f.now, Probed{Member: m, Took: ms, Report: report})
+		f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ms, Report: report})
 	}
 	return len(ask)
 }
@@ -53,7 +53,7 @@
 	f.now += 10 * ms
 	m := f.r.members[1]
 	f.r.probe(f.now, m)
-	f.r.Probed(f.now, Probed{Member: 1, Result: Moot})
+	f.r.ProbeDone(f.now, ProbeResult{Member: 1, Result: NotSent})
 	if m.seat.Silent || m.probing || f.r.groups[0].primary != m {
 		t.Errorf("silent %v, a check out %v, primary %v", m.seat.Silent, m.probing, f.r.groups[0].primary == m)
 	}
@@ -112,7 +112,7 @@
 	f.passLarge(3 * time.Second)
 	for id := range MemberID(1000) {
 		fact := peers.Fact{Database: peers.Short(uint64(id + 1)), Ails: peers.Silent, At: f.now}
-		f.r.Heard(f.now, []peers.Fact{fact})
+		f.r.PeerFacts(f.now, []peers.Fact{fact})
 	}
 	for _, m := range f.probes {
 		if f.r.members[m].Group != 7 {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -68,7 +68,7 @@
 		members: map[MemberID]*member{}, groups: map[GroupID]*group{}, requests: map[RequestID]*request{},
 		cost: make([]time.Duration, len(cfg.Classes)), slow: make([]time.Duration, len(cfg.Classes)),
 		retries: retryReserve, lead: handover.New(cfg.Handover),
-		pings: ping.Schedule{Proxies: cfg.Fronts, Tick: cfg.Tick, Room: cfg.Connections}, calls: limit.Calls{Bound: cfg.ListBound}}
+		pings: ping.Schedule{Proxies: cfg.Proxies, Tick: cfg.Tick, Room: cfg.MaxConnections}, calls: limit.Calls{Bound: cfg.ListMaxDelay}}
 	r.nobody = r.newGroup(-1)
 	r.pins.init(keepEntries)
 	r.commits.init(keepEntries)
@@ -87,9 +87,9 @@
 // ---- Views: what is known of members and groups ----
 
 // Members takes in news of the list.
-func (r *Router) Members(now time.Duration, l List) {
+func (r *Router) Members(now time.Duration, l MemberList) {
 	r.begin(now)
-	if r.cfg.Pull && l.Kind != ListCached {
+	if r.cfg.ListOnRequest && l.Kind != ListCached {
 		r.calls.Answered(now, l.Kind == ListFailed, r.rng.Float64())
 	}
 	if l.Kind == ListFailed {
@@ -113,7 +113,7 @@
 	known := m != nil
 	if !known {
 		g := r.groupOf(e.Group)
-		m = &member{group: g, Limit: limit.New(r.cfg.Fronts, r.cfg.Tuning.FirstLimit), account: limit.NewAccount(),
+		m = &member{group: g, Limit: limit.New(r.cfg.Proxies, r.cfg.Tuning.FirstLimit), account: limit.NewAccount(),
 			firstAt: r.firstPing(now)}
 		m.seat = g.lead.Join(uint64(e.ID))
 		r.members[e.ID] = m
@@ -121,25 +121,25 @@
 		r.peers.Join(uint64(e.ID))
 		g.members = append(g.members, m) // a Born above zero makes it cold, below
 	}
-	if e.Born > m.Born { // restarted: its role is open again, its log goes on from where it stood
-		m.group.lead.Born(now, m.seat, e.Born, known)
+	if e.StartedAt > m.StartedAt { // restarted: its role is open again, its log goes on from where it stood
+		m.group.lead.Born(now, m.seat, e.StartedAt, known)
 		m.reborn()
 	}
 	m.listed = e.State != Gone
-	if r.cfg.DrainOnly && !m.listed { // the list is no proof of what runs: its pings and answers tell
+	if r.cfg.IgnoreGone && !m.listed { // the list is no proof of what runs: its pings and answers tell
 		e.State = m.State
 	}
 	m.Member = e
 	m.group.lead.Listed(now, m.seat, handover.Presence(e.State))
 	if e.Primary && r.cfg.ListRole != ListRoleNone {
-		m.group.lead.Told(now, m.seat, max(now-listRoleAge, e.Born), r.cfg.ListRole == ListRoleLate)
+		m.group.lead.Told(now, m.seat, max(now-listRoleAge, e.StartedAt), r.cfg.ListRole == ListRoleLate)
 	}
 	r.follow(now, m.group)
 }
 
 // leftOut treats a member that the list leaves out as gone, if lists bind, and tells whether to forget it.
 func (r *Router) leftOut(now time.Duration, m *member) bool {
-	if m.State != Gone && !r.cfg.DrainOnly {
+	if m.State != Gone && !r.cfg.IgnoreGone {
 		m.State = Gone
 		m.group.lead.Listed(now, m.seat, handover.Gone)
 		r.follow(now, m.group)
@@ -174,7 +174,7 @@
 	if was != nil && g.primary == nil {
 		r.enterRounds(now, g)
 	}
-	if p := g.primary; p == nil || p == was || !r.cfg.MayCancel || !r.lead.Config().Hold {
+	if p := g.primary; p == nil || p == was || !r.cfg.EnableCancel || !r.lead.Config().Hold {
 		return
 	}
 	for _, m := range g.members {
@@ -303,7 +303,7 @@
 		h.Until = min(h.Until, r.until(q, a))
 	}
 	ok, better, pushed := q.group.lead.Hold(now, h)
-	better = min(better, r.cfg.MaxComeBack*2/3) // behind that all would come back in one moment
+	better = min(better, r.cfg.MaxRetryAfter*2/3) // behind that all would come back in one moment
 	for _, id := range pushed {
 		r.finish(now, r.requests[RequestID(id)], better)
 	}
@@ -383,12 +383,12 @@
 
 // effectAllows keeps effects from happening twice: attempts that are out count as may have run.
 func (r *Router) effectAllows(now time.Duration, q *request, m *member) bool {
-	if !r.cfg.Parallel && q.open() {
+	if !r.cfg.ParallelAttempts && q.open() {
 		return false
 	}
 	for _, a := range q.tries {
 		switch {
-		case q.class.Effect == Free || !a.open && !a.ran:
+		case q.class.Effect == Idempotent || !a.open && !a.ran:
 		case q.class.Effect == SingleShot, now+r.cost[q.Class] >= r.until(q, a),
 			q.class.Scope == ScopeZone && a.to.Zone != m.Zone:
 			return false
@@ -404,10 +404,10 @@
 	}
 	q.done = true
 	q.group.lead.Release(uint64(q.ID))
-	if !q.ran && !q.open() || q.class.Effect == Free || q.class.Effect == Guarded && q.class.Scope == ScopeAll {
+	if !q.ran && !q.open() || q.class.Effect == Idempotent || q.class.Effect == Guarded && q.class.Scope == ScopeAll {
 		// Jitter, so that the refused don't come back together.
-		hint = min(hint/2+time.Duration(r.rng.Int64N(int64(hint)+1)), r.cfg.MaxComeBack)
-		if !r.cfg.MayComeBack {
+		hint = min(hint/2+time.Duration(r.rng.Int64N(int64(hint)+1)), r.cfg.MaxRetryAfter)
+		if !r.cfg.EnableRetryAfter {
 			hint = 0
 		}
 		if !q.over {
@@ -435,15 +435,15 @@
 		return
 	}
 	for _, a := range q.tries {
-		if a.open && r.cfg.MayCancel && !a.calledOff {
+		if a.open && r.cfg.EnableCancel && !a.calledOff {
 			a.calledOff = true
 			r.act.Cancel(q.ID, a.n)
 		}
 	}
 }
 
-// Started notes that a streamed answer has begun: the client has it now, and no further copy may go out.
-func (r *Router) Started(now time.Duration, id RequestID, _ int) {
+// ResponseStarted notes that a streamed answer has begun: the client has it now, and no further copy may go out.
+func (r *Router) ResponseStarted(now time.Duration, id RequestID, _ int) {
 	r.begin(now)
 	if q := r.requests[id]; q != nil {
 		q.done = true
@@ -513,21 +513,21 @@
 func (r *Router) note(now time.Duration, a *attempt, o Outcome) {
 	q, m := a.req, a.to
 	switch o.Result {
-	case OK, Miss, Failed, Full:
+	case OK, Misdirected, Failed, Rejected:
 		r.heard(m, now)
 		m.stuck = false
 		role, position := o.Role, o.Position
-		if q.class.Read == Write && o.Result == Miss && role == RoleUnknown {
+		if q.class.Read == Write && o.Result == Misdirected && role == RoleUnknown {
 			role = RoleReplica
 		}
 		if q.class.Read == Write && o.Result == OK { // the position is the commit's, not the member's
-			if !r.cfg.Carried && q.Session != 0 {
+			if !r.cfg.SessionTokens && q.Session != 0 {
 				r.commits.add(q.Session, cmp.Or(position, now))
 			}
 			position = 0
 			q.group.lead.Served(now)
 		}
-		r.evidence(now, m, o.Opened)
+		r.evidence(now, m, o.ConnOpenedAt)
 		r.learn(m, role, position, now, now)
 		if o.Load.Queue >= 0 {
 			m.queue, m.queueAt = o.Load.Queue, now
@@ -535,7 +535,7 @@
 		r.learn(m, o.Load.Role, o.Load.Position, cmp.Or(o.Load.Position, now), now)
 	}
 	switch o.Result {
-	case Miss:
+	case Misdirected:
 		m.missed(q)
 	case OK:
 		took := now - a.sentAt
@@ -551,14 +551,14 @@
 		if !r.loses(m) {
 			r.strain(now, m, q.class.Aim, limit.Late)
 		}
-	case Failed, Full, ConnectFailed, Reset:
-		if r.failed(now, m); o.Result == Full {
+	case Failed, Rejected, ConnectFailed, Reset:
+		if r.failed(now, m); o.Result == Rejected {
 			r.strain(now, m, q.class.Aim, limit.Late)
 		}
 		if o.Result == ConnectFailed {
 			r.probe(now, m)
 		}
-		if o.Refused {
+		if o.DialRefused {
 			m.seat.Refused()
 		}
 	}
@@ -574,20 +574,20 @@
 }
 
 // share is this front's part of what all fronts may do together.
-func (r *Router) share(total float64) float64 { return total / float64(max(r.cfg.Fronts, 1)) }
+func (r *Router) share(total float64) float64 { return total / float64(max(r.cfg.Proxies, 1)) }
 
 // bears keeps a started member from being pushed over: its account of work fills with its warmth's part of
 // what this front has for each member of the group, times half the multiple that the rule allows. It starts
 // in a random debt and is never above zero, so that the sum of all fronts is bounded.
 func (r *Router) bears(now time.Duration, m *member, merit float64) bool {
-	from, sure := m.seat.Cold(now, r.cfg.Cold)
+	from, sure := m.seat.Cold(now, r.cfg.ColdPeriod)
 	if sure == 0 {
 		return true
 	} else if r.peers.On() && !r.priority.Admits(merit, r.luck) {
 		return false
 	}
 	most := fallPart + (fallDoubt-fallPart)*(1-sure)
-	part := r.warmthSince(now, from) * max(r.cfg.FallMultiple*most, 1) / r.bearers(m.group)
+	part := r.warmthSince(now, from) * max(r.cfg.OverloadMultiple*most, 1) / r.bearers(m.group)
 	debt := func() float64 { return r.rng.Float64() * m.group.work }
 	ok := m.account.Bears(now, from, debt, part*r.rateOf(now, m.group)*m.group.work)
 	if merit >= 1 && m.role() != RolePrimary {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -53,7 +53,7 @@
 		if m == 1 {
 			rep.Role = RolePrimary
 		}
-		f.r.Probed(f.now, Probed{Member: m, Took: ping, Report: rep})
+		f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ping, Report: rep})
 	}
 	seen := map[MemberID]int{}
 	for i := 0; i < 60; i++ {
@@ -121,7 +121,7 @@
 
 func TestCarriedToken(t *testing.T) {
 	cfg := testConfig()
-	cfg.Carried = true
+	cfg.SessionTokens = true
 	f := settled(t, cfg, 3)
 	send := func(age time.Duration) MemberID {
 		f.nextID++
@@ -167,7 +167,7 @@
 	f := settled(t, testConfig(), 3)
 	s := f.mustSend(f.request(clsUnsafe, 1))
 	f.now += 2 * ms
-	f.r.Outcome(f.now, Outcome{Request: s.id, Member: s.to, Result: Miss, Role: RoleReplica, Position: f.now - 10*ms})
+	f.r.Outcome(f.now, Outcome{Request: s.id, Member: s.to, Result: Misdirected, Role: RoleReplica, Position: f.now - 10*ms})
 	f.wantFinal(s.id, "refused")
 	id := f.request(clsUnsafe, 1)
 	f.wantFinal(id, "refused")
@@ -185,7 +185,7 @@
 	}{
 		{clsUnsafe, TimedOut, 1, "failed"},
 		{clsUnsafe, Failed, 1, "failed"},
-		{clsUnsafe, Full, 3, "refused"},
+		{clsUnsafe, Rejected, 3, "refused"},
 		{clsGuarded, Failed, 8, "failed"},
 		{clsBounded, Failed, 3, "refused"},
 	} {
@@ -335,7 +335,7 @@
 	for i, st := range []MemberState{Draining, Gone} {
 		e := entry(2 + i)
 		e.State = st
-		f.r.Members(f.now, List{Kind: ListDelta, Entries: []Member{e}})
+		f.r.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
 		for j := 0; j < 20; j++ {
 			if s := f.serve(f.request(clsBounded, 0), 0); int(s.to) == 2+i {
 				t.Fatalf("a read went to a member in state %d", st)
@@ -352,8 +352,8 @@
 		f.pass(10 * ms)
 	}
 	e := entry(3)
-	e.Born = f.now
-	f.r.Members(f.now, List{Kind: ListDelta, Entries: []Member{e}})
+	e.StartedAt = f.now
+	f.r.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
 	got := map[MemberID]int{}
 	for i := 0; i < 300; i++ {
 		got[f.serve(f.request(clsBounded, 0), 5*ms).to]++
@@ -366,14 +366,14 @@
 
 func TestOddButLegal(t *testing.T) {
 	cfg := testConfig()
-	cfg.Pull = true
+	cfg.ListOnRequest = true
 	f := newFront(t, cfg)
 	f.r.Outcome(f.now, Outcome{Request: 99, Result: OK})
 	f.r.Abandoned(f.now, 99)
-	f.r.Started(f.now, 99, 0)
+	f.r.ResponseStarted(f.now, 99, 0)
 	f.r.Timer(f.now, 12345)
-	f.r.Probed(f.now, Probed{Member: 77})
-	f.r.Members(f.now, List{Kind: ListFailed})
+	f.r.ProbeDone(f.now, ProbeResult{Member: 77})
+	f.r.Members(f.now, MemberList{Kind: ListFailed})
 	f.list(ListFull, 3)
 	f.pass(400 * ms)
 	f.nextID++
@@ -383,10 +383,10 @@
 	f.r.Request(f.now, Request{ID: f.nextID, Class: 1000, Deadline: f.now + time.Second})
 	f.wantFinal(f.nextID, "failed")
 	s := f.mustSend(f.request(clsBounded, 0))
-	f.r.Members(f.now, List{Kind: ListFull, Entries: []Member{entry(1)}}) // its member is gone
+	f.r.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{entry(1)}}) // its member is gone
 	f.end(s, OK)
 	f.end(s, OK)
-	f.r.Members(f.now, List{Kind: ListFull, Entries: []Member{entry(1)}})
+	f.r.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{entry(1)}})
 	if len(f.r.requests) != 0 || len(f.r.order) != 1 {
 		t.Errorf("%d requests and %d members kept, want 0 and 1", len(f.r.requests), len(f.r.order))
 	}
@@ -394,14 +394,14 @@
 
 func TestFailedListCallsAreSpaced(t *testing.T) {
 	cfg := testConfig()
-	cfg.Pull = true
+	cfg.ListOnRequest = true
 	f := newFront(t, cfg)
 	for i := 0; i < 1000; i++ {
 		before := f.watches
 		f.now += 10 * ms
 		f.r.Timer(f.now, tickTimer)
 		if f.watches > before || i == 0 {
-			f.r.Members(f.now, List{Kind: ListFailed})
+			f.r.Members(f.now, MemberList{Kind: ListFailed})
 		}
 	}
 	if f.watches < 3 || f.watches > 9 {
@@ -491,7 +491,7 @@
 // Overload: what a tenant asks beyond its share is shed before what others ask within theirs.
 func TestBeyondItsShareIsShedFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.Tenants, cfg.OverShare = []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 20}}, 0.1
+	cfg.Tenants, cfg.OverShareWorth = []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 20}}, 0.1
 	f := settled(t, cfg, 4)
 	refused := map[int]int{}
 	ask := func(tenant, n int) {
@@ -563,7 +563,7 @@
 	named := entry(2)
 	named.Primary = true
 	f.r.members[2].seat.Role, f.r.members[2].seat.At = handover.Unknown, 0
-	f.r.Members(f.now, List{Kind: ListDelta, Entries: []Member{named}})
+	f.r.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{named}})
 	if s := f.serve(f.request(clsFresh, 0), ms); s.to != 1 {
 		t.Fatalf("a late list outranked member 1's own word: sent to %d", s.to)
 	}
@@ -579,13 +579,13 @@
 func TestAFreshRouterWaitsForTheAgentsList(t *testing.T) {
 	for _, probes := range []bool{true, false} {
 		cfg := testConfig()
-		cfg.Pull, cfg.Pushed, cfg.MayProbe = true, true, probes
+		cfg.ListOnRequest, cfg.ListFromAgent, cfg.EnableProbes = true, true, probes
 		f := settled(t, cfg, 3) // by the configuration's list; all checks have been answered
 		early := f.request(clsAny, 0)
 		if _, sent := f.last(early); sent {
 			t.Fatal("sent before the agent has been heard")
 		}
-		f.r.Members(f.now, List{Kind: ListDelta, Entries: []Member{{ID: 2, State: Draining}, {ID: 1, State: Draining}}})
+		f.r.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: 2, State: Draining}, {ID: 1, State: Draining}}})
 		f.pass(20 * ms)
 		if s := f.mustSend(early); s.to != 3 {
 			t.Errorf("probes %v: sent to %d, which drains", probes, s.to)
@@ -596,10 +596,10 @@
 // An agent that fails, or says nothing, holds nobody up for long; and where lists are asked for there is nothing to wait for.
 func TestAFreshRouterWaitsNoLongerThanForChecks(t *testing.T) {
 	cfg := testConfig()
-	cfg.Pull, cfg.Pushed = true, true
+	cfg.ListOnRequest, cfg.ListFromAgent = true, true
 	failing := settled(t, cfg, 3)
 	id := failing.request(clsAny, 0)
-	failing.r.Members(failing.now, List{Kind: ListFailed})
+	failing.r.Members(failing.now, MemberList{Kind: ListFailed})
 	failing.pass(20 * ms)
 	failing.mustSend(id)
 
@@ -608,7 +608,7 @@
 	silent.pass(freshHold)
 	silent.mustSend(id)
 
-	cfg.Pushed = false
+	cfg.ListFromAgent = false
 	asked := settled(t, cfg, 3)
 	asked.mustSend(asked.request(clsAny, 0))
 }
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -17,15 +17,15 @@
 // newPeers makes the room in which that is decided. Peers talk where that is allowed and where pings at the design's periods, from all
 // proxies, would be too many: a position is worth telling once it has grown older than those would let it.
 func (r *Router) newPeers() *peers.Gossip {
-	cfg := peers.Config{Proxies: r.cfg.Fronts, Most: r.cfg.PeerFacts, Phase: float64(mix(r.cfg.Seed)>>11) / (1 << 53)}
+	cfg := peers.Config{Proxies: r.cfg.Proxies, Most: r.cfg.MaxPeerFacts, Phase: float64(mix(r.cfg.Seed)>>11) / (1 << 53)}
 	if r.pings.Many() {
-		cfg.Fresh = time.Duration(min(max(float64(r.cfg.Fronts)/worthTelling, 1), 2) * float64(r.pings.Shortest()))
+		cfg.Fresh = time.Duration(min(max(float64(r.cfg.Proxies)/worthTelling, 1), 2) * float64(r.pings.Shortest()))
 	}
 	return peers.New(cfg)
 }
 
-// Heard takes what a peer tells. It is evidence of roles and of positions, and no sign of life to this front.
-func (r *Router) Heard(now time.Duration, facts []peers.Fact) {
+// PeerFacts takes what a peer tells. It is evidence of roles and of positions, and no sign of life to this front.
+func (r *Router) PeerFacts(now time.Duration, facts []peers.Fact) {
 	r.begin(now)
 	for _, f := range facts {
 		if id, f, ok := r.peers.Believe(now, f); ok {
@@ -52,7 +52,7 @@
 		return
 	case f.Ails == peers.Failing:
 		r.failures.Note(now, &m.bench, 1)
-		r.failures.Spread(now, &m.bench, r.cfg.Fronts, r.rng.Float64())
+		r.failures.Spread(now, &m.bench, r.cfg.Proxies, r.rng.Float64())
 	default:
 		r.failures.Note(now, &m.bench, 0)
 	}
@@ -63,7 +63,7 @@
 func (r *Router) failed(now time.Duration, m *member) {
 	r.failures.Note(now, &m.bench, 1)
 	if r.peers.On() {
-		r.failures.Spread(now, &m.bench, r.cfg.Fronts, r.rng.Float64())
+		r.failures.Spread(now, &m.bench, r.cfg.Proxies, r.rng.Float64())
 		r.peers.Ailing(now, uint64(m.ID), peers.Failing)
 	}
 }
@@ -94,6 +94,6 @@
 // tell hands out what the others are to hear by now.
 func (r *Router) tell(now time.Duration) {
 	if facts := r.peers.Due(now); len(facts) > 0 {
-		r.act.Tell(facts)
+		r.act.SendToPeers(facts)
 	}
 }
--- a/logic/peers_test.go
+++ b/logic/peers_test.go
@@ -9,13 +9,13 @@
 
 func talkers() Config {
 	cfg := manyFronts()
-	cfg.PeerFacts = 31
+	cfg.MaxPeerFacts = 31
 	return cfg
 }
 
 // word is a peer's fact of a member.
 func (f *front) word(id MemberID, role peers.Role, ails peers.Ails, lag time.Duration) {
-	f.r.Heard(f.now, []peers.Fact{{Database: peers.Short(uint64(id)), Role: role, Ails: ails, At: f.now, Position: f.now - lag}})
+	f.r.PeerFacts(f.now, []peers.Fact{{Database: peers.Short(uint64(id)), Role: role, Ails: ails, At: f.now, Position: f.now - lag}})
 }
 
 // Each of 80 proxies held nearly every bounded read for a ping of its own, 1.3 pings a request.
@@ -125,7 +125,7 @@
 func TestManyProxiesTellLessOften(t *testing.T) {
 	for _, x := range []struct{ proxies, told int }{{80, 4}, {300, 2}, {3000, 2}} {
 		cfg := talkers()
-		cfg.Fronts = x.proxies
+		cfg.Proxies = x.proxies
 		f := settled(t, cfg, 4)
 		told := 0
 		for range 4 { // a position each period of pings
--- a/logic/plan.go
+++ b/logic/plan.go
@@ -7,9 +7,9 @@
 
 // Admission says how a group's requests of one class are treated.
 type Admission struct {
-	Share     float64       // part that is admitted, 0 to 1
-	NoRepeats bool          // no further attempts after the first
-	ComeBack  time.Duration // hint to those that are turned away
+	Share      float64       // part that is admitted, 0 to 1
+	NoRetries  bool          // no further attempts after the first
+	RetryAfter time.Duration // hint to those that are turned away
 }
 
 const (
@@ -17,8 +17,8 @@
 	heavyTurn = 250 * time.Millisecond // who sends much of a group's traffic is shed by parts of its requests
 )
 
-// Plan puts a group's plan into effect, an entry a class; an empty one admits all. It is kept by reference.
-func (r *Router) Plan(g GroupID, plan []Admission) {
+// SetAdmission puts a group's plan into effect, an entry a class; an empty one admits all. It is kept by reference.
+func (r *Router) SetAdmission(g GroupID, plan []Admission) {
 	if group := r.groups[g]; group != nil {
 		group.plan = plan
 	}
@@ -27,7 +27,7 @@
 // admits counts a request and draws whether the plan lets it in. The draw is its caller's and holds for a
 // while: who tries again at once gets the same answer, and a stricter plan sheds those of a milder one too.
 func (r *Router) admits(now time.Duration, q *Request, g *group) bool {
-	who := q.Caller
+	who := q.ClientKey
 	if who == 0 {
 		who = uint64(q.ID)
 	}
@@ -37,7 +37,7 @@
 	key := callerKey(q)
 	again := !heavy && g.draws.again(now, key)
 	if again {
-		t.Repeats++
+		t.Retries++
 	} else {
 		t.Offered++
 	}
@@ -62,14 +62,14 @@
 // shed turns a request away that the plan doesn't admit, before anything is kept of it.
 func (r *Router) shed(q *Request, g *group) {
 	hint := time.Duration(0)
-	if r.cfg.MayComeBack {
-		hint = g.plan[q.Class].ComeBack
-		hint = min(hint/2+time.Duration(mix(uint64(q.ID))%uint64(hint+1)), r.cfg.MaxComeBack)
+	if r.cfg.EnableRetryAfter {
+		hint = g.plan[q.Class].RetryAfter
+		hint = min(hint/2+time.Duration(mix(uint64(q.ID))%uint64(hint+1)), r.cfg.MaxRetryAfter)
 	}
 	r.act.Refuse(q.ID, hint)
 }
 
 // repeats tells whether the plan allows further attempts.
 func (q *request) repeats() bool {
-	return len(q.group.plan) <= q.Class || !q.group.plan[q.Class].NoRepeats
+	return len(q.group.plan) <= q.Class || !q.group.plan[q.Class].NoRetries
 }
--- a/logic/plan_test.go
+++ b/logic/plan_test.go
@@ -11,7 +11,7 @@
 func asked(f *front, callers int, class int) (shed []bool) {
 	for i := range callers {
 		f.nextID++
-		q := Request{ID: f.nextID, Class: class, Caller: uint64(i + 1), Deadline: f.now + 8*time.Second}
+		q := Request{ID: f.nextID, Class: class, ClientKey: uint64(i + 1), Deadline: f.now + 8*time.Second}
 		shed = append(shed, !f.r.admits(f.now, &q, f.r.groups[0]))
 	}
 	return shed
@@ -32,8 +32,8 @@
 	for i := range p {
 		p[i] = Admission{Share: 1}
 	}
-	p[clsAny] = Admission{Share: share, ComeBack: 400 * ms}
-	f.r.Plan(0, p)
+	p[clsAny] = Admission{Share: share, RetryAfter: 400 * ms}
+	f.r.SetAdmission(0, p)
 }
 
 func TestAPlanAdmitsItsShareAndTheStricterShedsTheSameAndMore(t *testing.T) {
@@ -53,7 +53,7 @@
 	if share(asked(f, 100, clsBounded)) != 1 {
 		t.Error("a class that the plan admits whole is shed")
 	}
-	f.r.Plan(0, nil)
+	f.r.SetAdmission(0, nil)
 	if share(asked(f, 100, clsAny)) != 1 {
 		t.Error("without a plan something is shed")
 	}
@@ -101,7 +101,7 @@
 	admitted, n := 0, 0
 	for range 1200 {
 		f.pass(10 * ms)
-		if f.r.admits(f.now, &Request{Class: clsAny, Caller: 42}, f.r.groups[0]) {
+		if f.r.admits(f.now, &Request{Class: clsAny, ClientKey: 42}, f.r.groups[0]) {
 			admitted++
 		}
 		n++
@@ -114,15 +114,15 @@
 func TestRetriesBehindARefusalAreNoNewDemand(t *testing.T) {
 	f := settled(t, testConfig(), 4)
 	plan(f, 0)
-	var facts GroupFacts
-	f.r.Facts(f.now, 0, &facts)
+	var facts GroupStats
+	f.r.GroupStats(f.now, 0, &facts)
 	for range 5 {
 		asked(f, 200, clsAny)
 		f.now += 50 * ms
 	}
-	f.r.Facts(f.now, 0, &facts)
+	f.r.GroupStats(f.now, 0, &facts)
 	// The table of refusals is small: some are pushed out by others and count again.
-	if c := facts.Classes[clsAny]; c.Offered+c.Repeats != 1000 || c.Offered > 650 || c.Shed > c.Offered {
+	if c := facts.Classes[clsAny]; c.Offered+c.Retries != 1000 || c.Offered > 650 || c.Shed > c.Offered {
 		t.Errorf("%+v", c)
 	}
 }
@@ -133,11 +133,11 @@
 	plan(f, 0)
 	for i := range 100 {
 		f.nextID++
-		f.r.Request(f.now, Request{ID: f.nextID, Class: clsAny, Caller: uint64(i + 1), Deadline: f.now + 8*time.Second})
+		f.r.Request(f.now, Request{ID: f.nextID, Class: clsAny, ClientKey: uint64(i + 1), Deadline: f.now + 8*time.Second})
 	}
 	seen := map[time.Duration]bool{}
 	for id, how := range f.finals {
-		if h := f.hints[id]; how != "refused" || h < 200*ms || h > min(600*ms, f.r.cfg.MaxComeBack) {
+		if h := f.hints[id]; how != "refused" || h < 200*ms || h > min(600*ms, f.r.cfg.MaxRetryAfter) {
 			t.Fatalf("%s, hint %v", how, h)
 		} else {
 			seen[h] = true
@@ -152,11 +152,11 @@
 	f := settled(t, testConfig(), 4)
 	p := make([]Admission, len(f.r.cfg.Classes))
 	for i := range p {
-		p[i] = Admission{Share: 1, NoRepeats: true}
+		p[i] = Admission{Share: 1, NoRetries: true}
 	}
-	f.r.Plan(0, p)
+	f.r.SetAdmission(0, p)
 	id := f.request(clsAny, 0)
-	f.end(f.mustSend(id), Full)
+	f.end(f.mustSend(id), Rejected)
 	f.wantFinal(id, "refused")
 	if f.count(id) != 1 {
 		t.Errorf("%d attempts", f.count(id))
@@ -174,7 +174,7 @@
 	b.ReportAllocs()
 	q := Request{Class: clsAny}
 	for i := 0; b.Loop(); i++ {
-		q.ID, q.Caller = RequestID(i), uint64(i%1000)
+		q.ID, q.ClientKey = RequestID(i), uint64(i%1000)
 		r.admits(time.Duration(i)*time.Microsecond, &q, g)
 	}
 }
--- a/logic/refusal_test.go
+++ b/logic/refusal_test.go
@@ -68,21 +68,21 @@
 	ask := s.probes
 	s.probes = nil
 	for _, m := range ask {
-		p := Probed{Member: m, Took: ms, Opened: s.opened, Report: Report{Role: RoleReplica, Position: s.now - 10*ms, Queue: s.queue}}
+		p := ProbeResult{Member: m, Elapsed: ms, ConnOpenedAt: s.opened, Report: Report{Role: RoleReplica, Position: s.now - 10*ms, Queue: s.queue}}
 		if m == 1 {
 			p.Report.Role, p.Report.Position = RolePrimary, s.now
 		}
 		if s.cut {
-			p = Probed{Member: m, Result: TimedOut}
+			p = ProbeResult{Member: m, Result: TimedOut}
 		}
-		s.r.Probed(s.now, p)
+		s.r.ProbeDone(s.now, p)
 	}
 }
 
 // startAnew lists members as started now.
 func (s *thinProxy) startAnew(ids ...MemberID) {
 	for _, id := range ids {
-		s.r.Members(s.now, List{Kind: ListDelta, Entries: []Member{{ID: id, State: Ready, Born: s.now}}})
+		s.r.Members(s.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: id, State: Ready, StartedAt: s.now}}})
 	}
 }
 
@@ -117,14 +117,14 @@
 		},
 		"it stood still": func(s *thinProxy) { s.now += 5 * time.Second },
 		"members were full": func(s *thinProxy) {
-			s.result = Full
+			s.result = Rejected
 			s.run(8 * time.Second)
 		},
 		"members are full all the while": func(s *thinProxy) {
-			s.result, s.stays = Full, true
+			s.result, s.stays = Rejected, true
 		},
 		"members were full for a moment": func(s *thinProxy) {
-			s.result = Full
+			s.result = Rejected
 			s.run(2 * time.Second)
 		},
 		"all answers were slow": func(s *thinProxy) {
@@ -143,7 +143,7 @@
 				for id := range MemberID(members) {
 					facts = append(facts, peers.Fact{Database: peers.Short(uint64(id + 1)), At: s.now, Ails: peers.Failing})
 				}
-				s.r.Heard(s.now, facts)
+				s.r.PeerFacts(s.now, facts)
 				s.run(100 * ms)
 			}
 		},
@@ -153,7 +153,7 @@
 			const seeds = 100
 			for seed := range uint64(seeds) {
 				cfg := manyFronts()
-				cfg.Fronts, cfg.Seed, cfg.PeerFacts = proxies, seed, 8
+				cfg.Proxies, cfg.Seed, cfg.MaxPeerFacts = proxies, seed, 8
 				s := &thinProxy{front: newFront(t, cfg), result: OK, took: 10 * ms}
 				s.r.act = s
 				s.opened = s.now
--- a/logic/refusals.go
+++ b/logic/refusals.go
@@ -7,22 +7,22 @@
 
 // The reasons for refusals.
 const (
-	RefusedNoPrimary RefusalReason = iota // its group has no primary that is known
-	RefusedNoTime                         // less time is left than its class's answers take
-	RefusedTried                          // attempts of it ended without an effect
-	RefusedUnknown                        // no member of its group has answered anything yet
-	RefusedCrowded                        // no member has room for it
-	RefusalReasons                        // how many there are
+	RefusedNoPrimary      RefusalReason = iota // its group has no primary that is known
+	RefusedNoTime                              // less time is left than its class's answers take
+	RefusedAttemptsFailed                      // attempts of it ended without an effect
+	RefusedNoAnswerYet                         // no member of its group has answered anything yet
+	RefusedOverloaded                          // no member has room for it
+	NumRefusalReasons                          // how many there are
 )
 
 // String gives the reason as logs and metrics name it.
 func (r RefusalReason) String() string {
-	return [...]string{RefusedNoPrimary: "no_primary", RefusedNoTime: "no_time", RefusedTried: "tried", RefusedUnknown: "unknown",
-		RefusedCrowded: "crowded"}[r]
+	return [...]string{RefusedNoPrimary: "no_primary", RefusedNoTime: "no_time", RefusedAttemptsFailed: "tried", RefusedNoAnswerYet: "unknown",
+		RefusedOverloaded: "crowded"}[r]
 }
 
 // Refusals gives how many requests were refused for each reason, since the start.
-func (r *Router) Refusals() [RefusalReasons]uint64 { return r.refusals }
+func (r *Router) Refusals() [NumRefusalReasons]uint64 { return r.refusals }
 
 // refusalReason tells why a request is refused now.
 func (r *Router) refusalReason(now time.Duration, q *request) RefusalReason {
@@ -32,11 +32,11 @@
 	case q.Deadline-now <= r.cost[q.Class]:
 		return RefusedNoTime
 	case len(q.tries) > 0:
-		return RefusedTried
+		return RefusedAttemptsFailed
 	case !q.group.known():
-		return RefusedUnknown
+		return RefusedNoAnswerYet
 	}
-	return RefusedCrowded
+	return RefusedOverloaded
 }
 
 // known tells whether any member of a group is known to have answered, this proxy or a peer.
--- a/logic/reload.go
+++ b/logic/reload.go
@@ -20,10 +20,10 @@
 	}
 	r.cfg.Classes = classes
 	for _, g := range r.groups {
-		g.tally = append(g.tally, make([]Tally, len(classes)-len(g.tally))...)
+		g.tally = append(g.tally, make([]ClassCounts, len(classes)-len(g.tally))...)
 	}
-	r.nobody.tally = append(r.nobody.tally, make([]Tally, len(classes)-len(r.nobody.tally))...)
-	r.cfg.MaxAttempts, r.cfg.MayComeBack, r.cfg.MaxComeBack = maxAttempts, mayComeBack, maxComeBack
+	r.nobody.tally = append(r.nobody.tally, make([]ClassCounts, len(classes)-len(r.nobody.tally))...)
+	r.cfg.MaxAttempts, r.cfg.EnableRetryAfter, r.cfg.MaxRetryAfter = maxAttempts, mayComeBack, maxComeBack
 	r.pings.Tightest = tightest(next)
 	return at
 }
--- a/logic/rounds.go
+++ b/logic/rounds.go
@@ -82,7 +82,7 @@
 // seeksPrimary tells whether a group's members are looked at for want of a primary. Where checks go out on need, a request has them checked,
 // or the wait for another primary does.
 func (r *Router) seeksPrimary(now time.Duration, g *group) bool {
-	return g.primary == nil && (!r.pings.OnNeed() || g.lead.Searching(now, r.cfg.Fronts) > 0)
+	return g.primary == nil && (!r.pings.OnNeed() || g.lead.Searching(now, r.cfg.Proxies) > 0)
 }
 
 // wake lets a member be looked at each time.
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -105,23 +105,23 @@
 		w.fail("sent after the end")
 	case m.group != q.Group:
 		w.fail("outside the group")
-	case w.cfg.DrainOnly && m.drained, !w.cfg.DrainOnly && m.state != Ready:
+	case w.cfg.IgnoreGone && m.drained, !w.cfg.IgnoreGone && m.state != Ready:
 		w.fail("drain")
 	case len(q.tries) >= w.cfg.MaxAttempts:
 		w.fail("attempts")
 	}
 	for _, a := range q.tries {
-		if a.open && !w.cfg.Parallel {
+		if a.open && !w.cfg.ParallelAttempts {
 			w.fail("two at once")
 		}
-		if q.class.Effect == Free || !a.open && !a.mayRun {
+		if q.class.Effect == Idempotent || !a.open && !a.mayRun {
 			continue
 		}
 		if q.class.Effect == SingleShot || w.now-a.sent > q.class.DedupWindow {
 			w.fail("effect twice")
 		}
 	}
-	if !m.wasFirst && w.cfg.Checks == ChecksNone {
+	if !m.wasFirst && w.cfg.LagCheck == LagCheckNone {
 		switch q.class.Read {
 		case Bounded:
 			if m.position < w.now-q.class.MaxAge {
@@ -148,7 +148,7 @@
 func (w *world) Refuse(id RequestID, _ time.Duration) {
 	q := w.reqs[id]
 	for _, a := range q.tries {
-		if q.class.Effect != Free && (a.open || a.mayRun) {
+		if q.class.Effect != Idempotent && (a.open || a.mayRun) {
 			w.fail("refused though it may have run")
 		}
 	}
@@ -164,18 +164,18 @@
 }
 func (w *world) Cancel(RequestID, int)                {}
 func (w *world) SetTimer(_ TimerID, at time.Duration) { w.timers = append(w.timers, at) }
-func (w *world) Watch(bool)                           {}
-func (w *world) Fetch()                               {}
-func (w *world) Tell([]peers.Fact)                    {}
+func (w *world) WatchList(bool)                       {}
+func (w *world) FetchList()                           {}
+func (w *world) SendToPeers([]peers.Fact)             {}
 func (w *world) Log(string)                           {}
 
 func newWorld(t *testing.T, seed uint64) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), reqs: map[RequestID]*book{}, now: 100 * time.Second}
 	w.cfg = testConfig()
 	w.cfg.Seed = seed
-	w.cfg.Carried, w.cfg.Pull = w.rng.IntN(2) == 0, w.rng.IntN(2) == 0
-	w.cfg.Parallel, w.cfg.MayCancel = w.rng.IntN(4) > 0, w.rng.IntN(2) == 0
-	w.cfg.DrainOnly, w.cfg.Fronts = w.rng.IntN(2) == 0, []int{0, 2, 40, 200, -3}[w.rng.IntN(5)]
+	w.cfg.SessionTokens, w.cfg.ListOnRequest = w.rng.IntN(2) == 0, w.rng.IntN(2) == 0
+	w.cfg.ParallelAttempts, w.cfg.EnableCancel = w.rng.IntN(4) > 0, w.rng.IntN(2) == 0
+	w.cfg.IgnoreGone, w.cfg.Proxies = w.rng.IntN(2) == 0, []int{0, 2, 40, 200, -3}[w.rng.IntN(5)]
 	w.cfg.ListRole, w.cfg.MaxAttempts = ListRole(w.rng.IntN(3)), 1+w.rng.IntN(8)
 	for i := 0; i < 9; i++ {
 		m := &truth{id: MemberID(i + 1), group: GroupID(i / 5), role: RoleReplica, lag: 20 * ms, state: Ready}
@@ -195,7 +195,7 @@
 }
 
 func (w *world) list(kind ListKind) {
-	l := List{Kind: kind}
+	l := MemberList{Kind: kind}
 	for _, m := range w.members {
 		e := Member{ID: m.id, Group: m.group, State: m.state}
 		// A list may only name one that has been primary; in this world it is right or silent.
@@ -216,8 +216,8 @@
 	m := w.members[w.rng.IntN(len(w.members))]
 	switch w.rng.IntN(8) {
 	case 6: // the list calls all gone, though nothing is; without DrainOnly that binds
-		if w.cfg.DrainOnly {
-			w.r.Members(w.now, List{Kind: ListFull})
+		if w.cfg.IgnoreGone {
+			w.r.Members(w.now, MemberList{Kind: ListFull})
 		}
 	case 7:
 		w.settle(time.Duration(300+w.rng.IntN(1700)) * ms)
@@ -253,10 +253,10 @@
 	in := Request{ID: w.nextID, Class: c, Group: GroupID(w.rng.IntN(2)), Session: SessionID(1 + w.rng.IntN(6)),
 		Deadline: w.now + w.cfg.Classes[c].Limit*time.Duration(2+w.rng.IntN(99))/100}
 	q := &book{Request: in, class: w.cfg.Classes[c]}
-	if q.class.Read == Session && w.cfg.Carried && w.rng.IntN(3) > 0 {
+	if q.class.Read == Session && w.cfg.SessionTokens && w.rng.IntN(3) > 0 {
 		q.TokenAge = time.Duration(1+w.rng.IntN(1500)) * ms
 		q.token = w.now - q.TokenAge
-	} else if q.class.Read == Session && !w.cfg.Carried {
+	} else if q.class.Read == Session && !w.cfg.SessionTokens {
 		q.token = w.written[in.Session]
 	}
 	w.reqs[q.ID] = q
@@ -280,16 +280,16 @@
 func (w *world) conclude(f flight) {
 	q, a := f.q, &f.q.tries[f.n]
 	m := a.to
-	o := Outcome{Request: q.ID, Attempt: f.n, Member: m.id, Took: w.now - a.sent}
+	o := Outcome{Request: q.ID, Attempt: f.n, Member: m.id, Elapsed: w.now - a.sent}
 	switch k := w.rng.IntN(20); {
 	case w.now >= q.Deadline || m.mute:
 		o.Result = TimedOut
 	case q.class.Read == Write && m.role != RolePrimary:
-		o.Result = Miss
+		o.Result = Misdirected
 	case k == 0:
 		o.Result = Failed
 	case k == 1:
-		o.Result = Full
+		o.Result = Rejected
 	case k == 2:
 		o.Result = ConnectFailed
 	case k == 3:
@@ -298,7 +298,7 @@
 		o.Result = OK
 	}
 	a.open, a.mayRun = false, !o.Result.NeverRan()
-	if o.Result == OK || o.Result == Miss || o.Result == Failed || o.Result == Full {
+	if o.Result == OK || o.Result == Misdirected || o.Result == Failed || o.Result == Rejected {
 		o.Role, o.Position = m.role, m.position.Truncate(ms)
 		if m.role != RolePrimary {
 			m.wasFirst = false
@@ -328,18 +328,18 @@
 		w.probes = nil
 		for _, id := range ask {
 			m := w.find(id)
-			p := Probed{Member: id, Took: ms, Report: Report{Role: m.role, Position: m.position, Queue: w.queue()}}
+			p := ProbeResult{Member: id, Elapsed: ms, Report: Report{Role: m.role, Position: m.position, Queue: w.queue()}}
 			if m.mute {
-				p = Probed{Member: id, Result: TimedOut, Took: 250 * ms}
+				p = ProbeResult{Member: id, Result: TimedOut, Elapsed: 250 * ms}
 			}
-			w.r.Probed(w.now, p)
+			w.r.ProbeDone(w.now, p)
 		}
 		w.finishFlights()
 		if w.rng.IntN(40) == 0 {
 			w.trouble()
 		}
 		if w.rng.IntN(100) == 0 {
-			w.r.Members(w.now, List{Kind: ListFailed})
+			w.r.Members(w.now, MemberList{Kind: ListFailed})
 		}
 		for n := w.rng.IntN(3); n > 0 && i < steps-1800; n-- {
 			w.submit()
@@ -388,7 +388,7 @@
 		"outside the group":  func(w *world, q *book) { w.Send(q.ID, 9, 0) },
 		"effect twice": func(w *world, q *book) {
 			q.class.Effect = SingleShot
-			w.cfg.Parallel = true
+			w.cfg.ParallelAttempts = true
 			w.Send(q.ID, 1, 0)
 			w.Send(q.ID, 1, 0)
 		},
@@ -418,7 +418,7 @@
 func BenchmarkRequest(b *testing.B) {
 	r, _ := New(testConfig(), printerless{})
 	now := 100 * time.Second
-	l := List{Kind: ListFull}
+	l := MemberList{Kind: ListFull}
 	for i := 1; i <= 12; i++ {
 		l.Entries = append(l.Entries, Member{ID: MemberID(i), Group: GroupID(i / 7), State: Ready})
 	}
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -54,7 +54,7 @@
 	}
 	own := all[q.Class]
 	if q.over {
-		own *= r.cfg.OverShare
+		own *= r.cfg.OverShareWorth
 	}
 	return limit.Merit(own, all)
 }
@@ -106,7 +106,7 @@
 		return p, 0
 	}
 	// Where members check for themselves, a send can't go stale: one that is too far behind turns it away.
-	if r.cfg.Checks != ChecksNone {
+	if r.cfg.LagCheck != LagCheckNone {
 		if m := r.pick(now, q, part, func(*member) bool { return true }); m != nil {
 			return m, 0
 		}
@@ -141,7 +141,7 @@
 // inquire holds what known positions and roles don't serve while it pings members drawn at random, where
 // traffic is too thin to ping all the time. It tells whether the request is to wait.
 func (r *Router) inquire(now time.Duration, q *request, n int, filter func(*member) bool) bool {
-	if !r.cfg.MayProbe || !r.thin(now, q.group) || now+askWait+r.cost[q.Class] >= q.Deadline {
+	if !r.cfg.EnableProbes || !r.thin(now, q.group) || now+askWait+r.cost[q.Class] >= q.Deadline {
 		return false
 	}
 	waits := func(m *member) bool { return m.probing && filter(m) }
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -9,7 +9,7 @@
 
 func manyFronts() Config {
 	cfg := testConfig()
-	cfg.Fronts = 170
+	cfg.Proxies = 170
 	return cfg
 }
 
@@ -71,7 +71,7 @@
 func TestQuietDayRefusesNothing(t *testing.T) {
 	for _, fronts := range []int{0, 1, 2, 40, 200, 100000} {
 		cfg := testConfig()
-		cfg.Fronts = fronts
+		cfg.Proxies = fronts
 		f := settled(t, cfg, 6)
 		for i := 0; i < 400; i++ {
 			f.pass(100 * ms)
@@ -92,7 +92,7 @@
 func TestColdMemberIsSentItsShareByAllFronts(t *testing.T) {
 	const fronts, members, perSecond = 150, 6, 300 // all fronts; each warm replica gets about 60 reads a second
 	cfg := manyFronts()
-	cfg.Fronts = fronts
+	cfg.Proxies = fronts
 	sent, warm := 0, 0
 	for i := 0; i < fronts; i++ {
 		cfg.Seed = uint64(i)
@@ -109,7 +109,7 @@
 		}
 		turns(1500)
 		f.sends = nil
-		f.r.Members(f.now, List{Entries: []Member{{ID: 2, State: Ready, Born: f.now}}})
+		f.r.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: f.now}}})
 		turns(300)
 		for _, s := range f.sends {
 			switch s.to {
@@ -134,9 +134,9 @@
 	}
 	for _, only := range []bool{true, false} {
 		cfg := testConfig()
-		cfg.DrainOnly = only
+		cfg.IgnoreGone = only
 		f := settled(t, cfg, 4)
-		for _, l := range []List{{Kind: ListFull}, {Entries: gone}} {
+		for _, l := range []MemberList{{Kind: ListFull}, {Entries: gone}} {
 			f.r.Members(f.now, l)
 			f.pass(500 * ms)
 			if id := f.request(clsAny, 0); (f.count(id) == 1) != only {
@@ -145,10 +145,10 @@
 		}
 	}
 	cfg := testConfig()
-	cfg.DrainOnly = true
+	cfg.IgnoreGone = true
 	f := settled(t, cfg, 2)
-	f.r.Members(f.now, List{Entries: []Member{{ID: 2, State: Draining}}})
-	f.r.Members(f.now, List{Entries: []Member{{ID: 2, State: Gone}}})
+	f.r.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Draining}}})
+	f.r.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Gone}}})
 	for i := 0; i < 20; i++ {
 		if s, ok := f.last(f.request(clsAny, 0)); ok && s.to == 2 {
 			t.Fatal("sent to a member that had been listed as draining")
@@ -159,13 +159,13 @@
 // Members that a non-binding list leaves out and that have been silent for long are forgotten.
 func TestSilentMembersLeftOutAreForgotten(t *testing.T) {
 	cfg := testConfig()
-	cfg.DrainOnly = true
+	cfg.IgnoreGone = true
 	f := settled(t, cfg, 4)
 	f.list(ListFull, 3)
 	for i := 0; i < 300; i++ {
 		f.pass(200*ms, 4)
 		for _, id := range []MemberID{4} { // its pings time out
-			f.r.Probed(f.now, Probed{Member: id, Result: TimedOut})
+			f.r.ProbeDone(f.now, ProbeResult{Member: id, Result: TimedOut})
 		}
 		f.list(ListFull, 3)
 	}
@@ -234,7 +234,7 @@
 	f := settled(t, testConfig(), 3)
 	report := func(m MemberID, queue float64) {
 		f.r.members[m].probing = true
-		f.r.Probed(f.now, Probed{Member: m, Took: ms, Report: Report{Role: RoleReplica, Position: f.now, Queue: queue}})
+		f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ms, Report: Report{Role: RoleReplica, Position: f.now, Queue: queue}})
 	}
 	report(2, 5)
 	for i := 0; i < 30; i++ {
@@ -388,7 +388,7 @@
 	for seed := range uint64(seeds) {
 		for _, two := range []bool{false, true} {
 			cfg := testConfig()
-			cfg.Seed, cfg.Fronts = seed, 1
+			cfg.Seed, cfg.Proxies = seed, 1
 			fronts := []*front{settled(t, cfg, 4)}
 			turns := func(n int) {
 				for k := range n {
@@ -415,7 +415,7 @@
 			}
 			for _, f := range fronts {
 				f.sends = nil
-				f.r.Members(f.now, List{Entries: []Member{{ID: 2, State: Ready, Born: old.now}}})
+				f.r.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: old.now}}})
 			}
 			turns(300)
 			for _, f := range fronts {
--- a/logic/state.go
+++ b/logic/state.go
@@ -50,7 +50,7 @@
 	pings    ping.Schedule
 	priority limit.Priority // among classes, at cold members
 	peers    *peers.Gossip  // what the other proxies have seen
-	refusals [RefusalReasons]uint64
+	refusals [NumRefusalReasons]uint64
 	looks    uint64      // at members, by time alone
 	checks   checkBudget // where the tier shares them
 }
@@ -100,8 +100,8 @@
 	worth      float64 // moving average of a request's worth
 	rate       decaying
 
-	plan  []Admission // of reduced service, by class; empty = all is admitted
-	tally []Tally     // by class
+	plan  []Admission   // of reduced service, by class; empty = all is admitted
+	tally []ClassCounts // by class
 	draws draws
 }
 
@@ -161,7 +161,7 @@
 }
 
 func (r *Router) newGroup(id GroupID) *group {
-	return &group{tally: make([]Tally, len(r.cfg.Classes)), lead: r.lead.Group(int(id))}
+	return &group{tally: make([]ClassCounts, len(r.cfg.Classes)), lead: r.lead.Group(int(id))}
 }
 
 // groupOf finds the group that a list names, or makes it.
@@ -247,7 +247,7 @@
 
 // tokenOf gives the commit that a session read must see; if unknown here, the newest one forgotten.
 func (r *Router) tokenOf(now time.Duration, in *Request) time.Duration {
-	if r.cfg.Carried {
+	if r.cfg.SessionTokens {
 		if in.TokenAge > 0 {
 			return now - in.TokenAge
 		}
--- a/logic/subset.go
+++ b/logic/subset.go
@@ -4,8 +4,8 @@
 // say. It only narrows the choice among members that would do alike: those of the ping window that pass every other filter. Where none of
 // the subset can take a read, any other may.
 
-// UseSubset tells which members belong to the subset. It replaces what was told before; none = there is no subset.
-func (r *Router) UseSubset(ids []MemberID) {
+// SetSubset tells which members belong to the subset. It replaces what was told before; none = there is no subset.
+func (r *Router) SetSubset(ids []MemberID) {
 	for _, m := range r.order {
 		m.inSubset = false
 	}
--- a/logic/subset_test.go
+++ b/logic/subset_test.go
@@ -13,15 +13,15 @@
 
 func TestReadsKeepToTheSubset(t *testing.T) {
 	f := sharing(t)
-	f.r.UseSubset([]MemberID{1, 3})
+	f.r.SetSubset([]MemberID{1, 3})
 	if to := f.sessionReads(40); to[3] != 40 {
 		t.Errorf("reads went to %v, 3 is the one replica of the subset", to)
 	}
-	f.r.UseSubset([]MemberID{1, 2, 4, 99})
+	f.r.SetSubset([]MemberID{1, 2, 4, 99})
 	if to := f.sessionReads(40); to[3] > 0 || to[2] == 0 || to[4] == 0 {
 		t.Errorf("reads went to %v, 2 and 4 are the replicas of the subset", to)
 	}
-	f.r.UseSubset(nil)
+	f.r.SetSubset(nil)
 	if to := f.sessionReads(60); len(to) != 3 {
 		t.Errorf("reads went to %v, there is no subset", to)
 	}
@@ -30,7 +30,7 @@
 // The subset narrows the choice and takes no read's answer away.
 func TestReadsLeaveASubsetThatCantTakeThem(t *testing.T) {
 	f := sharing(t)
-	f.r.UseSubset([]MemberID{3})
+	f.r.SetSubset([]MemberID{3})
 	f.r.members[3].ping = 100 * ms // beyond the ping window
 	if to := f.sessionReads(20); to[3] > 0 {
 		t.Errorf("reads went to %v, 3 is slower than the window allows", to)
@@ -45,8 +45,8 @@
 // Where checks are not shared there is no subset, whatever was told before.
 func TestNoSubsetWhereNothingIsShared(t *testing.T) {
 	f := sharing(t)
-	f.r.UseSubset([]MemberID{3})
-	f.r.ShareChecks(f.now, 0)
+	f.r.SetSubset([]MemberID{3})
+	f.r.SetSharedChecks(f.now, 0)
 	if to := f.sessionReads(60); len(to) != 3 {
 		t.Errorf("reads went to %v", to)
 	}
