--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -47,7 +47,7 @@
 
 // Source is what the tables are made of.
 type Source interface {
-	Front() *state.Front
+	Front() *state.Engine
 	// Clients gives the connections, at most so many; all counts them.
 	Clients(most int) (list []Client, all int)
 	// Tier tells what is known of the tier; false = there is none.
@@ -153,7 +153,7 @@
 func classesTable(s Source) Table {
 	t := Table{Columns: []string{"class", "reads", "worth", "aim_ms", "limit_ms", "taken", "served", "refused", "failed", "abandoned"}}
 	for _, c := range s.Front().Classes() {
-		t.add(c.Name, c.Reads, c.Worth, c.Aim.Milliseconds(), c.Limit.Milliseconds(), c.Taken, c.Served, c.Refused, c.Failed, c.Abandoned)
+		t.add(c.Name, c.ReadMode, c.Worth, c.Aim.Milliseconds(), c.Limit.Milliseconds(), c.Received, c.Served, c.Refused, c.Failed, c.Abandoned)
 	}
 	return t
 }
@@ -162,8 +162,8 @@
 	t := Table{Columns: []string{"name", "address", "group", "listed", "role", "health", "out", "limit", "strain", "ping_ms", "behind_ms"}}
 	for _, d := range s.Front().Databases() {
 		behind := "-"
-		if d.Behind >= 0 {
-			behind = fmt.Sprint(d.Behind.Milliseconds())
+		if d.PositionAge >= 0 {
+			behind = fmt.Sprint(d.PositionAge.Milliseconds())
 		}
 		t.add(d.Name, d.Address, d.Group, d.State, d.Role, d.Health, d.Out, d.Limit, d.Strain, float64(d.Ping.Microseconds())/1e3, behind)
 	}
@@ -173,23 +173,23 @@
 func switchesTable(s Source) Table {
 	t := Table{Columns: []string{"group", "phase", "for_s", "cause", "from", "to", "rivals", "held", "refused", "held_bytes", "expected_s"}}
 	for _, x := range s.Front().Switches() {
-		t.add(x.Group, x.Phase, x.For, x.Cause, x.From, x.To, x.Rivals, x.Held, x.Refused, x.Bytes, x.Expected)
+		t.add(x.Group, x.Phase, x.Duration, x.Cause, x.OldPrimary, x.NewPrimary, x.Rivals, x.HeldRequests, x.RefusedRequests, x.HeldBytes, x.ExpectedRemaining)
 	}
 	return t
 }
 
 func membersTable(s Source) Table {
 	t := Table{Columns: []string{"name", "address", "group", "zone", "state", "hint", "why", "known"}}
-	for _, e := range s.Front().MemberFacts() {
+	for _, e := range s.Front().MergedMembers() {
 		var known []string
 		for _, k := range e.Facts {
 			known = append(known, fmt.Sprintf("%s: %s for %.1f s (%.2f)", k.Source, k.What, k.Age.Seconds(), k.Confidence))
 		}
 		t.add(e.ID, e.Address, e.Group, e.Zone, e.State.String(), or(e.Role.String(), "-"), e.Why, strings.Join(known, "; "))
 	}
-	if !s.Front().Merges() { // the platform's list stands alone
+	if !s.Front().MergesCatalogues() { // the platform's list stands alone
 		for _, d := range s.Front().Databases() {
-			t.add(d.Name, d.Address, d.Group, "-", d.State, "-", state.OwnList+" lists it", "-")
+			t.add(d.Name, d.Address, d.Group, "-", d.State, "-", state.DiscoveryCatalogue+" lists it", "-")
 		}
 	}
 	return t
@@ -204,8 +204,8 @@
 		}
 		t.add(c.Name, c.Members, c.Index, heard, c.Behind, c.Failures, c.Doubted, c.Doubts, c.Suppressed, c.Skipped, or(c.LastError, "-"))
 	}
-	if f := s.Front(); !f.Merges() {
-		t.add(state.OwnList, len(f.Databases()), "-", "-", time.Duration(0), f.Counters.ListFailures, false, 0, 0, 0, "-")
+	if f := s.Front(); !f.MergesCatalogues() {
+		t.add(state.DiscoveryCatalogue, len(f.Databases()), "-", "-", time.Duration(0), f.Counters.ListFailures, false, 0, 0, 0, "-")
 	}
 	return t
 }
@@ -221,9 +221,9 @@
 		case x.Ready:
 			how = "taken"
 		}
-		t.add(x.Number, how, f.Kept(), f.Counters.Kept, f.Counters.GateShut)
+		t.add(x.Number, how, f.GateQueueLength(), f.Counters.GateQueued, f.Counters.GateRefused)
 	} else {
-		t.add(or(f.Revised(), "-"), "taken, by the proxy's own files", 0, uint64(0), uint64(0))
+		t.add(or(f.Revision(), "-"), "taken, by the proxy's own files", 0, uint64(0), uint64(0))
 	}
 	return t
 }
--- a/internal/lab/arrivals/arrivals_test.go
+++ b/internal/lab/arrivals/arrivals_test.go
@@ -77,7 +77,7 @@
 
 // A trace is played in its order, faster where that is asked for; what the fleet doesn't have is left out and counted.
 func TestReplay(t *testing.T) {
-	tr := &trace.Trace{Head: trace.Head{Classes: []string{"other", "kayit-yaz"}}, Records: []trace.Record{
+	tr := &trace.Trace{Header: trace.Header{Classes: []string{"other", "kayit-yaz"}}, Records: []trace.Record{
 		{At: 0, Class: 1, Group: 0, Session: 77}, {At: 100 * time.Millisecond, Class: 0}, {At: 200 * time.Millisecond, Class: 1, Group: 9, Session: 88},
 		{At: 300 * time.Millisecond, Class: 1, Group: 1, Session: 77}, {At: 9 * time.Second, Class: 1}}}
 	s, left := Replay(tr, []string{"katalog", "kayit-yaz"}, 3, 10, 500*time.Millisecond, 1)
--- a/internal/lab/command/explore_test.go
+++ b/internal/lab/command/explore_test.go
@@ -119,7 +119,7 @@
 	}
 	lab(t, 2, "report", operator)
 	tr, err := trace.Load(day)
-	if err != nil || tr.Cut || tr.Damaged > 0 {
+	if err != nil || tr.Truncated || tr.CorruptBlocks > 0 {
 		t.Fatalf("%v, %+v", err, tr)
 	}
 	sessions, classes := map[uint64]bool{}, map[int]bool{}
--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -310,9 +310,9 @@
 		}
 	}
 	t := f.Trace
-	say(t.Cut, "the trace was cut off: its end is missing")
-	say(t.Damaged > 0, "%d blocks of the trace were damaged and are left out", t.Damaged)
-	say(t.Backward > 0, "the clock ran back %d times; those requests stand at the latest time before them", t.Backward)
+	say(t.Truncated, "the trace was cut off: its end is missing")
+	say(t.CorruptBlocks > 0, "%d blocks of the trace were damaged and are left out", t.CorruptBlocks)
+	say(t.BackwardSteps > 0, "the clock ran back %d times; those requests stand at the latest time before them", t.BackwardSteps)
 	var unknown []string
 	for _, c := range f.Classes {
 		if !c.Known {
--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	var shares []float64
-	out := &trace.Trace{Head: trace.Head{Sample: 1}}
+	out := &trace.Trace{Header: trace.Header{Sample: 1}}
 	for _, c := range s.Classes {
 		shares, out.Classes = append(shares, c.Share), append(out.Classes, c.Name)
 	}
@@ -99,7 +99,7 @@
 
 // What a scenario can't hold is told: a clock like a metronome's is no Poisson process, and the distance says so.
 func TestWhatDoesNotFitIsTold(t *testing.T) {
-	tr := &trace.Trace{Head: trace.Head{Sample: 0.1, Classes: []string{"katalog", "none of ours"}}, Damaged: 2, Cut: true, Backward: 3}
+	tr := &trace.Trace{Header: trace.Header{Sample: 0.1, Classes: []string{"katalog", "none of ours"}}, CorruptBlocks: 2, Truncated: true, BackwardSteps: 3}
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 3000 {
 		r := trace.Record{At: time.Duration(i) * 10 * time.Millisecond, Session: rng.Uint64() % 40, Retry: i%5 == 0}
@@ -140,7 +140,7 @@
 
 // A class that the lab doesn't know becomes one of the scenario's own, and is told; one that the trace lacks has no share.
 func TestClassesThatAreNotKnown(t *testing.T) {
-	tr := &trace.Trace{Head: trace.Head{Sample: 1, Classes: []string{"katalog", "fatura", "odeme"}}}
+	tr := &trace.Trace{Header: trace.Header{Sample: 1, Classes: []string{"katalog", "fatura", "odeme"}}}
 	for i := range 900 {
 		tr.Records = append(tr.Records, trace.Record{At: time.Duration(i) * 5 * time.Millisecond, Class: i % 3, Session: uint64(i), Write: i%3 == 2, Wait: 700 * time.Millisecond})
 	}
--- a/internal/lab/scale/recorder.go
+++ b/internal/lab/scale/recorder.go
@@ -99,19 +99,19 @@
 }
 
 // Second implements virtual.Observer.
-func (r *recorder) Second(at time.Duration, proxies []*state.Front) bool {
+func (r *recorder) Second(at time.Duration, proxies []*state.Engine) bool {
 	for i, front := range proxies {
 		if front == nil {
 			r.earlier[i] = state.Counters{}
 			continue
 		}
 		now, before := &front.Counters, &r.earlier[i]
-		r.requests.add(i, increase(now.Taken, before.Taken))
+		r.requests.add(i, increase(now.Received, before.Received))
 		r.wrongSends.add(i, increase(wrongSends(now), wrongSends(before)))
 		r.refused.add(i, increase(now.Refused, before.Refused))
 		r.unserved.add(i, increase(now.Refused+now.Failed, before.Refused+before.Failed))
-		r.gateShut.add(i, increase(now.GateShut, before.GateShut))
-		r.connections.add(i, float64(front.Links()))
+		r.gateShut.add(i, increase(now.GateRefused, before.GateRefused))
+		r.connections.add(i, float64(front.Connections()))
 		*before = *now
 	}
 	inWindow := at > r.from && at <= r.until
--- a/internal/lab/virtual/clients.go
+++ b/internal/lab/virtual/clients.go
@@ -114,13 +114,13 @@
 		c := &w.cfg.Fleet.Classes[r.class]
 		in := state.Request{Class: c.Name, Wait: r.until - w.clock.now, Session: r.session, Group: r.group, Command: command{r}, Caller: r}
 		if at := w.after[r.session]; at > 0 && c.Read == logic.Session {
-			in.After = int64((w.clock.Unix() - w.clock.now + at) / time.Millisecond)
+			in.LastCommit = int64((w.clock.Unix() - w.clock.now + at) / time.Millisecond)
 		}
 		if in.Wait <= 0 {
 			r.Refused(0)
 			return
 		}
-		r.id, _ = r.n.front.Take(in)
+		r.id, _ = r.n.front.Submit(in)
 	})
 }
 
@@ -192,8 +192,8 @@
 	r.end(&r.w.res.Classes[r.class].Failed, 0)
 }
 
-// Unfit implements state.Caller.
-func (r *request) Unfit([]byte) { r.Failed() }
+// BadRequest implements state.Caller.
+func (r *request) BadRequest([]byte) { r.Failed() }
 
 type command struct{ r *request }
 
--- a/internal/lab/virtual/connections.go
+++ b/internal/lab/virtual/connections.go
@@ -47,8 +47,8 @@
 	return c
 }
 
-// GivenUp implements state.Opener.
-func (n *node) GivenUp() int { return 0 }
+// AbandonedDials implements state.Opener.
+func (n *node) AbandonedDials() int { return 0 }
 
 func (c *conn) down() {
 	if !c.closed {
@@ -127,7 +127,7 @@
 				c.n.proxy(func() {
 					if !c.closed {
 						c.n.countReport(c.m, r)
-						c.to.Reply(state.Reply{Result: logic.OK, Load: state.Load{Told: true, Role: r.Role, Queue: -1,
+						c.to.Reply(state.Reply{Result: logic.OK, Load: state.Load{Known: true, Role: r.Role, Queue: -1,
 							Position: (w.clock.Unix() - w.clock.now + r.Position).Seconds()}})
 					}
 				})
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// Quiet implements state.Conn.
-func (c *conn) Quiet() bool { return !c.closed }
+// Reusable implements state.Conn.
+func (c *conn) Reusable() bool { return !c.closed }
 
 // Close implements state.Conn.
 func (c *conn) Close() {
--- a/internal/lab/virtual/cut_test.go
+++ b/internal/lab/virtual/cut_test.go
@@ -18,7 +18,7 @@
 		cfg.Rate = func(time.Duration) float64 { return 60 }
 		cfg.Faults = []Fault{{At: 8 * time.Second, Fault: fleet.Fault{Kind: kind, Member: 1, For: 3 * time.Second}}}
 		seen, health := false, ""
-		cfg.At = []Action{{At: 13 * time.Second, Do: func(f *state.Front) {
+		cfg.At = []Action{{At: 13 * time.Second, Do: func(f *state.Engine) {
 			for _, d := range f.Databases() {
 				if d.Name == "db1" {
 					seen, health = d.Cold, d.Health
--- a/internal/lab/virtual/health.go
+++ b/internal/lab/virtual/health.go
@@ -52,7 +52,7 @@
 }
 
 // shareChecks lets a proxy's front share health checks, where the run's tier does.
-func (w *world) shareChecks(n *node, f *state.Front) {
+func (w *world) shareChecks(n *node, f *state.Engine) {
 	c := w.cfg.Tier.Checks
 	if c == nil || w.planner == nil {
 		return
--- a/internal/lab/virtual/list.go
+++ b/internal/lab/virtual/list.go
@@ -31,7 +31,7 @@
 		n.call()
 	default:
 		n.countList()
-		n.front.Listed(n.w.list(logic.ListFull))
+		n.front.UpdateList(n.w.list(logic.ListFull))
 		n.await()
 	}
 }
@@ -54,7 +54,7 @@
 			return
 		}
 		n.countList()
-		n.proxy(func() { n.front.Listed(w.list(logic.ListFull)) })
+		n.proxy(func() { n.front.UpdateList(w.list(logic.ListFull)) })
 		n.await()
 	})
 }
--- a/internal/lab/virtual/node.go
+++ b/internal/lab/virtual/node.go
@@ -11,7 +11,7 @@
 	w     *world
 	i     int
 	zone  int
-	front *state.Front
+	front *state.Engine
 	life  int  // counts starts; what was under way in an earlier life is lost
 	dead  bool // between two lives
 	// leaving: it has been told to end and takes nothing new.
--- a/internal/lab/virtual/observe.go
+++ b/internal/lab/virtual/observe.go
@@ -59,7 +59,7 @@
 	// Spent tells of the true time that decisions and state took, on this machine; only with Config.Clocked.
 	Spent(at time.Duration, proxy int, work Work, took time.Duration)
 	// Second is called at the end of each second, with all proxies; nil stands for one that is down. False ends the run.
-	Second(at time.Duration, proxies []*state.Front) bool
+	Second(at time.Duration, proxies []*state.Engine) bool
 }
 
 const (
@@ -111,7 +111,7 @@
 	}
 	at := w.clock.now + time.Second
 	w.at(at, func() {
-		fronts := make([]*state.Front, len(w.nodes))
+		fronts := make([]*state.Engine, len(w.nodes))
 		for i, n := range w.nodes {
 			if !n.dead {
 				fronts[i] = n.front
--- a/internal/lab/virtual/planner.go
+++ b/internal/lab/virtual/planner.go
@@ -175,7 +175,7 @@
 	cfg := rollout.Config{Lease: p.Lease}.WithDefaults()
 	l := &plannerLink{p: p, n: n, life: n.life, seek: rollout.NewPlannerSelector(cfg, 1, rng),
 		proxy: rollout.NewProxy(cfg, "n"+strconv.Itoa(n.i), rng.Uint64()|1, func(rollout.Number, []byte) string { return "" })}
-	n.front.Gate(l)
+	n.front.SetGate(l)
 	w.todo.Set(&l.beat, w.clock.now+time.Duration(rng.Int64N(int64(p.Lease/5)+1)), func() {
 		l.connect()
 		l.pulse()
@@ -233,7 +233,7 @@
 				w.res.Changed[i].Proxies++
 			}
 		}
-		l.n.front.Passed()
+		l.n.front.GateChanged()
 	})
 	l.flush()
 }
@@ -249,8 +249,8 @@
 	}
 }
 
-// May implements state.Gate.
-func (l *plannerLink) May(now time.Duration) (uint64, state.Verdict) {
+// Admit implements state.Gate.
+func (l *plannerLink) Admit(now time.Duration) (uint64, state.GateDecision) {
 	number, verdict := l.proxy.AdmitRequest(now)
-	return uint64(number), [...]state.Verdict{rollout.Admit: state.GateOpen, rollout.Delay: state.GateWait, rollout.Reject: state.GateShut}[verdict]
+	return uint64(number), [...]state.GateDecision{rollout.Admit: state.GateOpen, rollout.Delay: state.GateWait, rollout.Reject: state.GateClosed}[verdict]
 }
--- a/internal/lab/virtual/tier.go
+++ b/internal/lab/virtual/tier.go
@@ -92,9 +92,9 @@
 	w.tier = t
 }
 
-// Tell implements state.Teller: a datagram to all, over links that lose, delay and are cut. Whatever is sent to a proxy that is down, or
+// SendToPeers implements state.PeerSender: a datagram to all, over links that lose, delay and are cut. Whatever is sent to a proxy that is down, or
 // that stands still for too long, is lost with it.
-func (n *node) Tell(message []byte) {
+func (n *node) SendToPeers(message []byte) {
 	w, t := n.w, n.w.tier
 	w.res.Messages++
 	w.res.MessageBytes += uint64(len(message))
@@ -134,7 +134,7 @@
 		defer n.clocked(n.w.stopwatch(), ControlWork, &n.w.res.InPeers)
 	}
 	n.count(noDatabase, PeerMessage, Received, len(text))
-	n.front.HeardPeer(text)
+	n.front.ReceivePeerMessage(text)
 	n.arm()
 }
 
--- a/internal/lab/virtual/tier_test.go
+++ b/internal/lab/virtual/tier_test.go
@@ -49,8 +49,8 @@
 	c := several(60)
 	c.Tier.Peers, c.Tier.Uneven = 31, 1
 	all := Play(c)
-	if all.Messages == 0 || all.Delivered != 59*all.Messages || all.Counters.PeersHeard != all.Delivered {
-		t.Errorf("%d told, %d came, %d heard", all.Messages, all.Delivered, all.Counters.PeersHeard)
+	if all.Messages == 0 || all.Delivered != 59*all.Messages || all.Counters.PeerMessagesReceived != all.Delivered {
+		t.Errorf("%d told, %d came, %d heard", all.Messages, all.Delivered, all.Counters.PeerMessagesReceived)
 	}
 	c.Tier.PeerLoss = 0.5
 	if r := Play(c); r.Delivered > 35*r.Messages || r.Delivered < 24*r.Messages {
@@ -96,12 +96,12 @@
 	c := several(1)
 	c.Faults = []Fault{{At: second, Fault: fleet.Fault{Kind: fleet.Errors, Group: 0, Member: 1, For: 5 * second, Share: 0.5}}}
 	r := Play(c)
-	if r.Counters.Error < 3 || r.Worth < 0.9 {
-		t.Errorf("%d errors, worth %.3f", r.Counters.Error, r.Worth)
+	if r.Counters.Failures < 3 || r.Worth < 0.9 {
+		t.Errorf("%d errors, worth %.3f", r.Counters.Failures, r.Worth)
 	}
 	c.Faults[0].Share = 0
-	if r := Play(c); r.Counters.Error > 0 {
-		t.Errorf("%d errors of none", r.Counters.Error)
+	if r := Play(c); r.Counters.Failures > 0 {
+		t.Errorf("%d errors of none", r.Counters.Failures)
 	}
 }
 
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -97,7 +97,7 @@
 // Action is something that a test does to the proxy at a time.
 type Action struct {
 	At time.Duration
-	Do func(*state.Front)
+	Do func(*state.Engine)
 }
 
 // Yard gives the fleet of the timber yards, with the shares of its classes.
@@ -275,11 +275,11 @@
 	w.res.Changes = first.front.LevelHistory()
 	w.res.Levels = first.front.Levels()
 	for _, n := range w.nodes {
-		w.res.Links += n.front.Links()
+		w.res.Links += n.front.Connections()
 		addCounters(&w.res.Counters, &n.front.Counters)
 		for _, x := range n.front.Switches() {
 			if x.Phase != "ended" {
-				w.res.Held += x.Held
+				w.res.Held += x.HeldRequests
 			}
 		}
 	}
@@ -289,7 +289,7 @@
 }
 
 // front makes a proxy's inside.
-func (w *world) front(n *node) *state.Front {
+func (w *world) front(n *node) *state.Engine {
 	cfg := &w.cfg
 	decide := LogicConfig(cfg.Fleet, cfg.ProxySeed+uint64(n.i)<<32+uint64(n.life)<<52)
 	decide.Handover, decide.Tuning, decide.Fronts = cfg.Handover, cfg.Tuning, max(cfg.Proxies, 1)
@@ -301,15 +301,15 @@
 		cfg.Tune(&decide)
 	}
 	f, err := state.New(state.Config{Logic: decide, Zones: cfg.Fleet.Zones, IdleClose: 30 * time.Second,
-		ConnectTimeout: 250 * time.Millisecond, MaxLinks: 1 << 20}, w.clock, n)
+		ConnectTimeout: 250 * time.Millisecond, MaxConnections: 1 << 20}, w.clock, n)
 	if err != nil {
 		panic(err)
 	}
 	if cfg.Levels != nil {
-		f.Reduce(cfg.Levels)
+		f.ConfigureLevels(cfg.Levels)
 	}
 	if cfg.Tier.Peers > 0 {
-		f.Peers(n)
+		f.SetPeerSender(n)
 	}
 	w.shareChecks(n, f)
 	return f
--- a/internal/lab/virtual/watch.go
+++ b/internal/lab/virtual/watch.go
@@ -20,7 +20,7 @@
 }
 
 // Proxy gives a proxy's state; nil = it is down.
-func (v *View) Proxy(i int) *state.Front {
+func (v *View) Proxy(i int) *state.Engine {
 	if n := v.w.nodes[i]; !n.dead {
 		return n.front
 	}
--- a/internal/levels/levels_test.go
+++ b/internal/levels/levels_test.go
@@ -347,9 +347,9 @@
 		r := play(t, 1, steady(1.8), 40*time.Second, func(c *virtual.Config, l *levels.Config) {
 			next := *l
 			next.Ladder = ladder(append([]levels.Level(nil), l.Ladder...))
-			c.At = []virtual.Action{{At: 30 * time.Second, Do: func(f *state.Front) {
+			c.At = []virtual.Action{{At: 30 * time.Second, Do: func(f *state.Engine) {
 				before = f.Levels()[0]
-				f.Reduce(&next)
+				f.ConfigureLevels(&next)
 				after = f.Levels()[0]
 			}}}
 		})
--- a/internal/net/client.go
+++ b/internal/net/client.go
@@ -136,7 +136,7 @@
 		if c.account(); c.s.buffered <= c.s.maxBuffered || len(c.in.bytes) <= keepRoom {
 			return
 		}
-		c.s.front.Counters.TurnedAway++ // half a query has not been taken yet
+		c.s.front.Counters.ClientsRejected++ // half a query has not been taken yet
 		c.leave(endNoMemory, "no memory for a query of this size now")
 	}
 	c.in.cut(len(c.in.bytes)) // what comes behind the end is nobody's
@@ -212,16 +212,16 @@
 
 // take gives a request to the front, in its place in the order of answers. On an error there will be no answer.
 func (c *client) take(sl *slot, in state.Request) (err error) {
-	in.Caller, in.At = sl, c.s.loop.ReceivedAt()
+	in.Caller, in.ReceivedAt = sl, c.s.loop.ReceivedAt()
 	c.slots = append(c.slots, sl)
-	if sl.id, err = c.s.front.Take(in); err != nil {
+	if sl.id, err = c.s.front.Submit(in); err != nil {
 		c.slots = c.slots[:len(c.slots)-1]
 	}
 	return err
 }
 
-// Under implements state.Policied.
-func (sl *slot) Under(policy uint64) { sl.policy, sl.taken = policy, true }
+// SetPolicy implements state.PolicyRecorder.
+func (sl *slot) SetPolicy(policy uint64) { sl.policy, sl.taken = policy, true }
 
 // Served implements state.Caller.
 func (sl *slot) Served(body []byte) { sl.give(sl.c.speaks.served(sl, body)) }
@@ -232,11 +232,11 @@
 // Failed implements state.Caller.
 func (sl *slot) Failed() { sl.give(sl.c.speaks.failed(sl)) }
 
-// Unfit implements state.Caller.
-func (sl *slot) Unfit(body []byte) { sl.give(sl.c.speaks.unfit(sl, body)) }
+// BadRequest implements state.Caller.
+func (sl *slot) BadRequest(body []byte) { sl.give(sl.c.speaks.unfit(sl, body)) }
 
-// Present implements state.Present: the poller marks a connection that its client has closed, ahead of the loop.
-func (sl *slot) Present() bool {
+// ClientConnected implements state.ClientChecker: the poller marks a connection that its client has closed, ahead of the loop.
+func (sl *slot) ClientConnected() bool {
 	return sl.c.phase != phaseClosed && (sl.c.quits || sl.c.conn.IsActive())
 }
 
--- a/internal/net/console.go
+++ b/internal/net/console.go
@@ -27,7 +27,7 @@
 func (s *Server) Console(on bool) { s.console = on }
 
 // Front implements console.Source.
-func (s *Server) Front() *state.Front { return s.front }
+func (s *Server) Front() *state.Engine { return s.front }
 
 // Tier implements console.Source.
 func (s *Server) Tier() (console.Tier, bool) {
--- a/internal/net/consul.go
+++ b/internal/net/consul.go
@@ -38,8 +38,8 @@
 
 // Told is where a catalogue's word goes; its methods are called on the loop.
 type Told interface {
-	Told(source string, n membership.News)
-	ToldFailed(source string, why error)
+	UpdateCatalogue(source string, n membership.News)
+	CatalogueFailed(source string, why error)
 }
 
 // Consul watches services in Consul. It is no part of a request's way, so it stands beside the loop: a goroutine a service and data
@@ -120,11 +120,11 @@
 		var pause time.Duration
 		if err != nil {
 			pause = pace.Failed()
-			c.loop.Post(func() { c.to.ToldFailed(name, err) })
+			c.loop.Post(func() { c.to.CatalogueFailed(name, err) })
 		} else {
 			pause = pace.Answered(time.Since(began), n.Index, n.Index != last)
 			last = n.Index
-			c.loop.Post(func() { c.to.Told(name, n) })
+			c.loop.Post(func() { c.to.UpdateCatalogue(name, n) })
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/net/crossing_test.go
+++ b/internal/net/crossing_test.go
@@ -109,7 +109,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	counters := onLoop(loop, func() state.Counters { return front.Counters })
-	n, all := int(counters.CrossedBytes), counters.Taken
+	n, all := int(counters.DiscardedBytes), counters.Received
 	if n%len(second) != 0 || n < unanswered*len(second) || answered == 0 || all != uint64(2000+answered) {
 		t.Errorf("%d answered, %d without an answer of %d bytes; %d bytes read behind shutdowns; %d requests taken", answered, unanswered, len(second), n, all)
 	}
@@ -136,7 +136,7 @@
 		if types, _ := p.said(1); types != "!" { // an end of file, and no reset: p.said tells that as "!" too
 			t.Fatalf("behind the shutdown came %q", types)
 		}
-		until(loop, func() bool { return front.Counters.CrossedBytes > 0 }) // the query is read to nobody
+		until(loop, func() bool { return front.Counters.DiscardedBytes > 0 }) // the query is read to nobody
 		if _, err := p.conn.Write([]byte{0}); err != nil {
 			t.Errorf("the connection was reset: %v", err)
 		}
@@ -146,9 +146,9 @@
 			skip(s, patience)
 		}
 		until(loop, func() bool { return s.lingering == 0 })
-		loop.Post(func() { front.Counters.CrossedBytes = 0 })
+		loop.Post(func() { front.Counters.DiscardedBytes = 0 })
 	}
-	if n := onLoop(loop, func() uint64 { return front.Counters.Taken }); n != 2 {
+	if n := onLoop(loop, func() uint64 { return front.Counters.Received }); n != 2 {
 		t.Errorf("%d requests taken, 2 were sent before their connections were shut", n)
 	}
 }
--- a/internal/net/database.go
+++ b/internal/net/database.go
@@ -34,8 +34,8 @@
 	givenUp int            // dials whose connection nobody waits for any more
 }
 
-// GivenUp implements state.Opener.
-func (d *Databases) GivenUp() int { return d.givenUp }
+// AbandonedDials implements state.Opener.
+func (d *Databases) AbandonedDials() int { return d.givenUp }
 
 // database is a connection to a PostgreSQL database.
 type database struct {
@@ -147,7 +147,7 @@
 	case pg.CodeTooMany, pg.CodeNotNow:
 		r.Result = logic.Full
 	default:
-		r.Unfit = pg.Unfit(db.reply.Code)
+		r.BadRequest = pg.Unfit(db.reply.Code)
 	}
 	report := db.reply.Load
 	if db.probing && r.Result == logic.OK {
@@ -163,7 +163,7 @@
 	if !l.Told {
 		return state.Load{}
 	}
-	return state.Load{Told: true, Role: roleOf(l.Role), Position: l.Position, Queue: l.Queue}
+	return state.Load{Known: true, Role: roleOf(l.Role), Position: l.Position, Queue: l.Queue}
 }
 
 func roleOf(name string) logic.Role {
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -30,7 +30,7 @@
 	loop      *Loop
 	clock     state.Clock
 	deadlines *state.Deadlines
-	front     *state.Front
+	front     *state.Engine
 	address   string
 	times     limit.Calls // how long calls may take
 	dial      func(address string, then func(netpoll.Connection, error))
@@ -52,7 +52,7 @@
 
 // NewDiscovery makes the client; generation is that of the list in hand, bound by when a change has to be known here, as
 // logic.Config.ListBound has it.
-func NewDiscovery(loop *Loop, clock state.Clock, front *state.Front, address string, generation int64, bound time.Duration) *Discovery {
+func NewDiscovery(loop *Loop, clock state.Clock, front *state.Engine, address string, generation int64, bound time.Duration) *Discovery {
 	return &Discovery{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front, address: address,
 		generation: generation, times: limit.Calls{Bound: bound},
 		dial: func(address string, then func(netpoll.Connection, error)) { connect(loop, address, dialTimeout, then) }}
@@ -209,7 +209,7 @@
 		d.deadlines.Set(&d.timer, max(d.calledAt+minPeriod, d.clock.Now()), d.call)
 	}
 	if !older {
-		d.front.Listed(ListOf(l))
+		d.front.UpdateList(ListOf(l))
 	}
 }
 
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -42,7 +42,7 @@
 type service struct {
 	clock *handClock
 	rng   *rand.Rand
-	front *state.Front
+	front *state.Engine
 	loop  *Loop
 	todo  state.Deadlines
 	mood  mood
@@ -233,7 +233,7 @@
 	cfg := settings
 	cfg.Seed, cfg.Pull, cfg.ListBound, cfg.Tick = seed, true, bound, 50*time.Millisecond
 	var err error
-	if s.front, err = state.New(state.Config{Logic: cfg, MaxLinks: 4}, s.clock, &Databases{}); err != nil {
+	if s.front, err = state.New(state.Config{Logic: cfg, MaxConnections: 4}, s.clock, &Databases{}); err != nil {
 		panic(err)
 	}
 	s.loop = &Loop{clock: s.clock, deadlines: &s.front.Deadlines, wake: make(chan struct{}, 1)}
--- a/internal/net/ending_test.go
+++ b/internal/net/ending_test.go
@@ -77,7 +77,7 @@
 	if n := onLoop(loop, func() uint64 { return front.Counters.Written }); n != 1 || db.queries.Load() != 1 {
 		t.Errorf("%d attempts were written, %d came", n, db.queries.Load())
 	}
-	until(loop, func() bool { return front.Owed() == 0 && front.Pending() == 0 })
+	until(loop, func() bool { return front.OutstandingAnswers() == 0 && front.Pending() == 0 })
 }
 
 // Hundreds of clients whose requests wait for a connection leave at once: none of the requests goes out when connections come up, and all
@@ -107,7 +107,7 @@
 			p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query(string(rune('a'+len(clients)%26))+strings.Repeat("0", len(clients)/26))))
 			clients = append(clients, p)
 		}
-		until(loop, func() bool { return front.Counters.Taken == 300 })
+		until(loop, func() bool { return front.Counters.Received == 300 })
 		letGo := hold(loop)
 		for _, p := range clients {
 			p.conn.Close()
@@ -118,7 +118,7 @@
 		}
 		close(come)
 		letGo()
-		until(loop, func() bool { return len(s.clients) == 0 && front.Owed() == 0 && front.Pending() == 0 })
+		until(loop, func() bool { return len(s.clients) == 0 && front.OutstandingAnswers() == 0 && front.Pending() == 0 })
 		if n := onLoop(loop, func() uint64 { return front.Counters.Written }); n != 0 || queries.Load() != 0 {
 			t.Errorf("cancel %v: %d attempts were written, %d came", cancel, n, queries.Load())
 		}
--- a/internal/net/fence.go
+++ b/internal/net/fence.go
@@ -182,7 +182,7 @@
 	var timer state.Deadline
 	attach(s.loop, conn, func() {
 		r := conn.Reader()
-		s.front.Counters.CrossedBytes += uint64(r.Len())
+		s.front.Counters.DiscardedBytes += uint64(r.Len())
 		r.Skip(r.Len())
 		r.Release()
 	}, func() {
--- a/internal/net/health_test.go
+++ b/internal/net/health_test.go
@@ -34,8 +34,8 @@
 	return &checked{d, address, to}
 }
 
-// GivenUp implements state.Opener.
-func (*databases) GivenUp() int { return 0 }
+// AbandonedDials implements state.Opener.
+func (*databases) AbandonedDials() int { return 0 }
 
 // Watch implements state.Watcher.
 func (*databases) Watch(bool) {}
@@ -51,7 +51,7 @@
 }
 
 func (c *checked) Send(state.Command, time.Duration) error { return nil }
-func (c *checked) Quiet() bool                             { return true }
+func (c *checked) Reusable() bool                          { return true }
 func (c *checked) Close()                                  {}
 
 func (c *checked) Probe() error {
@@ -60,14 +60,14 @@
 		return nil
 	}
 	c.all.loop.Post(func() {
-		c.to.Reply(state.Reply{Result: logic.OK, Load: state.Load{Told: true, Role: logic.RoleReplica, Queue: -1}})
+		c.to.Reply(state.Reply{Result: logic.OK, Load: state.Load{Known: true, Role: logic.RoleReplica, Queue: -1}})
 	})
 	return nil
 }
 
 // sharer is a proxy of a tier that shares health checks.
 type sharer struct {
-	front     *state.Front
+	front     *state.Engine
 	tier      *Tier
 	databases *databases
 }
@@ -76,7 +76,7 @@
 	all := &databases{loop: loop}
 	class := logic.Class{Name: "any", Aim: time.Second, Limit: time.Second}
 	front, err := state.New(state.Config{Logic: logic.Config{Seed: uint64(i), Tick: 5 * time.Millisecond, Classes: []logic.Class{class},
-		MayProbe: true, Fronts: 6}, ConnectTimeout: time.Second, IdleClose: time.Minute, MaxLinks: 100}, clock, all)
+		MayProbe: true, Fronts: 6}, ConnectTimeout: time.Second, IdleClose: time.Minute, MaxConnections: 100}, clock, all)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 }
 
 // until waits for something to hold at all proxies.
-func (s *sharers) until(holds func(*state.Front) bool) {
+func (s *sharers) until(holds func(*state.Engine) bool) {
 	s.t.Helper()
 	end := time.Now().Add(time.Minute)
 	for hold := 0; hold < len(s.list); time.Sleep(time.Millisecond) {
@@ -170,13 +170,13 @@
 			x.databases.hangs = true
 		}
 	})
-	s.until(func(f *state.Front) bool {
+	s.until(func(f *state.Engine) bool {
 		database, ok := f.Database(silentDatabase)
 		return ok && database.Silent && f.Counters.Verdicts > 0
 	})
 }
 
-func sharesChecks(f *state.Front) bool { return f.SharesChecks() && f.Counters.Digests > 0 }
+func sharesChecks(f *state.Engine) bool { return f.SharesChecks() && f.Counters.Digests > 0 }
 
 // What the checkers of a database find out passes over real links and the planner to the proxies that don't check it. A checker knows
 // of the silence by its own check before the quorum's verdict has come back to it, so that both are waited for.
@@ -191,8 +191,8 @@
 				byVerdictAlone++
 			}
 			c := &x.front.Counters
-			if other, _ := x.front.Database("db-1"); other.Silent || c.DigestsMalformed > 0 || c.TierStrange > 0 {
-				t.Errorf("proxy %d: db-1 silent %v, %d malformed, %d strange frames", i, other.Silent, c.DigestsMalformed, c.TierStrange)
+			if other, _ := x.front.Database("db-1"); other.Silent || c.DigestsMalformed > 0 || c.PlannerFramesInvalid > 0 {
+				t.Errorf("proxy %d: db-1 silent %v, %d malformed, %d strange frames", i, other.Silent, c.DigestsMalformed, c.PlannerFramesInvalid)
 			}
 		}
 		if byVerdictAlone == 0 {
--- a/internal/net/link.go
+++ b/internal/net/link.go
@@ -177,11 +177,11 @@
 // misfit answers a command of another protocol: it is the request's own fault, and nothing goes out.
 func (l *link) misfit() {
 	l.owes = false
-	l.d.Loop.Post(func() { l.to.Reply(state.Reply{Result: logic.Failed, Unfit: true}) })
+	l.d.Loop.Post(func() { l.to.Reply(state.Reply{Result: logic.Failed, BadRequest: true}) })
 }
 
-// Quiet implements state.Conn.
-func (l *link) Quiet() bool { return !l.owes && l.clean() }
+// Reusable implements state.Conn.
+func (l *link) Reusable() bool { return !l.owes && l.clean() }
 
 // clean tells that nothing has come which belongs to no command. Answers bear no name: whatever comes without one, even
 // what the kernel still holds, would be taken for the answer to the next.
@@ -228,7 +228,7 @@
 	case errors.Is(err, syscall.ECONNREFUSED):
 		l.to.Refused()
 	case !up && isLocalShortage(err):
-		l.to.Unopened()
+		l.to.NotOpened()
 	default:
 		l.to.Down()
 	}
@@ -290,6 +290,6 @@
 			l.to.Reply(r)
 			return
 		}
-		l.to.Spoilt()
+		l.to.ProtocolError()
 	})
 }
--- a/internal/net/long_list_test.go
+++ b/internal/net/long_list_test.go
@@ -55,7 +55,7 @@
 	look := func() (figures, logged string, failures uint64) {
 		done := make(chan struct{})
 		loop.Post(func() {
-			figures, logged, failures = string(front.Figures(nil)), log.String(), front.Counters.ListFailures
+			figures, logged, failures = string(front.AppendMetrics(nil)), log.String(), front.Counters.ListFailures
 			close(done)
 		})
 		<-done
--- a/internal/net/mysql_client.go
+++ b/internal/net/mysql_client.go
@@ -67,7 +67,7 @@
 
 func (m *mysqlSpeaker) greet(c *client) {
 	if c.full {
-		c.s.front.Counters.TurnedAway++
+		c.s.front.Counters.ClientsRejected++
 		c.leave(endTooMany, "too many clients")
 		return
 	}
@@ -234,9 +234,9 @@
 func (m *mysqlSpeaker) take(c *client, h *routing.Hints, cmd state.Command) bool {
 	wait := h.Wait
 	if !h.Waits {
-		wait = c.s.front.LimitOf(h.Class)
+		wait = c.s.front.ClassLimit(h.Class)
 	}
-	err := c.take(&slot{c: c}, state.Request{Name: h.ID, Class: h.Class, Wait: wait, Session: h.Session, Group: h.Group, After: h.After,
+	err := c.take(&slot{c: c}, state.Request{Name: h.ID, Class: h.Class, Wait: wait, Session: h.Session, Group: h.Group, LastCommit: h.After,
 		Retry: h.Retry, Command: cmd})
 	if err != nil {
 		m.refuse(c, mysql.ErrFailed, err.Error())
@@ -245,7 +245,7 @@
 }
 
 func (m *mysqlSpeaker) prepare(c *client, text string) {
-	if err := m.share.Fits(text); err != nil {
+	if err := m.share.CheckFits(text); err != nil {
 		m.refuse(c, mysql.ErrTooManyStatements, err.Error())
 		return
 	}
@@ -255,7 +255,7 @@
 		return
 	}
 	st := &mysqlStatement{text: text, hints: h}
-	if shape, same, ok := m.front.shapes.Of(c.s.clock.Now(), h.Group, text); ok {
+	if shape, same, ok := m.front.shapes.Get(c.s.clock.Now(), h.Group, text); ok {
 		st.text = same // one copy for all
 		c.write(m.rebuilt(st, false, shape))
 		return
@@ -359,7 +359,7 @@
 	m.dropLong(c, st)
 	if whole {
 		delete(m.statements, id)
-		m.share.Drop(st.text)
+		m.share.Remove(st.text)
 	}
 }
 
@@ -383,7 +383,7 @@
 			return out
 		}
 	} else {
-		m.front.shapes.Learn(sl.c.s.clock.Now(), st.hints.Group, st.text, body)
+		m.front.shapes.Put(sl.c.s.clock.Now(), st.hints.Group, st.text, body)
 	}
 	return m.rebuilt(st, binary, body)
 }
@@ -405,7 +405,7 @@
 		m.last++
 		st.params = r.Prepared.Params
 		m.statements[m.last] = st
-		m.share.Take(st.text)
+		m.share.Add(st.text)
 		r.Prepared.Statement = m.last
 	}
 	return r.AppendTo(nil, m.seq, m.caps)
@@ -427,7 +427,7 @@
 
 func (m *mysqlSpeaker) unfit(_ *slot, body []byte) []byte {
 	if st := m.running; st != nil { // its table may be another now
-		m.front.shapes.Forget(st.hints.Group, st.text)
+		m.front.shapes.Remove(st.hints.Group, st.text)
 	}
 	m.preparing, m.running = nil, nil
 	if payload, _, n, err := mysql.Next(body, mysql.MaxPacket); n > 0 && err == nil {
--- a/internal/net/mysql_database.go
+++ b/internal/net/mysql_database.go
@@ -90,7 +90,7 @@
 	caps    uint32
 	reply   mysql.Reply
 	cache   *prepared.Cache
-	run     *prepared.Run // of the execution in hand
+	run     *prepared.Execution // of the execution in hand
 	execute *mysqlExecute
 	asks    string        // the text that is being prepared; empty = none
 	until   time.Duration // the client's time for it
@@ -112,7 +112,7 @@
 	db.owes, db.probing, db.run, db.execute, db.asks = true, false, nil, nil, ""
 	switch cmd := cmd.(type) {
 	case *mysqlExecute:
-		db.execute, db.run, db.until = cmd, &prepared.Run{Text: cmd.text}, db.d.Loop.clock.Now()+wait
+		db.execute, db.run, db.until = cmd, &prepared.Execution{Text: cmd.text}, db.d.Loop.clock.Now()+wait
 		return db.step()
 	case *mysqlPrepare:
 		db.asks = cmd.text
@@ -142,7 +142,7 @@
 	case prepared.Execute:
 		db.asks = ""
 		db.expect(false)
-		if db.reply.Binary(); st.Rows {
+		if db.reply.Binary(); st.ReturnsRows {
 			db.reply.Due()
 		}
 		db.d.Counters.Executes++
@@ -269,12 +269,12 @@
 		return
 	}
 	if e := db.reply.Err; e != nil && db.run != nil && db.run.Sent && mysql.OutcomeOf(e) == mysql.Forgotten {
-		db.run.Forgotten(db.cache)
+		db.run.StatementUnknown(db.cache)
 		db.goOn()
 		return
 	}
 	if db.asks != "" && db.reply.Err == nil {
-		closes, must := db.cache.Put(db.asks, prepared.Statement{ID: db.reply.Prepared.Statement, Rows: db.reply.Prepared.Columns > 0})
+		closes, must := db.cache.Put(db.asks, prepared.Statement{ID: db.reply.Prepared.Statement, ReturnsRows: db.reply.Prepared.Columns > 0})
 		if must && db.clean() {
 			db.write(mysql.AppendStatement(nil, mysql.ComStmtClose, closes)) // it has no answer
 		}
@@ -327,7 +327,7 @@
 	case mysql.TurnedAway:
 		r.Result = logic.Full
 	case mysql.Unfit:
-		r.Unfit = true
+		r.BadRequest = true
 	case mysql.Forgotten:
 		r.Result = logic.ConnectFailed
 	}
--- a/internal/net/mysql_hard_test.go
+++ b/internal/net/mysql_hard_test.go
@@ -50,7 +50,7 @@
 }
 
 // twoMembers runs a proxy before two members. The first that gets an EXECUTE or a text turns it away, once.
-func twoMembers(t *testing.T, slow time.Duration) (s *Server, front *state.Front, loop *Loop, all *script) {
+func twoMembers(t *testing.T, slow time.Duration) (s *Server, front *state.Engine, loop *Loop, all *script) {
 	all = &script{}
 	var turned atomic.Bool
 	var members []string
@@ -527,7 +527,7 @@
 	}
 	s, front, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, mysqlAnswer))
 	done := make(chan struct{})
-	loop.Post(func() { s.front.Listed(state.List{Kind: logic.ListFull}); close(done) })
+	loop.Post(func() { s.front.UpdateList(state.List{Kind: logic.ListFull}); close(done) })
 	<-done
 	var said *driver.MySQLError
 	_, err := mysqlOpen(t, s, "").Exec("SELECT 1 /* c=any,cluster=0,d=15000 */")
--- a/internal/net/mysql_login.go
+++ b/internal/net/mysql_login.go
@@ -23,9 +23,9 @@
 // ListenMySQL opens an address for MySQL's clients.
 func (s *Server) ListenMySQL(address string, o *MySQLOptions) error {
 	front := &mysqlFront{options: o, cached: map[string]fullLogin{}, guard: logins.New(logins.Config{}),
-		shapes: prepared.NewShapes(keptShapes, shapeRoom, shapeKeep), room: prepared.NewRoom(maxAllTexts), checking: make(chan struct{}, 1)}
+		shapes: prepared.NewMetadataCache(keptShapes, shapeRoom, shapeKeep), room: prepared.NewBudget(maxAllTexts), checking: make(chan struct{}, 1)}
 	err := s.listen(address, func() speaker {
-		return &mysqlSpeaker{front: front, share: front.room.Share(maxStatements, maxTexts), statements: map[uint32]*mysqlStatement{}}
+		return &mysqlSpeaker{front: front, share: front.room.NewShare(maxStatements, maxTexts), statements: map[uint32]*mysqlStatement{}}
 	})
 	if err == nil {
 		s.mysql = s.listeners[len(s.listeners)-1]
@@ -47,8 +47,8 @@
 	cached   map[string]fullLogin // of users who went through a full exchange
 	guard    *logins.Guard
 	checking chan struct{} // one check of a password at a time, beside the loop
-	shapes   *prepared.Shapes
-	room     *prepared.Room // for all clients' statements
+	shapes   *prepared.MetadataCache
+	room     *prepared.Budget // for all clients' statements
 	last     uint32
 }
 
@@ -106,9 +106,9 @@
 }
 
 // who tells the guard who tries.
-func (m *mysqlSpeaker) who(c *client) logins.Who {
+func (m *mysqlSpeaker) who(c *client) logins.Login {
 	host, _, _ := stdnet.SplitHostPort(c.from)
-	return logins.Who{Peer: host, User: m.user}
+	return logins.Login{Peer: host, User: m.user}
 }
 
 // denied ends a login that was wrong.
@@ -118,14 +118,14 @@
 }
 
 func (m *mysqlSpeaker) notNow(c *client, why string, wait time.Duration) {
-	c.s.front.Counters.TurnedAway++
+	c.s.front.Counters.ClientsRejected++
 	c.leave(endTooOften, fmt.Sprintf("%s; come again after %d ms", why, (wait+time.Millisecond-1)/time.Millisecond))
 }
 
 // open checks a password that came sealed. Opening it and hashing it take milliseconds, which the loop doesn't have.
 func (m *mysqlSpeaker) open(c *client, sealed []byte) {
 	who := m.who(c)
-	if !m.front.guard.Check(who.Peer) {
+	if !m.front.guard.StartCheck(who.Peer) {
 		m.notNow(c, "too many logins at once", busyChecking)
 		return
 	}
@@ -140,7 +140,7 @@
 		}
 		<-m.front.checking
 		c.s.loop.Post(func() {
-			m.front.guard.Checked(who.Peer)
+			m.front.guard.EndCheck(who.Peer)
 			if ok { // no more than there are users
 				m.front.cached[who.User] = fullLogin{secret, fast}
 			}
@@ -177,7 +177,7 @@
 		m.welcome(c)
 		return nil
 	}
-	if wait, ok := m.front.guard.Try(c.s.clock.Now(), m.who(c)); !ok {
+	if wait, ok := m.front.guard.Allow(c.s.clock.Now(), m.who(c)); !ok {
 		m.notNow(c, "too many logins have failed", wait)
 		return nil
 	}
@@ -222,7 +222,7 @@
 
 func (m *mysqlSpeaker) welcome(c *client) {
 	if len(m.front.options.Users) > 0 {
-		m.front.guard.Passed(m.who(c))
+		m.front.guard.Succeeded(m.who(c))
 	}
 	if m.changing {
 		c.spoke()
--- a/internal/net/mysql_test.go
+++ b/internal/net/mysql_test.go
@@ -136,7 +136,7 @@
 }
 
 // mysqlProxy runs a server with a MySQL front before members that speak MySQL, all of group 0.
-func mysqlProxy(t *testing.T, users map[string]mysql.Secret, members ...string) (*Server, *state.Front, *Loop) {
+func mysqlProxy(t *testing.T, users map[string]mysql.Secret, members ...string) (*Server, *state.Engine, *Loop) {
 	t.Helper()
 	s, front, loop := proxy(t, members[0], 8, 2)
 	done := make(chan error)
@@ -154,7 +154,7 @@
 			for i, m := range members {
 				list.Entries = append(list.Entries, state.Entry{Name: fmt.Sprint("m", i), Address: m, State: logic.Ready})
 			}
-			front.Listed(list)
+			front.UpdateList(list)
 		})
 	}
 	return s, front, loop
@@ -173,18 +173,18 @@
 
 const mysqlRead = "SELECT val FROM state WHERE uid = ? /* c=any,cluster=0,d=15000,session=?1 */"
 
-func counters(front *state.Front, loop *Loop) state.Counters {
+func counters(front *state.Engine, loop *Loop) state.Counters {
 	got := make(chan state.Counters)
 	loop.Post(func() { got <- front.Counters })
 	return <-got
 }
 
 // noLinks waits until the proxy has noticed that the databases have ended its connections.
-func noLinks(t *testing.T, front *state.Front, loop *Loop) {
+func noLinks(t *testing.T, front *state.Engine, loop *Loop) {
 	t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		n := make(chan int)
-		loop.Post(func() { n <- front.Links() })
+		loop.Post(func() { n <- front.Connections() })
 		if <-n == 0 {
 			return
 		}
@@ -266,7 +266,7 @@
 		if ok && (prepares.Load() != 2 || c.Sent != 2) {
 			t.Errorf("%d prepared, %d attempts", prepares.Load(), c.Sent)
 		}
-		if !ok && c.Reset+c.TimedOut+c.Error > 0 {
+		if !ok && c.Reset+c.TimedOut+c.Failures > 0 {
 			t.Errorf("it counts as a run: %+v", c)
 		}
 	}
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -46,17 +46,17 @@
 }
 
 // proxy runs a server on a port of its own, with one group whose only member is at the given address.
-func proxy(t *testing.T, member string, clients, excess int) (*Server, *state.Front, *Loop) {
+func proxy(t *testing.T, member string, clients, excess int) (*Server, *state.Engine, *Loop) {
 	t.Helper()
 	return proxyWith(t, settings, member, clients, excess)
 }
 
 // proxyWith does so under other settings.
-func proxyWith(t *testing.T, settings logic.Config, member string, clients, excess int) (*Server, *state.Front, *Loop) {
+func proxyWith(t *testing.T, settings logic.Config, member string, clients, excess int) (*Server, *state.Engine, *Loop) {
 	t.Helper()
 	clock := &skipClock{SystemClock: state.NewClock()}
 	databases := &Databases{ConnectTimeout: patience}
-	front, err := state.New(state.Config{Logic: settings, MaxLinks: 16, ConnectTimeout: patience}, clock, databases)
+	front, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, databases)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -400,7 +400,7 @@
 		t.Errorf("the third client got %q", types)
 	}
 	figures := make(chan string)
-	loop.Post(func() { figures <- string(front.Figures(nil)) })
+	loop.Post(func() { figures <- string(front.AppendMetrics(nil)) })
 	if got := <-figures; !strings.Contains(got, "proxy.handled.any.dropped:1|c") {
 		t.Errorf("%s", got)
 	}
@@ -579,7 +579,7 @@
 		p.said(2)
 	}
 	got := make(chan int)
-	loop.Post(func() { got <- s.front.Links() })
+	loop.Post(func() { got <- s.front.Connections() })
 	if n := <-got; n != 0 {
 		t.Errorf("%d connections are counted", n)
 	}
@@ -653,8 +653,8 @@
 func TestNothingIsTakenFromAClosedClient(t *testing.T) {
 	s, front, _ := proxy(t, "127.0.0.1:1", 8, 1)
 	c := &client{s: s, phase: phaseClosed, in: buffer{pg.AppendQuery(nil, query("a"))}}
-	if c.parse(); front.Counters.Taken != 0 || len(c.in.bytes) != 0 {
-		t.Errorf("%d requests taken, %d bytes left", front.Counters.Taken, len(c.in.bytes))
+	if c.parse(); front.Counters.Received != 0 || len(c.in.bytes) != 0 {
+		t.Errorf("%d requests taken, %d bytes left", front.Counters.Received, len(c.in.bytes))
 	}
 }
 
@@ -737,7 +737,7 @@
 // closed, the next server's had the same number, and clients of that were accepted for the one that had ended.
 func TestServerThatEndsEarlyTakesNoClientsOfTheNext(t *testing.T) {
 	for range 50 {
-		first := NewServer(NewLoop(state.NewClock(), &state.Deadlines{}), nil, &state.Front{}, 1, 1, 1)
+		first := NewServer(NewLoop(state.NewClock(), &state.Deadlines{}), nil, &state.Engine{}, 1, 1, 1)
 		if err := first.Listen("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/net/peers.go
+++ b/internal/net/peers.go
@@ -16,10 +16,10 @@
 )
 
 // Peers carries datagrams between the proxies of a tier. netpoll serves no datagrams, so a goroutine of its own reads the socket and
-// hands what came to the loop. It implements state.Teller.
+// hands what came to the loop. It implements state.PeerSender.
 type Peers struct {
 	loop  *Loop
-	front *state.Front
+	front *state.Engine
 	conn  *stdnet.UDPConn
 	known map[netip.AddrPort]bool // whom to listen to
 	all   netip.AddrPort
@@ -39,7 +39,7 @@
 
 // ListenPeers begins to listen at an address, to the peers named; what is told goes to all, the address that stands for every one of
 // them. Whoever else sends is counted and not heard.
-func ListenPeers(loop *Loop, front *state.Front, address string, peers []string, all string) (*Peers, error) {
+func ListenPeers(loop *Loop, front *state.Engine, address string, peers []string, all string) (*Peers, error) {
 	p := &Peers{loop: loop, front: front, known: map[netip.AddrPort]bool{}}
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -74,8 +74,8 @@
 // Close ends it.
 func (p *Peers) Close() { p.conn.Close() }
 
-// Tell implements state.Teller. What can't be sent is lost, as any datagram may be.
-func (p *Peers) Tell(message []byte) {
+// SendToPeers implements state.PeerSender. What can't be sent is lost, as any datagram may be.
+func (p *Peers) SendToPeers(message []byte) {
 	p.conn.WriteToUDPAddrPort(message, p.all)
 }
 
@@ -100,10 +100,10 @@
 		p.loop.Post(func() {
 			p.waiting.Add(-1)
 			if !known {
-				p.front.Counters.PeersStrange++
+				p.front.Counters.PeerMessagesInvalid++
 				return
 			}
-			if err := p.front.HeardPeer(message); err != nil && p.front.Counters.PeersStrange == 1 {
+			if err := p.front.ReceivePeerMessage(message); err != nil && p.front.Counters.PeerMessagesInvalid == 1 {
 				slog.Warn("a peer's message can't be read", "from", from.String(), "error", err)
 			}
 		})
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -16,7 +16,7 @@
 func TestOnlyPeersAreHeard(t *testing.T) {
 	clock := state.NewClock()
 	databases := &Databases{ConnectTimeout: patience}
-	front, err := state.New(state.Config{Logic: settings, MaxLinks: 16, ConnectTimeout: patience}, clock, databases)
+	front, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, databases)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 		from.WriteTo(message, p.conn.LocalAddr())
 		for end := time.Now().Add(patience); ; {
 			got := make(chan [2]uint64)
-			loop.Post(func() { got <- [2]uint64{front.Counters.PeersHeard, front.Counters.PeersStrange} })
+			loop.Post(func() { got <- [2]uint64{front.Counters.PeerMessagesReceived, front.Counters.PeerMessagesInvalid} })
 			if x := <-got; x == [2]uint64{heard, strange} {
 				return
 			} else if time.Now().After(end) {
@@ -58,7 +58,10 @@
 	count(friend, message, 1, 0)
 	count(stranger, message, 1, 1)
 	count(friend, message[:7], 1, 2)
-	loop.Post(func() { front.Peers(p); front.Tell([]peers.Fact{{Database: 1, Role: peers.Replica, At: clock.Now()}}) })
+	loop.Post(func() {
+		front.SetPeerSender(p)
+		front.Tell([]peers.Fact{{Database: 1, Role: peers.Replica, At: clock.Now()}})
+	})
 	buf := make([]byte, 512)
 	friend.SetReadDeadline(time.Now().Add(patience))
 	if n, err := friend.Read(buf); err != nil || n != len(message) {
--- a/internal/net/pieces_test.go
+++ b/internal/net/pieces_test.go
@@ -72,7 +72,7 @@
 	}
 	p.conn.Write(in)
 	p.said(len(welcome))
-	until(loop, func() bool { return s.front.Counters.Taken == maxPipelined })
+	until(loop, func() bool { return s.front.Counters.Received == maxPipelined })
 	onLoop(loop, func() bool {
 		s.Drain()
 		return s.Drained()
@@ -112,7 +112,7 @@
 	s, front, loop := proxy(t, memberUp(t, up, answer), 8, 1)
 	second := memberUp(t, up, answer)
 	onLoop(loop, func() bool {
-		front.Listed(state.List{Kind: logic.ListDelta, Entries: []state.Entry{{Name: "n", Address: second, State: logic.Ready}}})
+		front.UpdateList(state.List{Kind: logic.ListDelta, Entries: []state.Entry{{Name: "n", Address: second, State: logic.Ready}}})
 		return true
 	})
 	p := dial(t, s)
--- a/internal/net/postgres_client.go
+++ b/internal/net/postgres_client.go
@@ -64,7 +64,7 @@
 		if !whole {
 			return 0, nil
 		}
-		c.s.front.TurnedAway(class)
+		c.s.front.CountRejected(class)
 		c.turnAway()
 	default:
 		c.admin = c.s.console && pg.Opened(buf, "database") == console.Database && c.local()
@@ -95,7 +95,7 @@
 
 // turnAway tells a client that there is no room for it.
 func (c *client) turnAway() {
-	c.s.front.Counters.TurnedAway++
+	c.s.front.Counters.ClientsRejected++
 	c.leave(endTooMany, "too many clients")
 }
 
@@ -121,7 +121,7 @@
 		return err
 	}
 	return c.take(sl, state.Request{Name: st.ID, Class: st.Class, Wait: st.Wait, Session: st.Session, Group: st.Group,
-		After: st.After, Retry: st.Retry, Command: &st})
+		LastCommit: st.After, Retry: st.Retry, Command: &st})
 }
 
 // told begins an answer: with the policy, where clients are told it and the request was taken under one.
--- a/internal/net/refused_test.go
+++ b/internal/net/refused_test.go
@@ -16,8 +16,8 @@
 func (e *ear) Reply(state.Reply) { e.heard <- "reply" }
 func (e *ear) Down()             { e.heard <- "down" }
 func (e *ear) Refused()          { e.heard <- "refused" }
-func (e *ear) Unopened()         { e.heard <- "unopened" }
-func (e *ear) Spoilt()           { e.heard <- "spoilt" }
+func (e *ear) NotOpened()        { e.heard <- "unopened" }
+func (e *ear) ProtocolError()    { e.heard <- "spoilt" }
 
 // A dial to an address where nothing listens is told as refused, which is evidence; one that is taken and ended is not.
 func TestARefusedDialIsTold(t *testing.T) {
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -40,7 +40,7 @@
 	loop      *Loop
 	clock     state.Clock
 	deadlines *state.Deadlines
-	front     *state.Front
+	front     *state.Engine
 	listeners []*listener
 	mysql     *listener // the one of them for MySQL's clients; nil = there is none
 
@@ -68,7 +68,7 @@
 
 // NewServer makes a server for at most so many clients, whose half-sent queries may hold so many bytes; a few more
 // clients are turned away with an answer.
-func NewServer(loop *Loop, clock state.Clock, front *state.Front, maxClients, maxExcess, maxBuffered int) *Server {
+func NewServer(loop *Loop, clock state.Clock, front *state.Engine, maxClients, maxExcess, maxBuffered int) *Server {
 	return &Server{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front,
 		lingerMost: lingerMost, clients: map[*client]struct{}{}, maxClients: maxClients, easy: maxClients / easyPart, maxExcess: maxExcess, maxBuffered: maxBuffered}
 }
@@ -248,7 +248,7 @@
 		c.list.MoveToBack(c.place)
 		return
 	}
-	s.front.Counters.MadeRoom++
+	s.front.Counters.ClientsEvicted++
 }
 
 const (
--- a/internal/net/stream.go
+++ b/internal/net/stream.go
@@ -79,7 +79,7 @@
 	db.conn = nil
 	if err != nil {
 		st.finish(false)
-		db.to.Spoilt()
+		db.to.ProtocolError()
 		return
 	}
 	st.ahead = len(db.in.bytes)
@@ -120,17 +120,17 @@
 	}
 }
 
-// Ended implements state.Source.
-func (st *stream) Ended(f func()) { st.ended = f }
+// OnEnd implements state.ValueStream.
+func (st *stream) OnEnd(f func()) { st.ended = f }
 
-// Stop implements state.Source.
+// Stop implements state.ValueStream.
 func (st *stream) Stop() { st.finish(false) }
 
-// Streams implements state.Streamer.
-func (sl *slot) Streams() bool { _, ok := sl.c.speaks.(postgres); return ok }
+// AcceptsStream implements state.StreamingCaller.
+func (sl *slot) AcceptsStream() bool { _, ok := sl.c.speaks.(postgres); return ok }
 
-// Stream implements state.Streamer.
-func (sl *slot) Stream(from state.Source) {
+// Stream implements state.StreamingCaller.
+func (sl *slot) Stream(from state.ValueStream) {
 	st := from.(*stream)
 	c, ok := sl.c.conn.(netpoll.Conn)
 	if st.over || !ok || sl.c.phase == phaseClosed {
--- a/internal/net/stream_test.go
+++ b/internal/net/stream_test.go
@@ -149,7 +149,7 @@
 	})
 	clock := state.NewClock()
 	s := &spy{Databases: &Databases{ConnectTimeout: patience}}
-	front, err := state.New(state.Config{Logic: settings, MaxLinks: 16, ConnectTimeout: patience}, clock, s)
+	front, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 		t.Errorf("%d bytes, asked %d times", len(got), asked)
 	}
 	n := make(chan [2]int)
-	loop.Post(func() { n <- [2]int{front.Pending(), front.Links()} })
+	loop.Post(func() { n <- [2]int{front.Pending(), front.Connections()} })
 	if x := <-n; x[0] != 0 || x[1] > 1 {
 		t.Errorf("%d pending, %d connections", x[0], x[1])
 	}
--- a/internal/net/tier.go
+++ b/internal/net/tier.go
@@ -24,7 +24,7 @@
 	loop      *Loop
 	clock     state.Clock
 	deadlines *state.Deadlines
-	front     *state.Front
+	front     *state.Engine
 	side      *rollout.Proxy
 	cfg       rollout.Config
 	planners  []string
@@ -58,7 +58,7 @@
 }
 
 // JoinTier lets a proxy go by its tier's policy. Until it holds that, it takes no request. It is called on the loop.
-func JoinTier(loop *Loop, clock state.Clock, front *state.Front, c TierConfig) *Tier {
+func JoinTier(loop *Loop, clock state.Clock, front *state.Engine, c TierConfig) *Tier {
 	t := &Tier{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front, cfg: c.Rollout.WithDefaults(), planners: c.Planners,
 		into: c.Into, health: tierHealth{config: c.Health}}
 	rng := rand.New(rand.NewPCG(c.Seed, 0x71e2))
@@ -67,15 +67,15 @@
 		t.side.SetZone(c.Health.Zone)
 	}
 	t.seek = rollout.NewPlannerSelector(t.cfg, len(t.planners), rng)
-	front.Gate(t)
+	front.SetGate(t)
 	t.dial()
 	return t
 }
 
-// May implements state.Gate.
-func (t *Tier) May(now time.Duration) (uint64, state.Verdict) {
+// Admit implements state.Gate.
+func (t *Tier) Admit(now time.Duration) (uint64, state.GateDecision) {
 	n, v := t.side.AdmitRequest(now)
-	return uint64(n), [...]state.Verdict{rollout.Admit: state.GateOpen, rollout.Delay: state.GateWait, rollout.Reject: state.GateShut}[v]
+	return uint64(n), [...]state.GateDecision{rollout.Admit: state.GateOpen, rollout.Delay: state.GateWait, rollout.Reject: state.GateClosed}[v]
 }
 
 // Ready tells whether this proxy holds the tier's policy and may serve.
@@ -160,7 +160,7 @@
 	for t.conn == conn {
 		f, n, err := tier.Next(t.in.bytes[used:])
 		if err != nil {
-			t.front.Counters.TierStrange++
+			t.front.Counters.PlannerFramesInvalid++
 			if now := t.clock.Now(); t.toldAt == 0 || now-t.toldAt >= tierTell {
 				t.toldAt = now
 				slog.Warn("a planner's frame can't be read", "planner", t.planners[t.seek.Current()], "error", err)
@@ -205,7 +205,7 @@
 		t.into(s.Number, s.Policy)
 	}
 	t.shareChecks(&m)
-	t.front.Passed()
+	t.front.GateChanged()
 }
 
 // flush sends what there is to say; without a link it is dropped, and said anew with the next.
--- a/internal/net/turns.go
+++ b/internal/net/turns.go
@@ -40,7 +40,7 @@
 // late notes how far behind its time the first due deadline is run.
 func (t *turns) late(due, now time.Duration) {
 	if t.counters != nil {
-		t.delays.LatestDeadline = max(t.delays.LatestDeadline, now-due)
+		t.delays.LongestDeadlineDelay = max(t.delays.LongestDeadlineDelay, now-due)
 	}
 }
 
--- a/internal/net/turns_test.go
+++ b/internal/net/turns_test.go
@@ -26,8 +26,8 @@
 	if counters.SlowTurns != 1 || delays.LongestTurn != 2*slowTurn {
 		t.Errorf("%d slow turns, the longest %v; want 1 of %v", counters.SlowTurns, delays.LongestTurn, 2*slowTurn)
 	}
-	if want := slowTurn - 1 - 10*time.Millisecond; delays.LatestDeadline != want {
-		t.Errorf("the latest deadline was run %v behind its time, want %v", delays.LatestDeadline, want)
+	if want := slowTurn - 1 - 10*time.Millisecond; delays.LongestDeadlineDelay != want {
+		t.Errorf("the latest deadline was run %v behind its time, want %v", delays.LongestDeadlineDelay, want)
 	}
 	if n := strings.Count(log.String(), "by=havenproxy/internal/net.TestAHeldUpLoopIsCountedAndNamed"); n != 1 {
 		t.Errorf("%d log lines name the function:\n%s", n, log.String())
--- a/internal/run/consul.go
+++ b/internal/run/consul.go
@@ -24,7 +24,7 @@
 	if k == nil {
 		return nil, func() {
 			p.unwatch()
-			p.front.Merge(nil, false)
+			p.front.ConfigureMerging(nil, false)
 		}, nil
 	}
 	cfg := net.ConsulConfig{Agents: k.Agents, Datacenters: k.Datacenters, Filter: k.Filter, Consistency: k.Consistency, Wait: k.Wait}
@@ -46,19 +46,19 @@
 		return nil, nil, fmt.Errorf("consul: %w", err)
 	}
 	if p.watched != nil && same(p.watched, &cfg) {
-		return p.watched, func() { p.front.Merge(&members, k.Alone) }, nil
+		return p.watched, func() { p.front.ConfigureMerging(&members, k.Alone) }, nil
 	}
 	return &cfg, func() {
-		p.front.Merge(&members, k.Alone)
+		p.front.ConfigureMerging(&members, k.Alone)
 		sources := cfg.Sources()
 		for _, s := range sources {
-			p.front.Source(s)
+			p.front.AddCatalogue(s)
 		}
 		old, before := p.consul, p.sources
 		p.consul, p.sources = net.NewConsul(p.loop, p.front, cfg), sources
 		for _, s := range before {
 			if !slices.Contains(sources, s) {
-				p.front.DropSource(s)
+				p.front.DropCatalogue(s)
 			}
 		}
 		if old != nil {
@@ -79,7 +79,7 @@
 	}
 	go p.consul.Stop()
 	for _, s := range p.sources {
-		p.front.DropSource(s)
+		p.front.DropCatalogue(s)
 	}
 	p.consul, p.sources = nil, nil
 }
--- a/internal/run/ending_test.go
+++ b/internal/run/ending_test.go
@@ -155,8 +155,8 @@
 		t.Errorf("before its connection ended the client got %q, error %v", got, err)
 	}
 	<-ended
-	if p.front.Owed() != 0 || p.front.Counters.Failed+p.front.Counters.Refused != 2 {
-		t.Errorf("%d answers owed; counters %+v", p.front.Owed(), p.front.Counters)
+	if p.front.OutstandingAnswers() != 0 || p.front.Counters.Failed+p.front.Counters.Refused != 2 {
+		t.Errorf("%d answers owed; counters %+v", p.front.OutstandingAnswers(), p.front.Counters)
 	}
 }
 
--- a/internal/run/reload.go
+++ b/internal/run/reload.go
@@ -37,7 +37,7 @@
 func (p *proxy) reload(path, file string) {
 	fail := func(err error) {
 		slog.Error("can't reload", "error", err)
-		p.loop.Post(func() { p.front.Counters.LoadErrors++ })
+		p.loop.Post(func() { p.front.Counters.ConfigLoadErrors++ })
 	}
 	begun := p.clock.Now()
 	text, document, err := readDocument(path, func() { time.Sleep(readPause) })
@@ -60,7 +60,7 @@
 	}
 	p.loop.Post(func() {
 		slog.Info("reloaded", "discovery", cfg.Discovery, "classes", len(cfg.Settings.Config.Classes), "bytes", text, "took", p.clock.Now()-begun)
-		p.front.Counters.Loads++
+		p.front.Counters.ConfigLoads++
 		if p.tier == nil {
 			p.front.Reload(cfg.Settings.Config)
 		} else {
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -102,7 +102,7 @@
 	if p.failed != nil {
 		return p.failed
 	}
-	p.untrace(p.front.Trace(nil))
+	p.untrace(p.front.SetTrace(nil))
 	if p.consul != nil {
 		p.consul.Stop()
 	}
@@ -162,10 +162,10 @@
 // apply puts the operator's file into effect; it is called on the loop.
 func (p *proxy) apply(own *operator.File) {
 	if p.tier == nil { // the tier's policy has one way in
-		p.front.Reduce(own.Levels)
-		p.front.Handover(own.Handover)
-		p.front.Tune(own.Tuning)
-		p.front.Revise(own.Revision.Number)
+		p.front.ConfigureLevels(own.Levels)
+		p.front.SetHandover(own.Handover)
+		p.front.SetTuning(own.Tuning)
+		p.front.SetRevision(own.Revision.Number)
 		p.server.TellPolicy(own.Revision.Tell)
 	}
 	p.server.Console(own.Console.Enabled)
@@ -184,7 +184,7 @@
 
 	loop      *net.Loop
 	clock     state.Clock
-	front     *state.Front
+	front     *state.Engine
 	server    *net.Server
 	discovery *net.Discovery
 
@@ -239,7 +239,7 @@
 	databases := &net.Databases{ConnectTimeout: s.ConnectTimeout}
 	var err error
 	p.front, err = state.New(state.Config{Logic: s.Config, Zones: s.Zones, IdleClose: s.IdleClose,
-		ConnectTimeout: s.ConnectTimeout, MaxLinks: links}, p.clock, databases)
+		ConnectTimeout: s.ConnectTimeout, MaxConnections: links}, p.clock, databases)
 	if err != nil {
 		return nil, err
 	}
@@ -275,7 +275,7 @@
 			slog.Warn("no talk with peers", "error", err)
 		} else {
 			p.peers = peers
-			p.front.Peers(peers)
+			p.front.SetPeerSender(peers)
 		}
 	}
 	p.discovery = net.NewDiscovery(p.loop, p.clock, p.front, cfg.Discovery, cfg.Known.Generation, s.Config.ListBound)
--- a/internal/run/steward.go
+++ b/internal/run/steward.go
@@ -17,7 +17,7 @@
 // settle waits until the proxy can serve. Only then it takes clients off a socket that another process serves, too.
 func (p *proxy) settle() {
 	now := p.clock.Now()
-	if since := now - p.startedAt; since < settleTime || !p.front.ListTold() && since < settleAnyway {
+	if since := now - p.startedAt; since < settleTime || !p.front.ListReceived() && since < settleAnyway {
 		p.front.Deadlines.Set(&p.settling, now+settleStep, p.settle)
 		return
 	}
@@ -29,14 +29,14 @@
 		}
 	}
 	p.serving = true
-	slog.Info("can serve", "list_told", p.front.ListTold())
+	slog.Info("can serve", "list_told", p.front.ListReceived())
 }
 
 // Ready implements net.Steward.
 func (p *proxy) Ready() bool { return p.serving && !p.stopping && (p.tier == nil || p.tier.Ready()) }
 
 // Figures implements net.Steward.
-func (p *proxy) Figures(dst []byte) []byte { return p.front.Figures(dst) }
+func (p *proxy) Figures(dst []byte) []byte { return p.front.AppendMetrics(dst) }
 
 // Drain implements net.Steward.
 func (p *proxy) Drain() { p.server.Away(true) }
--- a/internal/run/stop.go
+++ b/internal/run/stop.go
@@ -16,7 +16,7 @@
 	slog.Info("stopping", "pending", p.front.Pending())
 	now := p.clock.Now()
 	p.answerBy, p.killAt = now+p.patience+answerMargin, now+p.patience+stopMargin
-	p.front.EndBy(p.answerBy)
+	p.front.SetFinalDeadline(p.answerBy)
 	p.front.Deadlines.Clear(&p.settling)
 	if p.accept > 0 && p.serving {
 		p.server.Leave()
@@ -30,7 +30,7 @@
 func (p *proxy) drained() {
 	now := p.clock.Now()
 	if now >= p.answerBy {
-		p.front.EndAll()
+		p.front.EndAllRequests()
 	}
 	if p.nothingOwed() || now >= p.killAt {
 		// A connection may have been accepted, and a query read, that the loop has yet to hear of: whatever the poller has begun by now
@@ -51,4 +51,4 @@
 }
 
 // nothingOwed closes the clients that are owed nothing, and tells whether none is left.
-func (p *proxy) nothingOwed() bool { return p.server.Drained() && p.front.Owed() == 0 }
+func (p *proxy) nothingOwed() bool { return p.server.Drained() && p.front.OutstandingAnswers() == 0 }
--- a/internal/run/tier.go
+++ b/internal/run/tier.go
@@ -15,9 +15,9 @@
 // join lets the proxy go by its tier's policy. It is called before the loop runs, so that no request is taken before. What the files say of
 // levels, handover, routing and classes holds until the tier has a policy of its own.
 func (p *proxy) join(own *operator.File, cfg settings.Config) {
-	p.front.Reduce(own.Levels)
-	p.front.Handover(own.Handover)
-	p.front.Tune(own.Tuning)
+	p.front.ConfigureLevels(own.Levels)
+	p.front.SetHandover(own.Handover)
+	p.front.SetTuning(own.Tuning)
 	p.server.TellPolicy(own.Tier.Tell)
 	p.log = slog.Default()
 	p.tier = net.JoinTier(p.loop, p.clock, p.front, net.TierConfig{Name: cmp.Or(own.Tier.Name, cfg.Name), Planners: own.Tier.Planners,
@@ -41,7 +41,7 @@
 		here := policy.Running{InUse: func(name string) bool {
 			for _, c := range p.front.Classes() {
 				if c.Name == name {
-					return c.Taken > 0
+					return c.Received > 0
 				}
 			}
 			return false
@@ -83,9 +83,9 @@
 	for _, k := range next.Classes {
 		p.patience = min(max(p.patience, k.Limit), longestPatience)
 	}
-	p.front.Reduce(next.Levels)
-	p.front.Handover(next.Handover)
-	p.front.Tune(next.Tuning)
+	p.front.ConfigureLevels(next.Levels)
+	p.front.SetHandover(next.Handover)
+	p.front.SetTuning(next.Tuning)
 }
 
 // Policy makes a tier's policy of an operator's file and the classes of a configuration.
--- a/internal/run/trace.go
+++ b/internal/run/trace.go
@@ -15,14 +15,14 @@
 func (p *proxy) tracing(t *operator.Trace) (func(), error) {
 	var cfg trace.Config
 	if t != nil {
-		cfg = trace.Config{File: t.File, Sample: t.Sample, Most: t.Most}
+		cfg = trace.Config{File: t.File, Sample: t.Sample, MaxBytes: t.Most}
 	}
 	if p.traceFile != "" {
 		cfg.File = p.traceFile
 	}
 	if cfg.File == "" {
 		p.traced = nil
-		return func() { go p.untrace(p.front.Trace(nil)) }, nil
+		return func() { go p.untrace(p.front.SetTrace(nil)) }, nil
 	}
 	if t != nil && t.SaltFile != "" {
 		salt, err := os.ReadFile(t.SaltFile)
@@ -46,8 +46,8 @@
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	p.traced = &cfg
-	slog.Info("what clients ask is kept", "file", cfg.File, "sample", w.Sample(), "most_bytes", w.Most())
-	return func() { go p.untrace(p.front.Trace(w)) }, nil
+	slog.Info("what clients ask is kept", "file", cfg.File, "sample", w.Sample(), "most_bytes", w.MaxBytes())
+	return func() { go p.untrace(p.front.SetTrace(w)) }, nil
 }
 
 // untrace ends a trace; it waits for the disk, so it has no place on the loop.
@@ -56,5 +56,5 @@
 		return
 	}
 	err := w.Close()
-	slog.Info("trace closed", "records", w.Kept, "dropped", w.Dropped, "full", w.Full(), "error", err)
+	slog.Info("trace closed", "records", w.Recorded, "dropped", w.Dropped, "full", w.Full(), "error", err)
 }
--- a/internal/state/audit_test.go
+++ b/internal/state/audit_test.go
@@ -26,7 +26,7 @@
 type audit struct {
 	t     *rapid.T
 	cfg   logic.Config
-	f     *Front
+	f     *Engine
 	now   time.Duration
 	draws []int
 	drawn int
@@ -82,7 +82,7 @@
 
 func (a *audit) Now() time.Duration  { return a.now }
 func (a *audit) Unix() time.Duration { return a.now + 1767225600*time.Second }
-func (a *audit) GivenUp() int        { return 0 }
+func (a *audit) AbandonedDials() int { return 0 }
 func (a *audit) Watch(bool)          { a.wants = true }
 func (a *audit) Fetch()              { a.wants = true }
 
@@ -116,8 +116,8 @@
 	q.answer("refused")
 }
 
-func (q *audited) Failed()      { q.answer("failed") }
-func (q *audited) Unfit([]byte) { q.answer("unfit") }
+func (q *audited) Failed()           { q.answer("failed") }
+func (q *audited) BadRequest([]byte) { q.answer("unfit") }
 func (q *audited) answer(how string) {
 	q.answers = append(q.answers, how)
 	switch {
@@ -183,7 +183,7 @@
 	c.busy, c.req, c.probing = nil, nil, false
 }
 
-func (c *auditConn) Quiet() bool { return !c.loud && c.busy == nil && !c.probing }
+func (c *auditConn) Reusable() bool { return !c.loud && c.busy == nil && !c.probing }
 
 // Send implements Conn; here all rules on attempts are checked.
 func (c *auditConn) Send(cmd Command, wait time.Duration) error {
@@ -259,7 +259,7 @@
 	case 5: // long after
 		a.after(20*took, func() { c.tellOf(x, func() { c.done(); c.to.Down() }) })
 	case 6: // nonsense
-		a.after(took, func() { c.tellOf(x, func() { c.done(); c.to.Spoilt() }) })
+		a.after(took, func() { c.tellOf(x, func() { c.done(); c.to.ProtocolError() }) })
 	case 7: // nothing
 	case 8: // a second copy behind the answer
 		a.after(took, func() {
@@ -316,7 +316,7 @@
 		c.tell(func() {
 			if c.probing {
 				c.done()
-				c.to.Reply(Reply{Result: logic.OK, Load: Load{Told: true, Role: role, Position: (c.a.Unix() - 5*time.Millisecond).Seconds(), Queue: -1}})
+				c.to.Reply(Reply{Result: logic.OK, Load: Load{Known: true, Role: role, Position: (c.a.Unix() - 5*time.Millisecond).Seconds(), Queue: -1}})
 			}
 		})
 	})
@@ -340,7 +340,7 @@
 			ok := a.draw(3) != 1
 			a.after(10*time.Millisecond, func() {
 				if ok {
-					a.f.Listed(List{Kind: logic.ListDelta})
+					a.f.UpdateList(List{Kind: logic.ListDelta})
 				} else {
 					a.f.ListFailed(errors.New("down"))
 				}
@@ -390,8 +390,8 @@
 func (a *audit) take(class int) {
 	c := a.cfg.Classes[class%len(a.cfg.Classes)]
 	q := &audited{a: a, n: len(a.reqs), class: c, at: a.now, until: a.now + c.Limit}
-	id, err := a.f.Take(Request{Name: fmt.Sprint(q.n), Class: c.Name, Wait: c.Limit, Session: uint64(q.n % 5), Group: q.n % 2,
-		After: int64((a.Unix() - 50*time.Millisecond) / time.Millisecond), Command: auditCommand{q}, Caller: q})
+	id, err := a.f.Submit(Request{Name: fmt.Sprint(q.n), Class: c.Name, Wait: c.Limit, Session: uint64(q.n % 5), Group: q.n % 2,
+		LastCommit: int64((a.Unix() - 50*time.Millisecond) / time.Millisecond), Command: auditCommand{q}, Caller: q})
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -412,7 +412,7 @@
 // tell puts an entry of the list into force.
 func (a *audit) tell(e Entry) {
 	a.note(e)
-	a.f.Listed(List{Kind: logic.ListDelta, Entries: []Entry{e}})
+	a.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{e}})
 }
 
 func (a *audit) note(e Entry) {
@@ -432,7 +432,7 @@
 			l.Entries = append(l.Entries, e)
 		}
 	}
-	a.f.Listed(l)
+	a.f.UpdateList(l)
 }
 
 func (a *audit) do(op, x int) {
@@ -482,7 +482,7 @@
 	}), 1, 60).Draw(t, "script")
 	var err error
 	if a.f, err = New(Config{Logic: a.cfg, Zones: []string{"z0", "z1"}, IdleClose: 3 * time.Second, ConnectTimeout: 250 * time.Millisecond,
-		MaxLinks: 12}, a, a); err != nil {
+		MaxConnections: 12}, a, a); err != nil {
 		t.Skip(err)
 	}
 	var known []Entry
@@ -527,7 +527,7 @@
 // returned asks for all that was taken: nothing is under way any more, so every slot, connection and timer has come back.
 func (a *audit) returned() {
 	t, f := a.t, a.f
-	if len(f.requests) > 0 || len(f.named) > 0 || f.streams > 0 || f.Owed() > 0 {
+	if len(f.requests) > 0 || len(f.named) > 0 || f.streams > 0 || f.OutstandingAnswers() > 0 {
 		t.Errorf("%d requests are kept, %d names, %d streams", len(f.requests), len(f.named), f.streams)
 	}
 	open := 0
--- a/internal/state/catalogue.go
+++ b/internal/state/catalogue.go
@@ -13,15 +13,15 @@
 // What other catalogues than the platform's say goes through a membership, which decides what becomes of each member; its view is
 // the list that the router gets.
 
-// OwnList is the platform's discovery among the sources.
-const OwnList = "discovery"
+// DiscoveryCatalogue is the platform's discovery among the sources.
+const DiscoveryCatalogue = "discovery"
 
 // mergeEvery is how often the membership looks at what moves by time alone.
 const mergeEvery = 100 * time.Millisecond
 
-// Merge puts other settings for merging into force; nil ends it: the platform's list stands alone again. alone tells that the
+// ConfigureMerging puts other settings for merging into force; nil ends it: the platform's list stands alone again. alone tells that the
 // platform's own list has no word beside the other catalogues.
-func (f *Front) Merge(cfg *membership.Config, alone bool) {
+func (f *Engine) ConfigureMerging(cfg *membership.Config, alone bool) {
 	switch {
 	case cfg == nil:
 		if f.merged != nil {
@@ -32,7 +32,7 @@
 		return
 	case f.merged == nil:
 		f.merged, f.failing = membership.New(*cfg), map[string]bool{}
-		f.merged.AddCatalogue(OwnList, membership.Trust{Binding: true})
+		f.merged.AddCatalogue(DiscoveryCatalogue, membership.Trust{Binding: true})
 		f.mergeTick()
 		// What is in use stays in use until others know better, also where the platform's list has no word from now on.
 		known := membership.News{Whole: true}
@@ -43,19 +43,19 @@
 			}
 		}
 		slices.SortFunc(known.Facts, func(a, b membership.Fact) int { return cmp.Compare(a.ID, b.ID) })
-		f.merged.Update(f.clock.Now(), OwnList, known)
+		f.merged.Update(f.clock.Now(), DiscoveryCatalogue, known)
 	default:
 		f.merged.Configure(*cfg)
 	}
 	if alone {
-		f.merged.DropCatalogue(f.clock.Now(), OwnList)
+		f.merged.DropCatalogue(f.clock.Now(), DiscoveryCatalogue)
 	} else {
-		f.merged.AddCatalogue(OwnList, membership.Trust{Binding: true})
+		f.merged.AddCatalogue(DiscoveryCatalogue, membership.Trust{Binding: true})
 	}
 	f.mergedNews()
 }
 
-func (f *Front) mergeTick() {
+func (f *Engine) mergeTick() {
 	f.Deadlines.Set(&f.merging, f.clock.Now()+mergeEvery, func() {
 		f.merged.Tick(f.clock.Now())
 		f.mergedNews()
@@ -63,21 +63,21 @@
 	})
 }
 
-// Source names a catalogue whose word counts from now on.
-func (f *Front) Source(name string) {
+// AddCatalogue names a catalogue whose word counts from now on.
+func (f *Engine) AddCatalogue(name string) {
 	f.merged.AddCatalogue(name, membership.Trust{})
 }
 
-// DropSource ends it.
-func (f *Front) DropSource(name string) {
+// DropCatalogue ends it.
+func (f *Engine) DropCatalogue(name string) {
 	if f.merged != nil {
 		f.merged.DropCatalogue(f.clock.Now(), name)
 		f.mergedNews()
 	}
 }
 
-// Told takes in a catalogue's answer.
-func (f *Front) Told(source string, n membership.News) {
+// UpdateCatalogue takes in a catalogue's answer.
+func (f *Engine) UpdateCatalogue(source string, n membership.News) {
 	if f.merged == nil {
 		return
 	}
@@ -89,8 +89,8 @@
 	f.mergedNews()
 }
 
-// ToldFailed notes that a catalogue could not be asked.
-func (f *Front) ToldFailed(source string, why error) {
+// CatalogueFailed notes that a catalogue could not be asked.
+func (f *Engine) CatalogueFailed(source string, why error) {
 	if f.merged == nil {
 		return
 	}
@@ -108,27 +108,27 @@
 }
 
 // ownList lets the platform's list be one source among others.
-func (f *Front) ownList(l List) {
+func (f *Engine) ownList(l List) {
 	n := membership.News{Whole: l.Kind != logic.ListDelta}
 	for _, e := range l.Entries {
 		n.Facts = append(n.Facts, membership.Fact{ID: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Health: healthOf(e.State),
 			Weight: e.Size, Started: e.Started})
 	}
-	f.merged.Update(f.clock.Now(), OwnList, n)
+	f.merged.Update(f.clock.Now(), DiscoveryCatalogue, n)
 	if !f.mergedNews() { // the router waits for the end of its call
 		f.take(List{Kind: logic.ListDelta})
 	}
 }
 
 // mergedNews hands on what has changed in the view, and tells whether anything has.
-func (f *Front) mergedNews() bool {
+func (f *Engine) mergedNews() bool {
 	changes := f.merged.TakeChanges()
 	if len(changes) == 0 {
 		return false
 	}
 	l := List{Kind: logic.ListDelta}
 	for _, e := range changes {
-		x := Entry{Name: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group, Size: e.Weight, Started: e.Started, Begun: e.Begun}
+		x := Entry{Name: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group, Size: e.Weight, Started: e.Started, ObservedStart: e.Begun}
 		x.State = [...]logic.MemberState{membership.Gone: logic.Gone, membership.Ready: logic.Ready, membership.Drains: logic.Draining}[e.State]
 		m := f.names[e.ID]
 		if m == nil || m.state != x.State {
@@ -144,7 +144,7 @@
 }
 
 // seen hands evidence to the membership.
-func (f *Front) seen(m *member, r Reply, silent bool) {
+func (f *Engine) seen(m *member, r Reply, silent bool) {
 	if f.merged == nil {
 		return
 	}
@@ -159,11 +159,11 @@
 	f.mergedNews()
 }
 
-// Merges tells whether there are several catalogues.
-func (f *Front) Merges() bool { return f.merged != nil }
+// MergesCatalogues tells whether there are several catalogues.
+func (f *Engine) MergesCatalogues() bool { return f.merged != nil }
 
-// MemberFacts gives all that is known of each member, to be shown.
-func (f *Front) MemberFacts() []membership.Entry {
+// MergedMembers gives all that is known of each member, to be shown.
+func (f *Engine) MergedMembers() []membership.Entry {
 	if f.merged == nil {
 		return nil
 	}
@@ -171,7 +171,7 @@
 }
 
 // Catalogues gives the sources.
-func (f *Front) Catalogues() []membership.Catalogue {
+func (f *Engine) Catalogues() []membership.Catalogue {
 	if f.merged == nil {
 		return nil
 	}
--- a/internal/state/catalogue_test.go
+++ b/internal/state/catalogue_test.go
@@ -12,9 +12,9 @@
 // merging is a bench before which a catalogue stands as well.
 func merging(t *testing.T, alone bool) (*bench, func(facts ...membership.Fact)) {
 	b := newBench(t, 9)
-	b.f.Merge(&membership.Config{}, alone)
-	b.f.Source("c")
-	return b, func(facts ...membership.Fact) { b.f.Told("c", membership.News{Whole: true, Facts: facts}) }
+	b.f.ConfigureMerging(&membership.Config{}, alone)
+	b.f.AddCatalogue("c")
+	return b, func(facts ...membership.Fact) { b.f.UpdateCatalogue("c", membership.News{Whole: true, Facts: facts}) }
 }
 
 func (b *bench) listed(name string) (logic.Member, bool) {
@@ -35,11 +35,11 @@
 		t.Fatalf("%d members", len(b.f.names))
 	}
 	b = newBench(t, 9)
-	b.f.Listed(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "127.0.0.1:1", Zone: "y", Size: 2, Started: 5 * time.Second, State: logic.Ready},
+	b.f.UpdateList(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "127.0.0.1:1", Zone: "y", Size: 2, Started: 5 * time.Second, State: logic.Ready},
 		{Name: "two", Address: "127.0.0.1:2", State: logic.Ready}}})
-	b.f.Merge(&membership.Config{}, true)
-	b.f.Source("c")
-	b.f.Told("c", membership.News{Whole: true, Facts: []membership.Fact{{ID: "other-1", Address: "127.0.0.1:1", Zone: "x"}, {ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining}}})
+	b.f.ConfigureMerging(&membership.Config{}, true)
+	b.f.AddCatalogue("c")
+	b.f.UpdateCatalogue("c", membership.News{Whole: true, Facts: []membership.Fact{{ID: "other-1", Address: "127.0.0.1:1", Zone: "x"}, {ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining}}})
 	if len(b.f.names) != 2 || b.f.names["two"].state != logic.Draining || b.f.names["one"].zone != "x" || b.f.names["one"].started != 5*time.Second {
 		t.Errorf("%d members, %+v", len(b.f.names), b.f.names["one"])
 	}
@@ -74,7 +74,7 @@
 func TestAListedStartIsPlacedOnce(t *testing.T) {
 	b := newBench(t, 9)
 	tell := func(started time.Duration) logic.Member {
-		b.f.Listed(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Ready, Started: started}}})
+		b.f.UpdateList(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Ready, Started: started}}})
 		e, _ := b.listed("one")
 		return e
 	}
@@ -123,13 +123,13 @@
 	if m := b.f.names["m"]; m != nil && m.state != logic.Gone {
 		t.Errorf("critical and silent, and is %v", m.state)
 	}
-	b.f.ToldFailed("c", errors.New("no leader"))
+	b.f.CatalogueFailed("c", errors.New("no leader"))
 	if c := b.f.Catalogues(); len(c) != 2 || c[1].Failures != 1 || c[1].LastError != "no leader" {
 		t.Errorf("%+v", c)
 	}
-	b.f.Merge(nil, false)
-	b.f.Told("c", membership.News{Whole: true, Facts: []membership.Fact{f}}) // late
-	if b.f.Merges() || b.f.MemberFacts() != nil {
+	b.f.ConfigureMerging(nil, false)
+	b.f.UpdateCatalogue("c", membership.News{Whole: true, Facts: []membership.Fact{f}}) // late
+	if b.f.MergesCatalogues() || b.f.MergedMembers() != nil {
 		t.Error("still merging")
 	}
 }
--- a/internal/state/clock.go
+++ b/internal/state/clock.go
@@ -55,4 +55,4 @@
 }
 
 // Clock gives the clock that the front goes by.
-func (f *Front) Clock() Clock { return f.clock }
+func (f *Engine) Clock() Clock { return f.clock }
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -9,64 +9,64 @@
 
 // Counters count since the start.
 type Counters struct {
-	Taken, Served, Refused, Failed, Abandoned      uint64 // requests
-	Sent                                           uint64 // attempts
-	Written                                        uint64 // those whose last byte was written to a database
-	Loads, LoadErrors                              uint64 // configurations taken, and turned down, at SIGHUP
-	OK, Miss, Error, Full, TimedOut, ConnectFailed uint64 // their ends
-	Reset, Cancelled                               uint64
-	Probes, ProbesOK                               uint64
-	Opened, ClosedIdle                             uint64 // database connections
-	ListCalls, ListFailures                        uint64
-	Clients, MadeRoom, TurnedAway, Malformed       uint64 // client connections
-	CrossedBytes                                   uint64 // that clients wrote behind the shutdown of their connections: read, and acted on by nobody
-	PeersTold, PeersHeard, PeersStrange            uint64 // messages to peers, from peers, and what could not be read or came from others
-	LevelChanges                                   uint64
-	TierStrange                                    uint64 // frames of planners that could not be read
-	Kept, GateShut                                 uint64 // requests that waited at the point of a tier's change, and were refused for want of its policy
+	Received, Served, Refused, Failed, Abandoned                uint64 // requests
+	Sent                                                        uint64 // attempts
+	Written                                                     uint64 // those whose last byte was written to a database
+	ConfigLoads, ConfigLoadErrors                               uint64 // configurations taken, and turned down, at SIGHUP
+	OK, Miss, Failures, Full, TimedOut, ConnectFailed           uint64 // their ends
+	Reset, Cancelled                                            uint64
+	Probes, ProbesOK                                            uint64
+	Opened, ClosedIdle                                          uint64 // database connections
+	ListCalls, ListFailures                                     uint64
+	Clients, ClientsEvicted, ClientsRejected, Malformed         uint64 // client connections
+	DiscardedBytes                                              uint64 // that clients wrote behind the shutdown of their connections: read, and acted on by nobody
+	PeerMessagesSent, PeerMessagesReceived, PeerMessagesInvalid uint64 // messages to peers, from peers, and what could not be read or came from others
+	LevelChanges                                                uint64
+	PlannerFramesInvalid                                        uint64 // frames of planners that could not be read
+	GateQueued, GateRefused                                     uint64 // requests that waited at the point of a tier's change, and were refused for want of its policy
 	// Of MySQL: executions of prepared statements written to databases, and statements that had to be prepared on a
 	// connection before one.
 	Executes, Prepares uint64
 	// Of shared health checks: digests of planners, those that could not be read, and verdicts that were handed to the router.
 	Digests, DigestsMalformed, Verdicts uint64
 
-	NoRoom       uint64 // connections to databases that were not opened, for want of room
-	AnsweredLate uint64 // requests whose answer came behind the time that their clients wait
-	SlowTurns    uint64 // functions that held the loop for long
+	ConnectionsNotOpened uint64 // connections to databases that were not opened, for want of room
+	AnsweredLate         uint64 // requests whose answer came behind the time that their clients wait
+	SlowTurns            uint64 // functions that held the loop for long
 }
 
 // Delays is how late the loop that owns the state has been, at most, since the start.
 type Delays struct {
-	LongestTurn    time.Duration // that one function held the loop for
-	LatestDeadline time.Duration // that a deadline was run behind its time
+	LongestTurn          time.Duration // that one function held the loop for
+	LongestDeadlineDelay time.Duration // that a deadline was run behind its time
 }
 
 // LogValue lets slog print the delays.
 func (d *Delays) LogValue() slog.Value {
-	return slog.GroupValue(slog.Duration("longest_turn", d.LongestTurn), slog.Duration("latest_deadline", d.LatestDeadline))
+	return slog.GroupValue(slog.Duration("longest_turn", d.LongestTurn), slog.Duration("latest_deadline", d.LongestDeadlineDelay))
 }
 
 // LogValue lets slog print the counters.
 func (c *Counters) LogValue() slog.Value {
 	return slog.GroupValue(
-		slog.Uint64("taken", c.Taken), slog.Uint64("served", c.Served), slog.Uint64("refused", c.Refused),
+		slog.Uint64("taken", c.Received), slog.Uint64("served", c.Served), slog.Uint64("refused", c.Refused),
 		slog.Uint64("failed", c.Failed), slog.Uint64("abandoned", c.Abandoned),
 		slog.Uint64("sent", c.Sent), slog.Uint64("written", c.Written), slog.Uint64("ok", c.OK), slog.Uint64("miss", c.Miss),
-		slog.Uint64("error", c.Error), slog.Uint64("full", c.Full), slog.Uint64("timed_out", c.TimedOut),
+		slog.Uint64("error", c.Failures), slog.Uint64("full", c.Full), slog.Uint64("timed_out", c.TimedOut),
 		slog.Uint64("connect_failed", c.ConnectFailed), slog.Uint64("reset", c.Reset),
 		slog.Uint64("cancelled", c.Cancelled),
 		slog.Uint64("probes", c.Probes), slog.Uint64("probes_ok", c.ProbesOK),
 		slog.Uint64("opened", c.Opened), slog.Uint64("closed_idle", c.ClosedIdle),
 		slog.Uint64("list_calls", c.ListCalls), slog.Uint64("list_failures", c.ListFailures),
-		slog.Uint64("clients", c.Clients), slog.Uint64("made_room", c.MadeRoom),
-		slog.Uint64("turned_away", c.TurnedAway), slog.Uint64("malformed", c.Malformed),
-		slog.Uint64("crossed_bytes", c.CrossedBytes),
-		slog.Uint64("level_changes", c.LevelChanges), slog.Uint64("kept", c.Kept), slog.Uint64("gate_shut", c.GateShut), slog.Uint64("tier_strange", c.TierStrange),
-		slog.Uint64("peers_told", c.PeersTold), slog.Uint64("peers_heard", c.PeersHeard),
-		slog.Uint64("peers_strange", c.PeersStrange),
-		slog.Uint64("loads", c.Loads), slog.Uint64("load_errors", c.LoadErrors),
+		slog.Uint64("clients", c.Clients), slog.Uint64("made_room", c.ClientsEvicted),
+		slog.Uint64("turned_away", c.ClientsRejected), slog.Uint64("malformed", c.Malformed),
+		slog.Uint64("crossed_bytes", c.DiscardedBytes),
+		slog.Uint64("level_changes", c.LevelChanges), slog.Uint64("kept", c.GateQueued), slog.Uint64("gate_shut", c.GateRefused), slog.Uint64("tier_strange", c.PlannerFramesInvalid),
+		slog.Uint64("peers_told", c.PeerMessagesSent), slog.Uint64("peers_heard", c.PeerMessagesReceived),
+		slog.Uint64("peers_strange", c.PeerMessagesInvalid),
+		slog.Uint64("loads", c.ConfigLoads), slog.Uint64("load_errors", c.ConfigLoadErrors),
 		slog.Uint64("executes", c.Executes), slog.Uint64("prepares", c.Prepares),
-		slog.Uint64("no_room", c.NoRoom), slog.Uint64("answered_late", c.AnsweredLate), slog.Uint64("slow_turns", c.SlowTurns),
+		slog.Uint64("no_room", c.ConnectionsNotOpened), slog.Uint64("answered_late", c.AnsweredLate), slog.Uint64("slow_turns", c.SlowTurns),
 		slog.Uint64("digests", c.Digests), slog.Uint64("digests_malformed", c.DigestsMalformed), slog.Uint64("verdicts", c.Verdicts))
 }
 
@@ -78,7 +78,7 @@
 	case logic.Miss:
 		c.Miss++
 	case logic.Failed:
-		c.Error++
+		c.Failures++
 	case logic.Full:
 		c.Full++
 	case logic.TimedOut:
--- a/internal/state/ending_test.go
+++ b/internal/state/ending_test.go
@@ -16,8 +16,8 @@
 		sent    int
 	}{
 		"nothing": {func(*bench, logic.RequestID) {}, 1},
-		"a drain": {func(b *bench, _ logic.RequestID) { b.f.Listed(drains) }, 0},
-		"gone":    {func(b *bench, _ logic.RequestID) { b.f.Listed(List{Kind: logic.ListFull}) }, 0},
+		"a drain": {func(b *bench, _ logic.RequestID) { b.f.UpdateList(drains) }, 0},
+		"gone":    {func(b *bench, _ logic.RequestID) { b.f.UpdateList(List{Kind: logic.ListFull}) }, 0},
 		"no client any more": {func(b *bench, id logic.RequestID) {
 			b.f.Abandon(id)
 			b.told = nil
@@ -83,19 +83,19 @@
 	b := newBench(t, 9)
 	first, second, left := &caller{}, &caller{}, &caller{}
 	b.take(first)
-	b.f.Take(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: second})
+	b.f.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: second})
 	b.f.Abandon(b.take(left))
-	if n := b.f.Owed(); n != 2 {
+	if n := b.f.OutstandingAnswers(); n != 2 {
 		t.Errorf("%d answers owed, want 2", n)
 	}
-	b.f.EndAll()
+	b.f.EndAllRequests()
 	first.want(t, "failed")
 	second.want(t, "refused 0s")
 	left.want(t)
-	if n := b.f.Owed(); n != 0 {
+	if n := b.f.OutstandingAnswers(); n != 0 {
 		t.Errorf("%d answers owed", n)
 	}
-	b.f.EndAll()
+	b.f.EndAllRequests()
 	first.want(t, "failed")
 }
 
@@ -119,7 +119,7 @@
 			b.f.cfg.Logic.DrainOnly = true
 			b.take(&caller{})
 			for _, l := range c.lists {
-				b.f.Listed(l)
+				b.f.UpdateList(l)
 			}
 			b.conns[0].to.Up()
 			if b.conns[0].sent != c.sent {
--- a/internal/state/figures.go
+++ b/internal/state/figures.go
@@ -7,9 +7,9 @@
 	"havenproxy/logic"
 )
 
-// Figures appends the figures of the operators' second address: what became of requests by class, and how things stand now. A class
+// AppendMetrics appends the figures of the operators' second address: what became of requests by class, and how things stand now. A class
 // that was dropped keeps its figures; one name that has stood for two classes has the sum of both.
-func (f *Front) Figures(dst []byte) []byte {
+func (f *Engine) AppendMetrics(dst []byte) []byte {
 	sums, order := map[string]ClassCounters{}, []string{}
 	for i, c := range f.cfg.Logic.Classes {
 		sum, known := sums[c.Name]
@@ -50,24 +50,24 @@
 	}
 	dst = admin.AppendCounter(dst, f.Counters.AnsweredLate, "answered_late")
 	dst = admin.AppendCounter(dst, f.Counters.SlowTurns, "slow_turns")
-	dst = admin.AppendCounter(dst, f.Counters.NoRoom, "no_room_for_connection")
-	dst = admin.AppendCounter(dst, f.Counters.Loads, "loads")
-	return admin.AppendCounter(dst, f.Counters.LoadErrors, "load_errors")
+	dst = admin.AppendCounter(dst, f.Counters.ConnectionsNotOpened, "no_room_for_connection")
+	dst = admin.AppendCounter(dst, f.Counters.ConfigLoads, "loads")
+	return admin.AppendCounter(dst, f.Counters.ConfigLoadErrors, "load_errors")
 }
 
-// TurnedAway counts a request of a class that was refused with its client, for want of room: it has not been taken, and its client has the
+// CountRejected counts a request of a class that was refused with its client, for want of room: it has not been taken, and its client has the
 // same answer as from any other refusal.
-func (f *Front) TurnedAway(class string) {
+func (f *Engine) CountRejected(class string) {
 	if i, ok := f.classes[class]; ok {
 		f.perClass[i].Refused++
 	}
 }
 
-// ListTold tells whether the list has come from its service since the start, rather than from what this proxy had before.
-func (f *Front) ListTold() bool { return f.told }
+// ListReceived tells whether the list has come from its service since the start, rather than from what this proxy had before.
+func (f *Engine) ListReceived() bool { return f.told }
 
 // Refusals gives the refused requests by reason, for the log.
-func (f *Front) Refusals() slog.Value {
+func (f *Engine) Refusals() slog.Value {
 	var reasons []slog.Attr
 	for reason, n := range f.planned.Refusals() {
 		reasons = append(reasons, slog.Uint64(logic.RefusalReason(reason).String(), n))
--- a/internal/state/front.go
+++ b/internal/state/front.go
@@ -26,7 +26,7 @@
 	Served(body []byte) // as a database gave it; valid during the call only
 	Refused(comeBack time.Duration)
 	Failed()
-	Unfit(body []byte) // the request is at fault; body is what the database said, if it said more than that
+	BadRequest(body []byte) // the request is at fault; body is what the database said, if it said more than that
 }
 
 // Command is a request as its client worded it.
@@ -34,21 +34,21 @@
 	AppendTo(dst []byte, wait time.Duration) []byte // for a database that has so long to answer
 }
 
-// ErrTwice tells of a request whose name another open one bears.
-var ErrTwice = errors.New("a request of that id is open")
+// ErrDuplicateName tells of a request whose name another open one bears.
+var ErrDuplicateName = errors.New("a request of that id is open")
 
 // Request is what a client asks.
 type Request struct {
-	Name    string // new with each request; empty = it has none
-	Class   string
-	Wait    time.Duration // how long the client waits, counted from its sending
-	At      time.Duration // when it came, on the front's clock; 0 = now
-	Session uint64
-	Group   int
-	After   int64 // Unix milliseconds of the session's last commit; 0 = none
-	Retry   bool
-	Command Command
-	Caller  Caller
+	Name       string // new with each request; empty = it has none
+	Class      string
+	Wait       time.Duration // how long the client waits, counted from its sending
+	ReceivedAt time.Duration // when it came, on the front's clock; 0 = now
+	Session    uint64
+	Group      int
+	LastCommit int64 // Unix milliseconds of the session's last commit; 0 = none
+	Retry      bool
+	Command    Command
+	Caller     Caller
 }
 
 // Watcher asks the service that lists the databases. It answers a Watch by Listed or ListFailed, later.
@@ -63,11 +63,11 @@
 	Zones          []string
 	IdleClose      time.Duration // a database closes a connection that has been idle for so long
 	ConnectTimeout time.Duration
-	MaxLinks       int // connections to databases that may be open
+	MaxConnections int // connections to databases that may be open
 }
 
-// Front stands between callers, databases and the router. All calls must come from one goroutine.
-type Front struct {
+// Engine stands between callers, databases and the router. All calls must come from one goroutine.
+type Engine struct {
 	Counters  Counters
 	Delays    Delays
 	Deadlines Deadlines
@@ -100,7 +100,7 @@
 	told          bool
 
 	gated   gated
-	teller  Teller // nil = there is no talk with peers
+	teller  PeerSender // nil = there is no talk with peers
 	message []byte
 	facts   []peers.Fact
 	checks  *sharedChecks // nil = the tier doesn't share health checks
@@ -139,8 +139,8 @@
 }
 
 // New makes a front. The watcher is set with Start.
-func New(cfg Config, clock Clock, opener Opener) (*Front, error) {
-	f := &Front{cfg: cfg, classes: map[string]int{}, clock: clock, opener: opener,
+func New(cfg Config, clock Clock, opener Opener) (*Engine, error) {
+	f := &Engine{cfg: cfg, classes: map[string]int{}, clock: clock, opener: opener,
 		requests: map[logic.RequestID]*request{}, named: map[string]struct{}{}, timers: map[logic.TimerID]*Deadline{},
 		names: map[string]*member{}, members: map[logic.MemberID]*member{}}
 	for i, c := range cfg.Logic.Classes {
@@ -148,7 +148,7 @@
 	}
 	f.perClass = make([]ClassCounters, len(cfg.Logic.Classes))
 	if cfg.Logic.Connections == 0 {
-		cfg.Logic.Connections = cfg.MaxLinks
+		cfg.Logic.Connections = cfg.MaxConnections
 	}
 	var err error
 	f.planned, err = logic.New(cfg.Logic, f)
@@ -157,15 +157,15 @@
 }
 
 // Start gives the router its first event, the list as this proxy last had it, from which it starts its clockwork.
-func (f *Front) Start(w Watcher, known List) {
+func (f *Engine) Start(w Watcher, known List) {
 	f.watcher = w
 	known.Kind = logic.ListCached
-	f.Listed(known)
+	f.UpdateList(known)
 }
 
 // tell hands an event to the router, after the ones before it: what a router's action brings about at once is
 // told when the router has returned, never from within.
-func (f *Front) tell(event func()) {
+func (f *Engine) tell(event func()) {
 	f.queue = append(f.queue, event)
 	if f.busy {
 		return
@@ -179,14 +179,14 @@
 }
 
 // Pending tells how many requests wait for their answer.
-func (f *Front) Pending() int { return len(f.requests) + f.streams }
+func (f *Engine) Pending() int { return len(f.requests) + f.streams }
 
-// Links tells how many connections to databases are counted as open.
-func (f *Front) Links() int { return f.links }
+// Connections tells how many connections to databases are counted as open.
+func (f *Engine) Connections() int { return f.links }
 
-// Take takes in a client's request. The error tells of a request that this deployment doesn't have; then there
+// Submit takes in a client's request. The error tells of a request that this deployment doesn't have; then there
 // will be no answer.
-func (f *Front) Take(in Request) (logic.RequestID, error) {
+func (f *Engine) Submit(in Request) (logic.RequestID, error) {
 	class, ok := f.classes[in.Class]
 	if !ok {
 		return 0, fmt.Errorf("unknown class %q", in.Class)
@@ -194,14 +194,14 @@
 	// Databases and keys would take the two for one request, and one of them would have the other's answer.
 	if in.Name != "" {
 		if _, twice := f.named[in.Name]; twice {
-			return 0, ErrTwice
+			return 0, ErrDuplicateName
 		}
 		f.named[in.Name] = struct{}{}
 	}
 	f.lastID++
-	f.Counters.Taken++
-	f.perClass[class].Taken++
-	q := &request{id: f.lastID, name: in.Name, class: class, group: in.Group, cmd: in.Command, caller: in.Caller, since: cmp.Or(in.At, f.clock.Now())}
+	f.Counters.Received++
+	f.perClass[class].Received++
+	q := &request{id: f.lastID, name: in.Name, class: class, group: in.Group, cmd: in.Command, caller: in.Caller, since: cmp.Or(in.ReceivedAt, f.clock.Now())}
 	f.requests[q.id] = q
 	q.until = q.since + max(in.Wait-wayHome, 0)
 	if f.endBy > 0 {
@@ -221,14 +221,14 @@
 	return q.id, nil
 }
 
-// Trace lets what clients ask be kept; nil ends that. It gives the writer before, which its owner closes.
-func (f *Front) Trace(w *trace.Writer) (before *trace.Writer) {
+// SetTrace lets what clients ask be kept; nil ends that. It gives the writer before, which its owner closes.
+func (f *Engine) SetTrace(w *trace.Writer) (before *trace.Writer) {
 	before, f.trace = f.trace, w
 	return before
 }
 
 // Abandon tells that a request's client has gone.
-func (f *Front) Abandon(id logic.RequestID) {
+func (f *Engine) Abandon(id logic.RequestID) {
 	q := f.requests[id]
 	if q == nil || q.caller == nil {
 		return
@@ -243,7 +243,7 @@
 }
 
 // forget drops a request that is answered or abandoned, once no attempt of it is out.
-func (f *Front) forget(q *request) {
+func (f *Engine) forget(q *request) {
 	if q.caller == nil && q.open == nil {
 		delete(f.requests, q.id)
 		delete(f.named, q.name)
@@ -251,7 +251,7 @@
 }
 
 // answer ends a request; a second answer never comes through.
-func (f *Front) answer(id logic.RequestID, count *uint64, of func(*ClassCounters) *uint64, give func(Caller)) {
+func (f *Engine) answer(id logic.RequestID, count *uint64, of func(*ClassCounters) *uint64, give func(Caller)) {
 	q := f.requests[id]
 	if q == nil || q.caller == nil {
 		return
@@ -270,17 +270,17 @@
 func failedOf(c *ClassCounters) *uint64  { return &c.Failed }
 
 // Refuse implements logic.Actions.
-func (f *Front) Refuse(id logic.RequestID, comeBack time.Duration) {
+func (f *Engine) Refuse(id logic.RequestID, comeBack time.Duration) {
 	f.answer(id, &f.Counters.Refused, refusedOf, func(c Caller) { c.Refused(comeBack) })
 }
 
 // Fail implements logic.Actions.
-func (f *Front) Fail(id logic.RequestID) {
+func (f *Engine) Fail(id logic.RequestID) {
 	f.answer(id, &f.Counters.Failed, failedOf, Caller.Failed)
 }
 
 // Send implements logic.Actions. The outcome is told later, also where nothing can be sent.
-func (f *Front) Send(id logic.RequestID, to logic.MemberID, timeout time.Duration) {
+func (f *Engine) Send(id logic.RequestID, to logic.MemberID, timeout time.Duration) {
 	now := f.clock.Now()
 	q, m := f.requests[id], f.members[to]
 	if q == nil {
@@ -302,14 +302,14 @@
 }
 
 // Cancel implements logic.Actions: closing its connection calls an attempt off.
-func (f *Front) Cancel(id logic.RequestID, n int) {
+func (f *Engine) Cancel(id logic.RequestID, n int) {
 	if q := f.requests[id]; q != nil && q.open != nil && q.open.n == n {
 		f.drop(q.open, Reply{Result: logic.Cancelled})
 	}
 }
 
 // expire ends an attempt whose time is up. One that was never written has found no connection.
-func (f *Front) expire(a *attempt) {
+func (f *Engine) expire(a *attempt) {
 	if a.sent && !a.preparing() {
 		f.drop(a, Reply{Result: logic.TimedOut})
 	} else {
@@ -324,7 +324,7 @@
 }
 
 // drop ends an attempt that got no answer: whatever still comes on its connection is nobody's.
-func (f *Front) drop(a *attempt, r Reply) {
+func (f *Engine) drop(a *attempt, r Reply) {
 	if l := a.link; l != nil {
 		f.close(l)
 	}
@@ -332,7 +332,7 @@
 }
 
 // end tells the router how an attempt ended; the first answer goes to the client before that.
-func (f *Front) end(a *attempt, r Reply) {
+func (f *Engine) end(a *attempt, r Reply) {
 	q := a.req
 	if q.open != a {
 		return
@@ -352,12 +352,12 @@
 		if q.caller == nil {
 			r.Stream.Stop()
 		}
-		f.answer(q.id, &f.Counters.Served, servedOf, func(c Caller) { c.(Streamer).Stream(r.Stream) })
+		f.answer(q.id, &f.Counters.Served, servedOf, func(c Caller) { c.(StreamingCaller).Stream(r.Stream) })
 	case r.Result == logic.OK:
 		f.answer(q.id, &f.Counters.Served, servedOf, func(c Caller) { c.Served(r.Body) })
-	case r.Unfit: // no member can use it, and none is to blame: it has failed, and the router learns no more
+	case r.BadRequest: // no member can use it, and none is to blame: it has failed, and the router learns no more
 		r.Result = logic.Cancelled
-		f.answer(q.id, &f.Counters.Failed, failedOf, func(c Caller) { c.Unfit(r.Body) })
+		f.answer(q.id, &f.Counters.Failed, failedOf, func(c Caller) { c.BadRequest(r.Body) })
 	}
 	now := f.clock.Now()
 	o := logic.Outcome{Request: q.id, Attempt: a.n, Member: a.to.id, Result: r.Result, Took: now - a.sentAt,
@@ -368,7 +368,7 @@
 }
 
 // SetTimer implements logic.Actions.
-func (f *Front) SetTimer(id logic.TimerID, at time.Duration) {
+func (f *Engine) SetTimer(id logic.TimerID, at time.Duration) {
 	d := f.timers[id]
 	if d == nil {
 		d = &Deadline{}
@@ -378,22 +378,22 @@
 }
 
 // Watch implements logic.Actions.
-func (f *Front) Watch(on bool) {
+func (f *Engine) Watch(on bool) {
 	f.Counters.ListCalls++
 	f.watcher.Watch(on)
 }
 
 // Fetch implements logic.Actions.
-func (f *Front) Fetch() {
+func (f *Engine) Fetch() {
 	f.Counters.ListCalls++
 	f.watcher.Fetch()
 }
 
 // Log implements logic.Actions.
-func (f *Front) Log(text string) { slog.Info("router", "says", text) }
+func (f *Engine) Log(text string) { slog.Info("router", "says", text) }
 
-// LimitOf is how long clients of a class wait at most; 0 = there is no such class.
-func (f *Front) LimitOf(class string) time.Duration {
+// ClassLimit is how long clients of a class wait at most; 0 = there is no such class.
+func (f *Engine) ClassLimit(class string) time.Duration {
 	if i, ok := f.classes[class]; ok {
 		return f.cfg.Logic.Classes[i].Limit
 	}
@@ -401,4 +401,4 @@
 }
 
 // Opener is what opens connections to databases.
-func (f *Front) Opener() Opener { return f.opener }
+func (f *Engine) Opener() Opener { return f.opener }
--- a/internal/state/health.go
+++ b/internal/state/health.go
@@ -49,7 +49,7 @@
 
 // ShareChecks lets the proxy share health checks with its tier, where the plan says that it pays. Called again, it begins anew as another
 // member, with no tier.
-func (f *Front) ShareChecks(config SharedChecksConfig) {
+func (f *Engine) ShareChecks(config SharedChecksConfig) {
 	if f.checks != nil {
 		f.Deadlines.Clear(&f.checks.timer)
 	}
@@ -62,10 +62,10 @@
 }
 
 // SharesChecks tells whether checks are shared now.
-func (f *Front) SharesChecks() bool { return f.checks != nil && f.checks.node != nil }
+func (f *Engine) SharesChecks() bool { return f.checks != nil && f.checks.node != nil }
 
 // SetTier tells which proxies there are; this one is among them.
-func (f *Front) SetTier(tier []subset.Proxy) {
+func (f *Engine) SetTier(tier []subset.Proxy) {
 	s := f.checks
 	if s == nil {
 		return
@@ -77,14 +77,14 @@
 }
 
 // PlannerConnected tells of a new link to a planner.
-func (f *Front) PlannerConnected() {
+func (f *Engine) PlannerConnected() {
 	if f.SharesChecks() {
 		f.checks.node.PlannerConnected(f.clock.Now())
 	}
 }
 
 // ReceiveDigest takes a planner's digest. The error tells that it could not be read; it is counted.
-func (f *Front) ReceiveDigest(message []byte) error {
+func (f *Engine) ReceiveDigest(message []byte) error {
 	if !f.SharesChecks() {
 		return nil
 	}
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func (f *Front) wireClock() wire.Clock { return wire.Clock{Unix: f.clock.Unix(), Now: f.clock.Now()} }
+func (f *Engine) wireClock() wire.Clock { return wire.Clock{Unix: f.clock.Unix(), Now: f.clock.Now()} }
 
 // plan calculates whether checks are shared.
 func (s *sharedChecks) plan() healthcheck.Plan {
@@ -108,7 +108,7 @@
 }
 
 // replan begins or ends sharing, as the plan says.
-func (s *sharedChecks) replan(f *Front) {
+func (s *sharedChecks) replan(f *Engine) {
 	now, plan := f.clock.Now(), s.plan()
 	if plan.Shared == (s.node != nil) {
 		return
@@ -133,7 +133,7 @@
 }
 
 // listed takes over which databases the own list names. Two that share a number stay with own checks.
-func (s *sharedChecks) listed(f *Front) {
+func (s *sharedChecks) listed(f *Engine) {
 	if s == nil {
 		return
 	}
@@ -168,7 +168,7 @@
 }
 
 // tick carries out the node's orders.
-func (s *sharedChecks) tick(f *Front) {
+func (s *sharedChecks) tick(f *Engine) {
 	if s.node == nil {
 		return
 	}
@@ -193,7 +193,7 @@
 }
 
 // setUsed tells the node which databases this proxy sends requests to.
-func (s *sharedChecks) setUsed(f *Front, now time.Duration) {
+func (s *sharedChecks) setUsed(f *Engine, now time.Duration) {
 	var used []subset.DatabaseID
 	for _, number := range s.databases {
 		if m := f.members[s.members[number]]; m != nil && f.planned.InUse(now, logic.GroupID(m.group)) {
@@ -207,7 +207,7 @@
 }
 
 // tellVerdicts hands the router what has changed.
-func (s *sharedChecks) tellVerdicts(f *Front) {
+func (s *sharedChecks) tellVerdicts(f *Engine) {
 	for _, x := range s.node.TakeVerdicts(f.clock.Now()) {
 		f.Counters.Verdicts++
 		f.tell(func() { f.planned.Verdict(f.clock.Now(), s.members[x.Database], x.Verdict) })
@@ -215,7 +215,7 @@
 }
 
 // checked takes the outcome of a health check, whatever it was sent for.
-func (s *sharedChecks) checked(f *Front, m *member, r Reply) {
+func (s *sharedChecks) checked(f *Engine, m *member, r Reply) {
 	if s == nil || s.node == nil {
 		return
 	}
@@ -227,7 +227,7 @@
 }
 
 // served takes an answer to a request as evidence of life.
-func (s *sharedChecks) served(f *Front, m *member, r Reply) {
+func (s *sharedChecks) served(f *Engine, m *member, r Reply) {
 	if s != nil && s.node != nil && observation(r).Answered {
 		s.node.Served(f.clock.Now(), logic.ShortNumber(m.id))
 	}
--- a/internal/state/late.go
+++ b/internal/state/late.go
@@ -16,7 +16,7 @@
 type lateAnswers struct{ loggedAt time.Duration }
 
 // noteLate counts a request whose answer comes late, and logs what became of it meanwhile.
-func (f *Front) noteLate(q *request) {
+func (f *Engine) noteLate(q *request) {
 	now := f.clock.Now()
 	if now-q.until < lateAfter {
 		return
--- a/internal/state/late_test.go
+++ b/internal/state/late_test.go
@@ -9,7 +9,7 @@
 func TestAnswersBehindTheirTimeAreCounted(t *testing.T) {
 	b := newBench(t, 9)
 	in := func(wait time.Duration) {
-		id, err := b.f.Take(Request{Name: "r", Class: "any", Wait: wait, Command: command{}, Caller: &caller{}})
+		id, err := b.f.Submit(Request{Name: "r", Class: "any", Wait: wait, Command: command{}, Caller: &caller{}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -27,7 +27,7 @@
 // A request that waited in the loop's queue has that much less time: its attempts and its databases are told what its client has left.
 func TestTimeInTheQueueCounts(t *testing.T) {
 	b := newBench(t, 9)
-	if _, err := b.f.Take(Request{Class: "any", Wait: time.Second, At: b.now - 300*time.Millisecond, Command: command{}, Caller: &caller{}}); err != nil {
+	if _, err := b.f.Submit(Request{Class: "any", Wait: time.Second, ReceivedAt: b.now - 300*time.Millisecond, Command: command{}, Caller: &caller{}}); err != nil {
 		t.Fatal(err)
 	}
 	if left := b.req.Deadline - b.now; left != 700*time.Millisecond-wayHome {
--- a/internal/state/links.go
+++ b/internal/state/links.go
@@ -16,8 +16,8 @@
 // Opener opens connections to databases. It returns at once; the listener's methods are called later.
 type Opener interface {
 	Open(address string, group int, to Listener) Conn
-	// GivenUp counts connections that were closed in the making and hold their descriptor still.
-	GivenUp() int
+	// AbandonedDials counts connections that were closed in the making and hold their descriptor still.
+	AbandonedDials() int
 }
 
 // Conn is a connection to a database. Close may be called at any time, also before it is up.
@@ -26,32 +26,32 @@
 	Send(Command, time.Duration) error
 	// Probe asks for the load report.
 	Probe() error
-	// Quiet tells whether the next command may go out: nothing has come that belongs to none.
-	Quiet() bool
+	// Reusable tells whether the next command may go out: nothing has come that belongs to none.
+	Reusable() bool
 	Close()
 }
 
 // Listener is told what happens on a connection.
 type Listener interface {
-	Up()         // it may be sent the first command
-	Reply(Reply) // the answer to the last command
-	Down()       // it is lost, or never came up
-	Refused()    // it never came up: nothing listens at the address
-	Unopened()   // it never came up, for want of something on this machine: that says nothing of the database
-	Spoilt()     // what came is no answer; it is closed
+	Up()            // it may be sent the first command
+	Reply(Reply)    // the answer to the last command
+	Down()          // it is lost, or never came up
+	Refused()       // it never came up: nothing listens at the address
+	NotOpened()     // it never came up, for want of something on this machine: that says nothing of the database
+	ProtocolError() // what came is no answer; it is closed
 }
 
 // Reply is what a database answered.
 type Reply struct {
-	Result   logic.Result
-	Unfit    bool // an error that is the request's own fault
-	Body     []byte
-	Role     logic.Role
-	Position int64 // Unix milliseconds; 0 = not told
-	Load     Load
+	Result     logic.Result
+	BadRequest bool // an error that is the request's own fault
+	Body       []byte
+	Role       logic.Role
+	Position   int64 // Unix milliseconds; 0 = not told
+	Load       Load
 
 	// Stream is a value that is passed on in pieces; its answer counts from its first bytes, and its connection is of no more use.
-	Stream Source
+	Stream ValueStream
 
 	opened  time.Duration // since when its connection was up
 	refused bool          // it never came up, as nothing listens there
@@ -59,7 +59,7 @@
 
 // Load is a load report; Told is false where there was none.
 type Load struct {
-	Told     bool
+	Known    bool
 	Role     logic.Role
 	Position float64 // Unix seconds; 0 = not told
 	Queue    float64 // negative = not told
@@ -79,7 +79,7 @@
 // link is a connection to a database with what it is used for.
 type link struct {
 	Deadline
-	f       *Front
+	f       *Engine
 	m       *member
 	address string // that it was opened to: its member may be listed at another by now
 	conn    Conn
@@ -96,7 +96,7 @@
 }
 
 // close ends a connection and takes it out of all that it is in.
-func (f *Front) close(l *link) {
+func (f *Engine) close(l *link) {
 	if l.state == linkClosed {
 		return
 	}
@@ -120,10 +120,10 @@
 
 // rest makes a connection that is up free for the next attempt. One that waits for a connection of its own to
 // come up takes it; the other is kept for the next.
-func (f *Front) rest(l *link) {
+func (f *Engine) rest(l *link) {
 	m := l.m
 	l.state = linkIdle
-	if m.state != logic.Ready || l.address != m.address || !l.conn.Quiet() {
+	if m.state != logic.Ready || l.address != m.address || !l.conn.Reusable() {
 		f.close(l)
 		return
 	}
@@ -145,7 +145,7 @@
 }
 
 // closeWhenIdle closes an idle connection once it has been so for long, unless it is used before.
-func (f *Front) closeWhenIdle(l *link) {
+func (f *Engine) closeWhenIdle(l *link) {
 	if f.cfg.IdleClose <= 0 {
 		return
 	}
@@ -156,7 +156,7 @@
 }
 
 // idleFor gives how long an idle connection to a member is kept.
-func (f *Front) idleFor(m *member) time.Duration {
+func (f *Engine) idleFor(m *member) time.Duration {
 	idle := time.Duration(idlePart * float64(f.cfg.IdleClose))
 	if m.outsideSubset {
 		return min(idle, idleOutsideSubset)
@@ -172,7 +172,7 @@
 	}
 	f.Deadlines.Clear(&l.Deadline)
 	l.upAt = f.clock.Now()
-	if !l.conn.Quiet() { // more came than the welcome; nothing has been written
+	if !l.conn.Reusable() { // more came than the welcome; nothing has been written
 		l.fail(Reply{Result: logic.ConnectFailed})
 		return
 	}
@@ -223,16 +223,16 @@
 	f.end(a, r)
 }
 
-// Source is a value that comes in pieces.
-type Source interface {
-	Ended(func()) // is called when it has ended, one way or the other
+// ValueStream is a value that comes in pieces.
+type ValueStream interface {
+	OnEnd(func()) // is called when it has ended, one way or the other
 	Stop()        // ends it
 }
 
-// Streamer is a Caller that can take a value in pieces. Stream stands for Served.
-type Streamer interface {
-	Streams() bool
-	Stream(Source)
+// StreamingCaller is a Caller that can take a value in pieces. Stream stands for Served.
+type StreamingCaller interface {
+	AcceptsStream() bool
+	Stream(ValueStream)
 }
 
 // stream lets a value pass in pieces. The attempt has ended well with its first bytes; the connection is counted until the last.
@@ -240,11 +240,11 @@
 	f := l.f
 	l.state = linkStreaming
 	f.streams++
-	r.Stream.Ended(func() {
+	r.Stream.OnEnd(func() {
 		f.streams--
 		f.close(l)
 	})
-	if s, ok := a.req.caller.(Streamer); !ok || !s.Streams() {
+	if s, ok := a.req.caller.(StreamingCaller); !ok || !s.AcceptsStream() {
 		r.Stream.Stop()
 		r.Result, r.Stream = logic.Failed, nil
 	}
@@ -275,16 +275,16 @@
 	}
 }
 
-// Unopened implements Listener.
-func (l *link) Unopened() {
+// NotOpened implements Listener.
+func (l *link) NotOpened() {
 	if l.state == linkOpening {
-		l.f.Counters.NoRoom++
+		l.f.Counters.ConnectionsNotOpened++
 		l.fail(Reply{Result: logic.Moot})
 	}
 }
 
-// Spoilt implements Listener. The request may have run; a probe has told nothing, but its member lives.
-func (l *link) Spoilt() {
+// ProtocolError implements Listener. The request may have run; a probe has told nothing, but its member lives.
+func (l *link) ProtocolError() {
 	r := Reply{Result: logic.Reset}
 	switch {
 	case l.state == linkClosed || l.state == linkStreaming:
--- a/internal/state/logins/logins.go
+++ b/internal/state/logins/logins.go
@@ -10,13 +10,13 @@
 
 // Config bounds what logins may cost.
 type Config struct {
-	Free    int           // failures of one peer and user before there is a wait; default 5
-	Wait    time.Duration // after the next one, doubled with each further one; default 500 ms
-	MostOf  time.Duration // the longest wait; default 30 s
-	Fade    time.Duration // behind so long without a failure it is forgotten; default 60 s
-	Peers   int           // peers that are remembered; default 1,024
-	Checks  int           // costly checks that may be waiting or at work; default 16
-	PerPeer int           // of them, of one peer; default 4
+	FreeFailures     int           // failures of one peer and user before there is a wait; default 5
+	FirstWait        time.Duration // after the next one, doubled with each further one; default 500 ms
+	MaxWait          time.Duration // the longest wait; default 30 s
+	ForgetAfter      time.Duration // behind so long without a failure it is forgotten; default 60 s
+	MaxPeers         int           // peers that are remembered; default 1,024
+	MaxChecks        int           // costly checks that may be waiting or at work; default 16
+	MaxChecksPerPeer int           // of them, of one peer; default 4
 }
 
 // WithDefaults fills in what is not set.
@@ -31,19 +31,19 @@
 			*d = to
 		}
 	}
-	set(&c.Free, 5)
-	span(&c.Wait, 500*time.Millisecond)
-	span(&c.MostOf, 30*time.Second)
-	span(&c.Fade, time.Minute)
-	set(&c.Peers, 1024)
-	set(&c.Checks, 16)
-	set(&c.PerPeer, 4)
+	set(&c.FreeFailures, 5)
+	span(&c.FirstWait, 500*time.Millisecond)
+	span(&c.MaxWait, 30*time.Second)
+	span(&c.ForgetAfter, time.Minute)
+	set(&c.MaxPeers, 1024)
+	set(&c.MaxChecks, 16)
+	set(&c.MaxChecksPerPeer, 4)
 	return c
 }
 
-// Who is a peer, by its address without the port, and the user that it names. One application's host must not lock out
+// Login is a peer, by its address without the port, and the user that it names. One application's host must not lock out
 // another's, nor one user the others of a host.
-type Who struct{ Peer, User string }
+type Login struct{ Peer, User string }
 
 type record struct {
 	failures int
@@ -54,7 +54,7 @@
 // Guard is the state. It is not safe for concurrent use.
 type Guard struct {
 	cfg    Config
-	known  *simplelru.LRU[Who, *record] // those that failed, the least recently seen of which is forgotten
+	known  *simplelru.LRU[Login, *record] // those that failed, the least recently seen of which is forgotten
 	checks map[string]int
 	busy   int
 }
@@ -62,18 +62,18 @@
 // New makes a guard.
 func New(cfg Config) *Guard {
 	g := &Guard{cfg: cfg.WithDefaults(), checks: map[string]int{}}
-	g.known, _ = simplelru.NewLRU[Who, *record](g.cfg.Peers, nil)
+	g.known, _ = simplelru.NewLRU[Login, *record](g.cfg.MaxPeers, nil)
 	return g
 }
 
-// Try tells whether a login may be looked at now; otherwise how long its peer has to wait. A try that comes too early
+// Allow tells whether a login may be looked at now; otherwise how long its peer has to wait. A try that comes too early
 // doesn't lengthen the wait: a program that only retries gets in once its password has been mended.
-func (g *Guard) Try(now time.Duration, who Who) (wait time.Duration, ok bool) {
+func (g *Guard) Allow(now time.Duration, who Login) (wait time.Duration, ok bool) {
 	r, ok := g.known.Peek(who)
 	if !ok {
 		return 0, true
 	}
-	if now-r.last >= g.cfg.Fade && now >= r.until {
+	if now-r.last >= g.cfg.ForgetAfter && now >= r.until {
 		g.known.Remove(who)
 		return 0, true
 	}
@@ -84,38 +84,38 @@
 }
 
 // Failed notes a wrong password, or a user that there isn't: nobody is to tell one from the other by the waits.
-func (g *Guard) Failed(now time.Duration, who Who) {
+func (g *Guard) Failed(now time.Duration, who Login) {
 	r, ok := g.known.Get(who)
 	if !ok {
 		r = &record{}
 		g.known.Add(who, r)
 	}
-	if r.last > 0 && now-r.last >= g.cfg.Fade {
+	if r.last > 0 && now-r.last >= g.cfg.ForgetAfter {
 		r.failures = 0
 	}
 	r.failures, r.last = r.failures+1, now
-	if over := r.failures - g.cfg.Free; over > 0 {
-		wait := g.cfg.MostOf
+	if over := r.failures - g.cfg.FreeFailures; over > 0 {
+		wait := g.cfg.MaxWait
 		if over < 32 {
-			wait = min(g.cfg.Wait<<(over-1), g.cfg.MostOf)
+			wait = min(g.cfg.FirstWait<<(over-1), g.cfg.MaxWait)
 			if wait <= 0 {
-				wait = g.cfg.MostOf
+				wait = g.cfg.MaxWait
 			}
 		}
 		r.until = now + wait
 	}
 }
 
-// Passed notes a right password.
-func (g *Guard) Passed(who Who) { g.known.Remove(who) }
+// Succeeded notes a right password.
+func (g *Guard) Succeeded(who Login) { g.known.Remove(who) }
 
-// Known counts the peers that are remembered.
-func (g *Guard) Known() int { return g.known.Len() }
+// Len counts the peers that are remembered.
+func (g *Guard) Len() int { return g.known.Len() }
 
-// Check asks for a costly check on behalf of a peer. One that is let in is to be ended by Checked; others are turned away
+// StartCheck asks for a costly check on behalf of a peer. One that is let in is to be ended by Checked; others are turned away
 // at once, for they would wait behind all of those.
-func (g *Guard) Check(peer string) bool {
-	if g.busy >= g.cfg.Checks || g.checks[peer] >= g.cfg.PerPeer {
+func (g *Guard) StartCheck(peer string) bool {
+	if g.busy >= g.cfg.MaxChecks || g.checks[peer] >= g.cfg.MaxChecksPerPeer {
 		return false
 	}
 	g.busy++
@@ -123,8 +123,8 @@
 	return true
 }
 
-// Checked ends a costly check.
-func (g *Guard) Checked(peer string) {
+// EndCheck ends a costly check.
+func (g *Guard) EndCheck(peer string) {
 	g.busy--
 	if g.checks[peer]--; g.checks[peer] <= 0 {
 		delete(g.checks, peer)
--- a/internal/state/members.go
+++ b/internal/state/members.go
@@ -16,14 +16,14 @@
 
 // Entry is one database.
 type Entry struct {
-	Name    string // the same at every proxy
-	Address string
-	Zone    string
-	Group   int
-	State   logic.MemberState
-	Size    float64
-	Started time.Duration // Unix time; 0 = long ago
-	Begun   time.Duration // on the front's clock: a start that was seen, not told; 0 = none was
+	Name          string // the same at every proxy
+	Address       string
+	Zone          string
+	Group         int
+	State         logic.MemberState
+	Size          float64
+	Started       time.Duration // Unix time; 0 = long ago
+	ObservedStart time.Duration // on the front's clock: a start that was seen, not told; 0 = none was
 }
 
 // member is one database with the connections to it.
@@ -52,8 +52,8 @@
 	witness *link // an earlier one for probes, whose answer is overdue
 }
 
-// Listed takes in news of the platform's list.
-func (f *Front) Listed(l List) {
+// UpdateList takes in news of the platform's list.
+func (f *Engine) UpdateList(l List) {
 	f.told = f.told || l.Kind != logic.ListCached
 	if f.listFailing && l.Kind != logic.ListCached {
 		f.listFailing = false
@@ -67,7 +67,7 @@
 }
 
 // take puts a list into effect.
-func (f *Front) take(l List) {
+func (f *Engine) take(l List) {
 	out := logic.List{Kind: l.Kind, Entries: make([]logic.Member, 0, len(l.Entries))}
 	f.changesLogged = 0
 	defer f.logFurtherChanges()
@@ -95,33 +95,33 @@
 const mostChangesLogged = 50
 
 // logsChange counts a change of the list in hand, and tells whether it is logged by itself.
-func (f *Front) logsChange() bool {
+func (f *Engine) logsChange() bool {
 	f.changesLogged++
 	return f.changesLogged <= mostChangesLogged
 }
 
 // logFurtherChanges logs how many changes of the list in hand were not logged by themselves.
-func (f *Front) logFurtherChanges() {
+func (f *Engine) logFurtherChanges() {
 	if n := f.changesLogged - mostChangesLogged; n > 0 {
 		slog.Info("further databases listed or changed", "changes", n, "databases", len(f.names))
 	}
 }
 
 // ListFailed tells that a call failed or that a watch broke; the list in hand still holds.
-func (f *Front) ListFailed(why error) {
+func (f *Engine) ListFailed(why error) {
 	f.Counters.ListFailures++
 	if !f.listFailing {
 		f.listFailing = true
 		slog.Warn("discovery fails", "error", why)
 	}
 	if f.merged != nil {
-		f.merged.CatalogueFailed(f.clock.Now(), OwnList, why.Error())
+		f.merged.CatalogueFailed(f.clock.Now(), DiscoveryCatalogue, why.Error())
 	}
 	f.tell(func() { f.router.Members(f.clock.Now(), logic.List{Kind: logic.ListFailed}) })
 }
 
 // member finds the member of an entry, or makes it, and brings it up to date.
-func (f *Front) member(e Entry) *member {
+func (f *Engine) member(e Entry) *member {
 	m := f.names[e.Name]
 	if m == nil {
 		m = &member{id: f.memberID(e.Name), name: e.Name, state: e.State, links: map[*link]struct{}{}}
@@ -137,7 +137,7 @@
 		m.started, m.born = e.Started, place(f.clock, e.Started)
 		f.closeIdle(m) // they lead to the process before
 	}
-	m.born = max(m.born, e.Begun)
+	m.born = max(m.born, e.ObservedStart)
 	if m.address != e.Address && e.Address != "" {
 		m.address = e.Address
 		f.closeIdle(m) // they lead to where it was
@@ -147,7 +147,7 @@
 }
 
 // memberID makes an id of a name, so that who comes back after it was forgotten is known by the same one.
-func (f *Front) memberID(name string) logic.MemberID {
+func (f *Engine) memberID(name string) logic.MemberID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	id := logic.MemberID(h.Sum64())
@@ -158,7 +158,7 @@
 }
 
 // leave notes a change of a member's state. One that wants nothing new needs no idle connections.
-func (f *Front) leave(m *member, to logic.MemberState) {
+func (f *Engine) leave(m *member, to logic.MemberState) {
 	if m.state != to && f.logsChange() {
 		slog.Info("database changed", "name", m.name, "address", m.address, "from", stateName(m.state), "to", stateName(to))
 	}
@@ -177,13 +177,13 @@
 
 // sendable tells whether the list lets a new attempt go to a member. Where only a drain binds, one that is gone may be sent to, unless it
 // was draining before: its absence from a later list does not lift the drain.
-func (f *Front) sendable(m *member) bool {
+func (f *Engine) sendable(m *member) bool {
 	return m.state == logic.Ready || m.state == logic.Gone && f.cfg.Logic.DrainOnly && !m.drained
 }
 
 // forgetGone drops a member that is gone, once no connection to it is left: databases come and go under new names
 // all day. Where the list binds no one, only a whole list that leaves it out tells that it won't be sent to again.
-func (f *Front) forgetGone(m *member) {
+func (f *Engine) forgetGone(m *member) {
 	if m.state == logic.Gone && (!m.seen || !f.cfg.Logic.DrainOnly) && len(m.links) == 0 && m.probe == nil && m.witness == nil &&
 		f.names[m.name] == m {
 		delete(f.names, m.name)
@@ -221,7 +221,7 @@
 }
 
 // zone gives the number of a zone; an unknown one is nobody's own.
-func (f *Front) zone(name string) int {
+func (f *Engine) zone(name string) int {
 	for i, z := range f.cfg.Zones {
 		if z == name {
 			return i
@@ -230,7 +230,7 @@
 	return -1
 }
 
-func (f *Front) closeIdle(m *member) {
+func (f *Engine) closeIdle(m *member) {
 	for len(m.idle) > 0 {
 		f.close(m.idle[len(m.idle)-1])
 	}
--- a/internal/state/peers.go
+++ b/internal/state/peers.go
@@ -5,31 +5,31 @@
 	wire "havenproxy/internal/wire/peers"
 )
 
-// Teller carries a message to all peers. It returns at once, and may lose it.
-type Teller interface{ Tell(message []byte) }
+// PeerSender carries a message to all peers. It returns at once, and may lose it.
+type PeerSender interface{ SendToPeers(message []byte) }
 
-// Peers sets what carries messages to the other proxies; without, what there is to tell is dropped.
-func (f *Front) Peers(t Teller) { f.teller = t }
+// SetPeerSender sets what carries messages to the other proxies; without, what there is to tell is dropped.
+func (f *Engine) SetPeerSender(t PeerSender) { f.teller = t }
 
 // Tell implements logic.Actions.
-func (f *Front) Tell(facts []peers.Fact) {
+func (f *Engine) Tell(facts []peers.Fact) {
 	if f.teller == nil {
 		return
 	}
 	if f.message = wire.Append(f.message[:0], f.clock.Unix(), f.clock.Now(), facts); len(f.message) > 0 {
-		f.Counters.PeersTold++
-		f.teller.Tell(f.message)
+		f.Counters.PeerMessagesSent++
+		f.teller.SendToPeers(f.message)
 	}
 }
 
-// HeardPeer takes a message of a peer. The error tells that it could not be read; it is counted.
-func (f *Front) HeardPeer(message []byte) error {
+// ReceivePeerMessage takes a message of a peer. The error tells that it could not be read; it is counted.
+func (f *Engine) ReceivePeerMessage(message []byte) error {
 	facts, err := wire.Parse(f.facts[:0], message, f.clock.Unix(), f.clock.Now())
 	if f.facts = facts; err != nil {
-		f.Counters.PeersStrange++
+		f.Counters.PeerMessagesInvalid++
 		return err
 	}
-	f.Counters.PeersHeard++
+	f.Counters.PeerMessagesReceived++
 	f.tell(func() { f.router.Heard(f.clock.Now(), f.facts) })
 	return nil
 }
--- a/internal/state/place.go
+++ b/internal/state/place.go
@@ -9,7 +9,7 @@
 // How an attempt comes to its connection, up to its first byte; what becomes of the connection behind that is in links.go.
 
 // place puts an attempt on a connection: an idle one, or a new one.
-func (f *Front) place(a *attempt) {
+func (f *Engine) place(a *attempt) {
 	m := a.to
 	if l := f.takeIdle(m); l != nil {
 		f.write(l, a)
@@ -27,7 +27,7 @@
 
 // placeOnOpening puts an attempt for which no connection may be opened on one in the making that nobody waits for any more: its own attempt
 // has gone out on another that fell free. Where there is none, nothing has been sent, and its database is not to blame.
-func (f *Front) placeOnOpening(a *attempt) {
+func (f *Engine) placeOnOpening(a *attempt) {
 	unclaimed := func(l *link) bool { return l.attempt == nil && l.address == a.to.address }
 	i := slices.IndexFunc(a.to.opening, unclaimed)
 	if i < 0 {
@@ -39,9 +39,9 @@
 }
 
 // open starts a connection, if need be in the place of one that is idle elsewhere.
-func (f *Front) open(m *member) *link {
-	if f.links+f.opener.GivenUp() >= f.cfg.MaxLinks && !f.makeRoom() {
-		f.Counters.NoRoom++
+func (f *Engine) open(m *member) *link {
+	if f.links+f.opener.AbandonedDials() >= f.cfg.MaxConnections && !f.makeRoom() {
+		f.Counters.ConnectionsNotOpened++
 		return nil
 	}
 	f.links++
@@ -53,7 +53,7 @@
 }
 
 // write sends an attempt over a connection that is up.
-func (f *Front) write(l *link, a *attempt) {
+func (f *Engine) write(l *link, a *attempt) {
 	f.Deadlines.Clear(&l.Deadline)
 	if f.stale(a) || l.address != a.to.address {
 		l.attempt, a.link = nil, nil
--- a/internal/state/prepared/prepared.go
+++ b/internal/state/prepared/prepared.go
@@ -7,8 +7,8 @@
 
 // Statement is what a server says of a statement that it has prepared.
 type Statement struct {
-	ID   uint32 // by which the server knows it, on this connection
-	Rows bool   // its executions answer with rows
+	ID          uint32 // by which the server knows it, on this connection
+	ReturnsRows bool   // its executions answer with rows
 }
 
 // Cache holds the statements of one connection, the least recently used of which gives way. It is not safe for
@@ -28,8 +28,8 @@
 // Len tells how many statements are held.
 func (c *Cache) Len() int { return c.lru.Len() }
 
-// Use gives a statement that is prepared here, and notes its use.
-func (c *Cache) Use(text string) (st Statement, ok bool) { return c.lru.Get(text) }
+// Get gives a statement that is prepared here, and notes its use.
+func (c *Cache) Get(text string) (st Statement, ok bool) { return c.lru.Get(text) }
 
 // Put notes that a statement has been prepared. What has to give way for it is to be closed at the server.
 func (c *Cache) Put(text string, st Statement) (closes uint32, must bool) {
@@ -43,8 +43,8 @@
 	return closes, must
 }
 
-// Forget drops a statement that the server has forgotten.
-func (c *Cache) Forget(text string) { c.lru.Remove(text) }
+// Remove drops a statement that the server has forgotten.
+func (c *Cache) Remove(text string) { c.lru.Remove(text) }
 
 // Step is what has to happen next for an execution.
 type Step uint8
@@ -56,17 +56,17 @@
 	GiveUp              // it can't be prepared here: it was, and the server forgot it again
 )
 
-// Run is one execution on its way. A server that forgot its statement gets it once more, not twice: one that forgets at
+// Execution is one execution on its way. A server that forgot its statement gets it once more, not twice: one that forgets at
 // once would keep the request until its time is up. Neither preparing nor a forgotten statement has run anything.
-type Run struct {
+type Execution struct {
 	Text     string
 	prepared int
 	Sent     bool // EXECUTE's last byte was written, and no word came back that it was for nothing
 }
 
 // Next gives the next step on a connection.
-func (r *Run) Next(c *Cache) (Step, Statement) {
-	if st, ok := c.Use(r.Text); ok {
+func (r *Execution) Next(c *Cache) (Step, Statement) {
+	if st, ok := c.Get(r.Text); ok {
 		r.Sent = true
 		return Execute, st
 	}
@@ -77,8 +77,8 @@
 	return Prepare, Statement{}
 }
 
-// Forgotten notes that the server didn't know the statement: nothing has run.
-func (r *Run) Forgotten(c *Cache) {
-	c.Forget(r.Text)
+// StatementUnknown notes that the server didn't know the statement: nothing has run.
+func (r *Execution) StatementUnknown(c *Cache) {
+	c.Remove(r.Text)
 	r.Sent = false
 }
--- a/internal/state/prepared/prepared_test.go
+++ b/internal/state/prepared/prepared_test.go
@@ -15,13 +15,13 @@
 		open, next := map[uint32]bool{}, uint32(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			text := strconv.Itoa(rapid.IntRange(0, 8).Draw(t, "text"))
-			if st, ok := c.Use(text); ok {
+			if st, ok := c.Get(text); ok {
 				id := st.ID
 				if !open[id] {
 					t.Fatalf("%d was closed", id)
 				}
 				if rapid.IntRange(0, 5).Draw(t, "forget") == 0 {
-					c.Forget(text)
+					c.Remove(text)
 					delete(open, id) // the server doesn't know it
 				}
 				continue
@@ -43,7 +43,7 @@
 
 func TestAServerThatForgetsGetsItOnceMore(t *testing.T) {
 	c := New(4)
-	r := Run{Text: "a"}
+	r := Execution{Text: "a"}
 	if s, _ := r.Next(c); s != Prepare || r.Sent {
 		t.Fatal(s)
 	}
@@ -51,13 +51,13 @@
 	if s, st := r.Next(c); s != Execute || st.ID != 7 || !r.Sent {
 		t.Fatal(s, st)
 	}
-	r.Forgotten(c)
+	r.StatementUnknown(c)
 	if s, _ := r.Next(c); s != Prepare || r.Sent {
 		t.Fatal(s)
 	}
 	c.Put("a", Statement{ID: 8})
 	r.Next(c)
-	r.Forgotten(c)
+	r.StatementUnknown(c)
 	if s, _ := r.Next(c); s != GiveUp || r.Sent {
 		t.Fatal(s)
 	}
--- a/internal/state/prepared/room.go
+++ b/internal/state/prepared/room.go
@@ -2,32 +2,32 @@
 
 import "fmt"
 
-// Room bounds what all clients' prepared statements take together. It is not safe for concurrent use.
-type Room struct {
+// Budget bounds what all clients' prepared statements take together. It is not safe for concurrent use.
+type Budget struct {
 	most int
 	used int
 }
 
-// NewRoom makes one of so many bytes.
-func NewRoom(most int) *Room { return &Room{most: most} }
+// NewBudget makes one of so many bytes.
+func NewBudget(most int) *Budget { return &Budget{most: most} }
 
 // overText is what a statement takes beside its text, in bytes.
 const overText = 300
 
 // Share is one client's part of a room. A text that many have prepared is counted with each, though there may be one copy.
 type Share struct {
-	room        *Room
+	room        *Budget
 	most, bytes int // of statements, and of their bytes
 	n, used     int
 }
 
-// Share makes a client's part, for so many statements and bytes at most.
-func (r *Room) Share(statements, bytes int) Share {
+// NewShare makes a client's part, for so many statements and bytes at most.
+func (r *Budget) NewShare(statements, bytes int) Share {
 	return Share{room: r, most: statements, bytes: bytes}
 }
 
-// Fits tells why another statement can't be taken; nil = it can.
-func (s *Share) Fits(text string) error {
+// CheckFits tells why another statement can't be taken; nil = it can.
+func (s *Share) CheckFits(text string) error {
 	size := len(text) + overText
 	switch {
 	case s.n >= s.most:
@@ -40,11 +40,11 @@
 	return nil
 }
 
-// Take counts a statement, Drop no longer.
-func (s *Share) Take(text string) { s.count(text, 1) }
+// Add counts a statement, Drop no longer.
+func (s *Share) Add(text string) { s.count(text, 1) }
 
-// Drop ends what Take began.
-func (s *Share) Drop(text string) { s.count(text, -1) }
+// Remove ends what Take began.
+func (s *Share) Remove(text string) { s.count(text, -1) }
 
 func (s *Share) count(text string, n int) {
 	size := n * (len(text) + overText)
--- a/internal/state/prepared/shapes.go
+++ b/internal/state/prepared/shapes.go
@@ -6,11 +6,11 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Shapes keeps what databases said of the statements that they prepared, their parameters and columns, so that the next
+// MetadataCache keeps what databases said of the statements that they prepared, their parameters and columns, so that the next
 // client that prepares the same text has its answer at once: the same text from 500 clients is one question to a group, not
 // 500, and none of them has to wait for a database that is busy. A shape is kept for a while only: a table's columns may
 // change. Errors are not kept. It is not safe for concurrent use.
-type Shapes struct {
+type MetadataCache struct {
 	room, used int // bytes of texts and answers
 	keep       time.Duration
 	lru        *simplelru.LRU[shapeKey, shape]
@@ -29,20 +29,20 @@
 
 func (s *shape) size() int { return len(s.text) + len(s.answer) }
 
-// NewShapes keeps so many answers, one at least, so many bytes and so long, at most.
-func NewShapes(most, room int, keep time.Duration) *Shapes {
-	s := &Shapes{room: room, keep: keep}
+// NewMetadataCache keeps so many answers, one at least, so many bytes and so long, at most.
+func NewMetadataCache(most, room int, keep time.Duration) *MetadataCache {
+	s := &MetadataCache{room: room, keep: keep}
 	s.lru, _ = simplelru.NewLRU(max(most, 1), func(_ shapeKey, x shape) { s.used -= x.size() })
 	return s
 }
 
 // Len tells how many are kept, and how many bytes they hold.
-func (s *Shapes) Len() (entries, bytes int) { return s.lru.Len(), s.used }
+func (s *MetadataCache) Len() (entries, bytes int) { return s.lru.Len(), s.used }
 
-// Learn keeps a copy of the answer to a text's preparation in a group. One that would take more than a quarter of the room
+// Put keeps a copy of the answer to a text's preparation in a group. One that would take more than a quarter of the room
 // is not kept: it would drive out all that others use.
-func (s *Shapes) Learn(now time.Duration, group int, text string, answer []byte) {
-	s.Forget(group, text)
+func (s *MetadataCache) Put(now time.Duration, group int, text string, answer []byte) {
+	s.Remove(group, text)
 	x := shape{text, append([]byte(nil), answer...), now}
 	if x.size() > s.room/4 {
 		return
@@ -54,15 +54,15 @@
 	s.lru.Add(shapeKey{group, text}, x)
 }
 
-// Of gives what is known of a text in a group, valid until the next call, and the copy of the text that is kept.
-func (s *Shapes) Of(now time.Duration, group int, text string) (answer []byte, same string, ok bool) {
+// Get gives what is known of a text in a group, valid until the next call, and the copy of the text that is kept.
+func (s *MetadataCache) Get(now time.Duration, group int, text string) (answer []byte, same string, ok bool) {
 	x, ok := s.lru.Get(shapeKey{group, text})
 	if ok && now-x.at >= s.keep {
-		s.Forget(group, text)
+		s.Remove(group, text)
 		return nil, "", false
 	}
 	return x.answer, x.text, ok
 }
 
-// Forget drops what is known of a text: a database has just refused it.
-func (s *Shapes) Forget(group int, text string) { s.lru.Remove(shapeKey{group, text}) }
+// Remove drops what is known of a text: a database has just refused it.
+func (s *MetadataCache) Remove(group int, text string) { s.lru.Remove(shapeKey{group, text}) }
--- a/internal/state/prepared/shapes_test.go
+++ b/internal/state/prepared/shapes_test.go
@@ -12,7 +12,7 @@
 func TestShapesKeepTheirRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most, room := rapid.IntRange(1, 5).Draw(t, "most"), rapid.IntRange(40, 120).Draw(t, "room")
-		s := NewShapes(most, room, time.Second)
+		s := NewMetadataCache(most, room, time.Second)
 		type known struct {
 			answer string
 			at     time.Duration
@@ -24,17 +24,17 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				a := rapid.StringN(0, 30, 30).Draw(t, "answer")
-				s.Learn(now, 1, text, []byte(a))
+				s.Put(now, 1, text, []byte(a))
 				model[text] = known{a, now}
 			case 1:
-				s.Forget(1, text)
+				s.Remove(1, text)
 				delete(model, text)
 			default:
-				got, _, ok := s.Of(now, 1, text)
+				got, _, ok := s.Get(now, 1, text)
 				if m, was := model[text]; ok && (!was || string(got) != m.answer || now-m.at >= time.Second) {
 					t.Fatalf("%q of %q, learned %q", got, text, m.answer)
 				}
-				if _, _, other := s.Of(now, 2, text); other {
+				if _, _, other := s.Get(now, 2, text); other {
 					t.Fatal("another group's")
 				}
 			}
@@ -46,13 +46,13 @@
 }
 
 func TestALargeShapeIsNotKept(t *testing.T) {
-	s := NewShapes(10, 400, time.Second)
-	s.Learn(1, 1, "a", make([]byte, 50))
-	s.Learn(1, 1, "b", make([]byte, 200))
-	if _, _, ok := s.Of(1, 1, "b"); ok {
+	s := NewMetadataCache(10, 400, time.Second)
+	s.Put(1, 1, "a", make([]byte, 50))
+	s.Put(1, 1, "b", make([]byte, 200))
+	if _, _, ok := s.Get(1, 1, "b"); ok {
 		t.Error("half of the room in one")
 	}
-	if _, _, ok := s.Of(1, 1, "a"); !ok {
+	if _, _, ok := s.Get(1, 1, "a"); !ok {
 		t.Error("it drove out another")
 	}
 }
--- a/internal/state/probes.go
+++ b/internal/state/probes.go
@@ -22,18 +22,18 @@
 // scarce tells that there is no room for a connection for probes beside each for requests, or that few are to be open as the tier shares
 // health checks. Then one serves for both, one after the other: kept apart, those for probes would take most of what may be open, and
 // requests open and close the rest in turn.
-func (f *Front) scarce() bool { return 2*len(f.members) > f.cfg.MaxLinks || f.SharesChecks() }
+func (f *Engine) scarce() bool { return 2*len(f.members) > f.cfg.MaxConnections || f.SharesChecks() }
 
 // Probe implements logic.Actions. Probes have a connection of their own to each member, unless connections are scarce, and none is
 // shared at one time: a ping is to measure the way, not a handshake or a request before it.
-func (f *Front) Probe(to logic.MemberID) {
+func (f *Engine) Probe(to logic.MemberID) {
 	m := f.members[to]
 	if m == nil || m.probe != nil && m.probe.state != linkIdle {
 		f.probeUnsent(to)
 		return
 	}
 	f.Counters.Probes++
-	if m.probe != nil && !m.probe.conn.Quiet() {
+	if m.probe != nil && !m.probe.conn.Reusable() {
 		f.close(m.probe)
 	}
 	if m.probe == nil && f.scarce() {
@@ -55,11 +55,11 @@
 }
 
 // probeUnsent tells the router that a probe was never sent, which says nothing of its member.
-func (f *Front) probeUnsent(to logic.MemberID) {
+func (f *Engine) probeUnsent(to logic.MemberID) {
 	f.tell(func() { f.router.Probed(f.clock.Now(), logic.Probed{Member: to, Result: logic.Moot}) })
 }
 
-func (f *Front) ask(l *link) {
+func (f *Engine) ask(l *link) {
 	l.state, l.asked = linkBusy, f.clock.Now()
 	f.Deadlines.Set(&l.Deadline, l.asked+probeTimeout, l.overdue)
 	if err := l.conn.Probe(); err != nil {
@@ -80,7 +80,7 @@
 	f.probed(m, Reply{Result: logic.TimedOut}, 0)
 }
 
-func (f *Front) probed(m *member, r Reply, took time.Duration) {
+func (f *Engine) probed(m *member, r Reply, took time.Duration) {
 	if r.Result == logic.OK {
 		f.Counters.ProbesOK++
 	}
@@ -115,8 +115,8 @@
 	l.f.Deadlines.Set(&l.Deadline, l.f.clock.Now()+muteAfter, func() { l.testify(handover.Mute) })
 }
 
-func (f *Front) report(r Reply) logic.Report {
-	if !r.Load.Told {
+func (f *Engine) report(r Reply) logic.Report {
+	if !r.Load.Known {
 		return logic.Report{Queue: -1}
 	}
 	return logic.Report{Role: r.Load.Role, Position: positionOf(f.clock, r.Load.Position), Queue: r.Load.Queue}
--- a/internal/state/reduced.go
+++ b/internal/state/reduced.go
@@ -38,9 +38,9 @@
 	history []LevelChange
 }
 
-// Reduce puts levels of reduced service into force, or other ones in their place; nil ends them. A group stays at its
+// ConfigureLevels puts levels of reduced service into force, or other ones in their place; nil ends them. A group stays at its
 // level where the new ladder has one of that name. cfg must have passed its Check and is not changed any more.
-func (f *Front) Reduce(cfg *levels.Config) {
+func (f *Engine) ConfigureLevels(cfg *levels.Config) {
 	r := &f.reduced
 	now := f.clock.Now()
 	was := r.groups
@@ -68,7 +68,7 @@
 	f.Deadlines.Set(&r.timer, now+levelTick, f.levelTick)
 }
 
-func (f *Front) levelTick() {
+func (f *Engine) levelTick() {
 	r := &f.reduced
 	now := f.clock.Now()
 	f.Deadlines.Set(&r.timer, now+levelTick, f.levelTick)
@@ -96,7 +96,7 @@
 	}
 }
 
-func (f *Front) levelChanged(id logic.GroupID, from string, d levels.Decision) {
+func (f *Engine) levelChanged(id logic.GroupID, from string, d levels.Decision) {
 	r := &f.reduced
 	to := r.cfg.Ladder[d.Level].Name
 	f.Counters.LevelChanges++
@@ -108,7 +108,7 @@
 }
 
 // Levels gives each group's level, in the groups' order; none while levels are off.
-func (f *Front) Levels() (out []GroupLevel) {
+func (f *Engine) Levels() (out []GroupLevel) {
 	for _, id := range f.planned.Groups() {
 		if c := f.reduced.groups[id]; c != nil {
 			out = append(out, GroupLevel{int(id), c.Status(f.clock.Now())})
@@ -118,7 +118,7 @@
 }
 
 // LevelHistory gives the last changes of level, the oldest first.
-func (f *Front) LevelHistory() []LevelChange { return slices.Clone(f.reduced.history) }
+func (f *Engine) LevelHistory() []LevelChange { return slices.Clone(f.reduced.history) }
 
 // LevelClasses tells the controller what it needs to know of the deployment's classes.
 func LevelClasses(cfg logic.Config) (out []levels.Class) {
--- a/internal/state/reload.go
+++ b/internal/state/reload.go
@@ -8,7 +8,7 @@
 
 // Reload puts the classes of another configuration into force, and its limits on attempts and on hints. What is open goes on under the
 // rules by which it was taken; a class that is not named any more is unknown from now on.
-func (f *Front) Reload(cfg logic.Config) {
+func (f *Engine) Reload(cfg logic.Config) {
 	f.cfg.Logic.MaxAttempts, f.cfg.Logic.MayComeBack, f.cfg.Logic.MaxComeBack = cfg.MaxAttempts, cfg.MayComeBack, cfg.MaxComeBack
 	at := f.planned.Reload(cfg.Classes, cfg.MaxAttempts, cfg.MayComeBack, cfg.MaxComeBack)
 	classes := slices.Clone(f.cfg.Logic.Classes)
@@ -24,4 +24,4 @@
 }
 
 // Config gives what the router was told, as far as it is in force now.
-func (f *Front) Config() logic.Config { return f.cfg.Logic }
+func (f *Engine) Config() logic.Config { return f.cfg.Logic }
--- a/internal/state/room.go
+++ b/internal/state/room.go
@@ -30,7 +30,7 @@
 }
 
 // makeRoom closes the connection that has been idle for longest, or else the oldest of those that only prove something.
-func (f *Front) makeRoom() bool {
+func (f *Engine) makeRoom() bool {
 	l := f.idleLinks.oldest()
 	if l == nil {
 		l = f.witnesses.oldest()
@@ -44,10 +44,10 @@
 
 // takeIdle takes the connection to a member that was used last out of the idle ones; nil = none is idle. Whatever has come on it belongs to
 // no command, so one that is not quiet is closed.
-func (f *Front) takeIdle(m *member) *link {
+func (f *Engine) takeIdle(m *member) *link {
 	for n := len(m.idle); n > 0; n = len(m.idle) {
 		l := m.idle[n-1]
-		if !l.conn.Quiet() { // an answer's second copy, or its end
+		if !l.conn.Reusable() { // an answer's second copy, or its end
 			f.close(l)
 			continue
 		}
--- a/internal/state/shortage_test.go
+++ b/internal/state/shortage_test.go
@@ -31,16 +31,16 @@
 func TestAConnectionThatThisMachineCantOpenBlamesNobody(t *testing.T) {
 	b := newBench(t, 9)
 	b.f.Probe(b.id("one"))
-	b.conns[0].to.Unopened()
+	b.conns[0].to.NotOpened()
 	if b.probe.Result != logic.Moot || b.f.names["one"].silent || b.f.links != 0 {
 		t.Errorf("a check: result %d, silent %v, %d connections counted", b.probe.Result, b.f.names["one"].silent, b.f.links)
 	}
 	b.told = nil
 	b.take(&caller{})
-	b.conns[1].to.Unopened()
+	b.conns[1].to.NotOpened()
 	b.want("request", outcome(logic.Moot, false))
-	if b.f.Counters.NoRoom != 2 {
-		t.Errorf("%d connections are counted as without room, want 2", b.f.Counters.NoRoom)
+	if b.f.Counters.ConnectionsNotOpened != 2 {
+		t.Errorf("%d connections are counted as without room, want 2", b.f.Counters.ConnectionsNotOpened)
 	}
 }
 
@@ -48,9 +48,9 @@
 // has been idle for longest, and not one that was used since.
 func TestRoomIsMadeByTheConnectionThatIsIdleForLongest(t *testing.T) {
 	b := newBench(t, 2)
-	b.f.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "three", Address: "a:3", State: logic.Ready}}})
+	b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "three", Address: "a:3", State: logic.Ready}}})
 	send := func(name string) {
-		id, err := b.f.Take(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
+		id, err := b.f.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -78,14 +78,14 @@
 		t.Errorf("%d connections; closed: one %v; it was the next", len(b.conns), one.closed)
 	}
 	send("one")
-	if b.f.Counters.NoRoom != 1 {
+	if b.f.Counters.ConnectionsNotOpened != 1 {
 		t.Error("room was found though no connection is idle")
 	}
 }
 
 // Making room takes as long before thousands of databases as before a few: it allocates nothing and looks at one connection.
 func BenchmarkMakeRoom(b *testing.B) {
-	f, err := New(Config{Logic: logic.Config{Tick: 1, Classes: []logic.Class{{Name: "any", Aim: 1e9, Limit: 1e9}}}, MaxLinks: 1}, NewClock(), nil)
+	f, err := New(Config{Logic: logic.Config{Tick: 1, Classes: []logic.Class{{Name: "any", Aim: 1e9, Limit: 1e9}}}, MaxConnections: 1}, NewClock(), nil)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/state/show.go
+++ b/internal/state/show.go
@@ -13,20 +13,20 @@
 // What an operator may see. Each call makes a copy of what holds now; nothing here changes anything.
 
 // Now is the front's clock.
-func (f *Front) Now() time.Duration { return f.clock.Now() }
+func (f *Engine) Now() time.Duration { return f.clock.Now() }
 
 // ClassView is a class with what became of its requests.
 type ClassView struct {
 	logic.Class
-	Reads string
+	ReadMode string
 	ClassCounters
 }
 
 // ClassCounters count a class's requests since the start.
-type ClassCounters struct{ Taken, Served, Refused, Failed, Abandoned uint64 }
+type ClassCounters struct{ Received, Served, Refused, Failed, Abandoned uint64 }
 
 // Classes gives the deployment's classes in their order.
-func (f *Front) Classes() (out []ClassView) {
+func (f *Engine) Classes() (out []ClassView) {
 	for i, c := range f.cfg.Logic.Classes {
 		reads := [...]string{logic.Any: "any", logic.Bounded: "bounded", logic.Session: "session", logic.Fresh: "fresh", logic.Write: "write"}[c.Read]
 		out = append(out, ClassView{c, reads, f.perClass[i]})
@@ -40,13 +40,13 @@
 	Group         int
 	State         string // as listed
 	logic.MemberFacts
-	Role   string
-	Health string
-	Behind time.Duration // age of the newest position known; negative = none is known
+	Role        string
+	Health      string
+	PositionAge time.Duration // age of the newest position known; negative = none is known
 }
 
 // Databases gives all of them, by group and name.
-func (f *Front) Databases() (out []DatabaseView) {
+func (f *Engine) Databases() (out []DatabaseView) {
 	for _, m := range f.names {
 		out = append(out, f.view(m))
 	}
@@ -55,7 +55,7 @@
 }
 
 // Database gives one of them; false = the list has none of that name.
-func (f *Front) Database(name string) (DatabaseView, bool) {
+func (f *Engine) Database(name string) (DatabaseView, bool) {
 	m := f.names[name]
 	if m == nil {
 		return DatabaseView{}, false
@@ -63,8 +63,8 @@
 	return f.view(m), true
 }
 
-func (f *Front) view(m *member) DatabaseView {
-	d := DatabaseView{Name: m.name, Address: m.address, State: stateName(m.state), Health: "ok", Behind: -1}
+func (f *Engine) view(m *member) DatabaseView {
+	d := DatabaseView{Name: m.name, Address: m.address, State: stateName(m.state), Health: "ok", PositionAge: -1}
 	if facts, ok := f.planned.Member(f.clock.Now(), m.id); ok {
 		d.MemberFacts, d.Group = facts, int(facts.Group)
 		switch {
@@ -78,7 +78,7 @@
 			}
 		}
 		if facts.Position > 0 {
-			d.Behind = f.clock.Now() - facts.Position
+			d.PositionAge = f.clock.Now() - facts.Position
 		}
 	}
 	d.Role = roleNames[d.MemberFacts.Role]
@@ -87,20 +87,20 @@
 
 // SwitchView is a group's place with its primary, or a switch that has ended.
 type SwitchView struct {
-	Group    int
-	Phase    string // "ended" for one that has
-	For      time.Duration
-	Cause    string // of the switch; empty where there is none
-	From, To string // members' names; empty where not known
-	Rivals   int
-	Held     int
-	Refused  int
-	Bytes    int
-	Expected time.Duration // until a primary is back
+	Group                  int
+	Phase                  string // "ended" for one that has
+	Duration               time.Duration
+	Cause                  string // of the switch; empty where there is none
+	OldPrimary, NewPrimary string // members' names; empty where not known
+	Rivals                 int
+	HeldRequests           int
+	RefusedRequests        int
+	HeldBytes              int
+	ExpectedRemaining      time.Duration // until a primary is back
 }
 
 // Switches gives the groups' places in their order, and behind them the last switches that have ended, the newest first.
-func (f *Front) Switches() (out []SwitchView) {
+func (f *Engine) Switches() (out []SwitchView) {
 	now := f.clock.Now()
 	groups, ended := f.planned.Switches(now)
 	name := func(id uint64) string {
@@ -111,10 +111,10 @@
 	}
 	for _, id := range f.planned.Groups() {
 		s := groups[id]
-		v := SwitchView{Group: int(id), Phase: s.Phase.String(), For: now - s.Since, To: name(s.Primary), Rivals: s.Rivals, Held: s.Held,
-			Bytes: s.Bytes, Expected: s.Expected}
+		v := SwitchView{Group: int(id), Phase: s.Phase.String(), Duration: now - s.Since, NewPrimary: name(s.Primary), Rivals: s.Rivals, HeldRequests: s.Held,
+			HeldBytes: s.Bytes, ExpectedRemaining: s.Expected}
 		if s.Phase == handover.Unheard { // since the group is known, which is not what an operator asks
-			v.For = 0
+			v.Duration = 0
 		} else if s.Primary == 0 {
 			v.Cause = s.Cause.String()
 		}
@@ -122,17 +122,17 @@
 	}
 	slices.SortFunc(out, func(a, b SwitchView) int { return cmp.Compare(a.Group, b.Group) })
 	for _, s := range ended {
-		out = append(out, SwitchView{Group: s.Group, Phase: "ended", For: s.Length, Cause: s.Cause.String(), From: name(s.From), To: name(s.To),
-			Held: s.Held, Refused: s.Refused})
+		out = append(out, SwitchView{Group: s.Group, Phase: "ended", Duration: s.Length, Cause: s.Cause.String(), OldPrimary: name(s.From), NewPrimary: name(s.To),
+			HeldRequests: s.Held, RefusedRequests: s.Refused})
 	}
 	return out
 }
 
-// Tune puts another tuning of the routes into force.
-func (f *Front) Tune(t logic.Tuning) { f.planned.Tune(t) }
+// SetTuning puts another tuning of the routes into force.
+func (f *Engine) SetTuning(t logic.Tuning) { f.planned.Tune(t) }
 
-// Handover puts other settings for switches into force; they must have passed their Check.
-func (f *Front) Handover(cfg handover.Config) { f.planned.Handover(cfg) }
+// SetHandover puts other settings for switches into force; they must have passed their Check.
+func (f *Engine) SetHandover(cfg handover.Config) { f.planned.Handover(cfg) }
 
 // PoolView is the connections to a database.
 type PoolView struct {
@@ -142,7 +142,7 @@
 }
 
 // Pools gives the connections by database, by name.
-func (f *Front) Pools() (out []PoolView) {
+func (f *Engine) Pools() (out []PoolView) {
 	for _, m := range f.names {
 		p := PoolView{Name: m.name, Address: m.address, Idle: len(m.idle), Opening: len(m.opening), Probe: "none"}
 		for l := range m.links {
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -16,7 +16,7 @@
 type bench struct {
 	step  time.Duration // by which the wall clock was set since
 	t     *testing.T
-	f     *Front
+	f     *Engine
 	now   time.Duration
 	conns []*conn
 	told  []string
@@ -64,9 +64,9 @@
 func (b *bench) Heard(_ time.Duration, facts []peers.Fact) {
 	b.facts = append([]peers.Fact(nil), facts...)
 }
-func (b *bench) Watch(bool)   {}
-func (b *bench) Fetch()       {}
-func (b *bench) GivenUp() int { return b.givenUp }
+func (b *bench) Watch(bool)          {}
+func (b *bench) Fetch()              {}
+func (b *bench) AbandonedDials() int { return b.givenUp }
 func (b *bench) Open(address string, _ int, to Listener) Conn {
 	c := &conn{address: address, to: to}
 	b.conns = append(b.conns, c)
@@ -85,7 +85,7 @@
 
 func (c *conn) Send(Command, time.Duration) error { c.sent++; return c.err }
 func (c *conn) Probe() error                      { c.probes++; return c.err }
-func (c *conn) Quiet() bool                       { return !c.loud }
+func (c *conn) Reusable() bool                    { return !c.loud }
 func (c *conn) Close()                            { c.closed = true }
 
 type command struct{}
@@ -96,7 +96,7 @@
 
 func (c *caller) Served(body []byte)      { c.answers = append(c.answers, "served "+string(body)) }
 func (c *caller) Refused(d time.Duration) { c.answers = append(c.answers, "refused "+d.String()) }
-func (c *caller) Unfit([]byte)            { c.Failed() }
+func (c *caller) BadRequest([]byte)       { c.Failed() }
 func (c *caller) Failed()                 { c.answers = append(c.answers, "failed") }
 func (c *caller) want(t *testing.T, s ...string) {
 	t.Helper()
@@ -112,7 +112,7 @@
 	}
 	f, err := New(Config{Logic: logic.Config{Tick: time.Millisecond, Classes: []logic.Class{class("any", logic.Any),
 		class("session", logic.Session)}}, Zones: []string{"x", "y"}, IdleClose: 10 * time.Second,
-		ConnectTimeout: 250 * time.Millisecond, MaxLinks: links}, b, b)
+		ConnectTimeout: 250 * time.Millisecond, MaxConnections: links}, b, b)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 
 // take lets a request in and sends its first attempt to the first member.
 func (b *bench) take(c *caller) logic.RequestID {
-	id, err := b.f.Take(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c})
+	id, err := b.f.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -226,10 +226,10 @@
 	}
 	b.conns[2].to.Up()
 	b.told = nil
-	b.conns[2].to.Spoilt()
+	b.conns[2].to.ProtocolError()
 	b.f.Probe(b.id("two"))
 	b.conns[3].to.Up()
-	b.conns[3].to.Spoilt()
+	b.conns[3].to.ProtocolError()
 	b.want(outcome(logic.Reset, false), fmt.Sprintf("probed %d", logic.Failed))
 }
 
@@ -237,15 +237,15 @@
 func TestNameOfAnOpenRequestIsNotTakenAgain(t *testing.T) {
 	b := newBench(t, 9)
 	named := Request{Name: "n", Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}}
-	id, err := b.f.Take(named)
+	id, err := b.f.Submit(named)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = b.f.Take(named); err != ErrTwice {
+	if _, err = b.f.Submit(named); err != ErrDuplicateName {
 		t.Errorf("taken twice: %v", err)
 	}
 	b.f.Fail(id)
-	if _, err = b.f.Take(named); err != nil || len(b.f.named) != 1 {
+	if _, err = b.f.Submit(named); err != nil || len(b.f.named) != 1 {
 		t.Errorf("%v, %d names", err, len(b.f.named))
 	}
 }
@@ -255,7 +255,7 @@
 	b, c := newBench(t, 9), &caller{}
 	b.take(c)
 	b.conns[0].to.Up()
-	b.conns[0].to.Reply(Reply{Result: logic.Failed, Unfit: true})
+	b.conns[0].to.Reply(Reply{Result: logic.Failed, BadRequest: true})
 	c.want(t, "failed")
 	b.want("request", outcome(logic.Cancelled, true))
 }
@@ -265,7 +265,7 @@
 	b := newBench(t, 9)
 	id := b.take(&caller{})
 	b.conns[0].to.Up()
-	b.f.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Gone},
+	b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Gone},
 		{Name: "two", Address: "a:2", State: logic.Gone}}})
 	if len(b.f.members) != 1 || len(b.f.names) != 1 {
 		t.Errorf("%d members, %d names; one still owes an answer", len(b.f.members), len(b.f.names))
@@ -306,7 +306,7 @@
 func TestTheRouterIsNotCalledFromWithinItself(t *testing.T) {
 	b, c := newBench(t, 0), &caller{} // no room for any connection
 	b.onReq = func() { b.f.Send(1, b.id("one"), time.Second); b.f.Probe(b.id("one")) }
-	if _, err := b.f.Take(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c}); err != nil {
+	if _, err := b.f.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c}); err != nil {
 		t.Fatal(err)
 	}
 	b.want("request", outcome(logic.Moot, false), fmt.Sprintf("probed %d", logic.Moot))
@@ -380,7 +380,7 @@
 	b.pass(100 * time.Millisecond)
 	b.conns[0].to.Up()
 	b.pass(2 * time.Millisecond)
-	b.conns[0].to.Reply(Reply{Result: logic.OK, Load: Load{Told: true, Role: logic.RolePrimary, Position: 1767312000.05, Queue: -1}})
+	b.conns[0].to.Reply(Reply{Result: logic.OK, Load: Load{Known: true, Role: logic.RolePrimary, Position: 1767312000.05, Queue: -1}})
 	if p := b.probe; p.Took != 2*time.Millisecond || p.Report.Role != logic.RolePrimary || len(b.conns) != 1 {
 		t.Errorf("%+v", p)
 	}
@@ -424,15 +424,15 @@
 		case "end":
 			first.to.Down()
 		case "noise":
-			first.to.Spoilt()
+			first.to.ProtocolError()
 		case "never":
 			b.pass(witnessFor)
 		case "drain":
-			b.f.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Draining}}})
+			b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Draining}}})
 		}
 		b.told = nil
-		if !first.closed || b.f.Links() != 0 || b.f.names["one"].witness != nil {
-			t.Errorf("%s: closed %v, %d links", how, first.closed, b.f.Links())
+		if !first.closed || b.f.Connections() != 0 || b.f.names["one"].witness != nil {
+			t.Errorf("%s: closed %v, %d links", how, first.closed, b.f.Connections())
 		}
 	}
 }
@@ -441,11 +441,11 @@
 func TestAMemberThatReturnsIsKnownByTheSameID(t *testing.T) {
 	b := newBench(t, 9)
 	before := b.id("two")
-	b.f.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Gone}}})
+	b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Gone}}})
 	if b.f.names["two"] != nil {
 		t.Error("one that is gone is kept")
 	}
-	b.f.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Ready}}})
+	b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Ready}}})
 	if after := b.id("two"); after != before {
 		t.Errorf("id %v, was %v", after, before)
 	}
@@ -459,7 +459,7 @@
 	b.take(&caller{})
 	b.conns[0].to.Up()
 	b.conns[0].to.Reply(Reply{Result: logic.OK})
-	b.f.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Ready,
+	b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Ready,
 		Started: b.Unix() - time.Second}}})
 	if e := b.list.Entries; len(e) != 1 || e[0].ID != b.id("one") || e[0].Born != b.now-time.Second {
 		t.Errorf("%+v", b.list)
@@ -470,7 +470,7 @@
 	if b.take(&caller{}); b.conns[len(b.conns)-1].address != "a:9" {
 		t.Error("the old address is used")
 	}
-	b.f.Listed(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Draining}}})
+	b.f.UpdateList(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Draining}}})
 	if b.f.names["two"] != nil || b.list.Kind != logic.ListFull {
 		t.Error("who is left out of a whole list is still known")
 	}
@@ -482,17 +482,17 @@
 	for after, want := range map[time.Duration]time.Duration{0: 0, -time.Second: time.Second, time.Millisecond: 1} {
 		in := Request{Class: "session", Wait: time.Second, Session: 7, Command: command{}, Caller: &caller{}}
 		if after != 0 {
-			in.After = int64((b.Unix() + after) / time.Millisecond)
+			in.LastCommit = int64((b.Unix() + after) / time.Millisecond)
 		}
-		if b.f.Take(in); b.req.TokenAge != want || b.req.Session != 7 {
+		if b.f.Submit(in); b.req.TokenAge != want || b.req.Session != 7 {
 			t.Errorf("commit at now%+v: age %v, want %v", after, b.req.TokenAge, want)
 		}
 	}
-	b.f.Take(Request{Class: "any", Wait: time.Second, Session: 7, After: 1, Command: command{}, Caller: &caller{}})
+	b.f.Submit(Request{Class: "any", Wait: time.Second, Session: 7, LastCommit: 1, Command: command{}, Caller: &caller{}})
 	if b.req.Session != 0 || b.req.TokenAge != 0 || b.req.Deadline >= b.now+time.Second {
 		t.Errorf("%+v: the key names a session in classes that have them only", b.req)
 	}
-	if _, err := b.f.Take(Request{Class: "unheard"}); err == nil || b.f.Pending() != 4 {
+	if _, err := b.f.Submit(Request{Class: "unheard"}); err == nil || b.f.Pending() != 4 {
 		t.Error("an unknown class was taken")
 	}
 }
@@ -557,7 +557,7 @@
 	b.f.Probe(b.id("one"))
 	b.conns[0].to.Up()
 	b.conns[0].to.Reply(Reply{Result: logic.OK})
-	b.f.Take(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
+	b.f.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
 	b.f.Send(b.req.ID, b.id("one"), time.Second)
 	if len(b.conns) != 1 || b.conns[0].sent != 1 {
 		t.Fatalf("%d connections, %d requests on the first", len(b.conns), b.conns[0].sent)
--- a/internal/state/subset.go
+++ b/internal/state/subset.go
@@ -26,7 +26,7 @@
 
 // chooseSubset chooses which databases this proxy keeps connections to, of the groups that it uses: the primaries, and as many replicas as
 // give all of them even shares of the tier's reads.
-func (s *sharedChecks) chooseSubset(f *Front, now time.Duration) {
+func (s *sharedChecks) chooseSubset(f *Engine, now time.Duration) {
 	choice := subsetChoice{proxies: len(s.tier), used: s.usedGroups(f, now), databases: s.databasesOf(f, now)}
 	if choice.sameFrom(&s.choice) {
 		choice.kept = s.choice.kept
@@ -39,7 +39,7 @@
 }
 
 // useSubset puts a choice into effect, for members that have come since the last one too.
-func (s *sharedChecks) useSubset(f *Front, choice *subsetChoice) {
+func (s *sharedChecks) useSubset(f *Engine, choice *subsetChoice) {
 	used, kept := choice.used, choice.kept
 	inUse := make(map[subset.GroupID]struct{}, len(used))
 	for _, group := range used {
@@ -65,7 +65,7 @@
 }
 
 // setOutsideSubset tells whether connections to a member are to be closed soon where they are idle; those that are idle now, too.
-func (f *Front) setOutsideSubset(m *member, outside bool) {
+func (f *Engine) setOutsideSubset(m *member, outside bool) {
 	if m.outsideSubset == outside {
 		return
 	}
@@ -79,7 +79,7 @@
 }
 
 // dropSubset lets connections to all databases be kept again.
-func (s *sharedChecks) dropSubset(f *Front) {
+func (s *sharedChecks) dropSubset(f *Engine) {
 	s.choice = subsetChoice{}
 	for _, m := range f.members {
 		f.setOutsideSubset(m, false)
@@ -88,7 +88,7 @@
 }
 
 // usedGroups gives the groups that this proxy sends requests to.
-func (s *sharedChecks) usedGroups(f *Front, now time.Duration) (used []subset.Traffic) {
+func (s *sharedChecks) usedGroups(f *Engine, now time.Duration) (used []subset.Traffic) {
 	seen := map[int]struct{}{}
 	for _, number := range s.databases {
 		m := f.members[s.members[number]]
@@ -107,7 +107,7 @@
 }
 
 // databasesOf gives the databases of the own list with what the router knows of them, in their order.
-func (s *sharedChecks) databasesOf(f *Front, now time.Duration) []subset.Database {
+func (s *sharedChecks) databasesOf(f *Engine, now time.Duration) []subset.Database {
 	databases := make([]subset.Database, 0, len(s.databases))
 	for _, number := range s.databases {
 		m := f.members[s.members[number]]
--- a/internal/state/tier.go
+++ b/internal/state/tier.go
@@ -10,28 +10,28 @@
 
 // Gate says whether requests may be taken, where a tier of proxies goes by one policy.
 type Gate interface {
-	// May says what is to be done with a request that has been read by now, and under which policy it is taken.
-	May(now time.Duration) (policy uint64, verdict Verdict)
+	// Admit says what is to be done with a request that has been read by now, and under which policy it is taken.
+	Admit(now time.Duration) (policy uint64, verdict GateDecision)
 }
 
-// Policied is a caller that is told under which policy its request was taken.
-type Policied interface{ Under(policy uint64) }
+// PolicyRecorder is a caller that is told under which policy its request was taken.
+type PolicyRecorder interface{ SetPolicy(policy uint64) }
 
-// Verdict is what a Gate says.
-type Verdict uint8
+// GateDecision is what a Gate says.
+type GateDecision uint8
 
 // The verdicts.
 const (
-	GateOpen Verdict = iota
-	GateWait         // for a moment: the tier changes its policy
-	GateShut         // the tier's policy isn't known here
+	GateOpen   GateDecision = iota
+	GateWait                // for a moment: the tier changes its policy
+	GateClosed              // the tier's policy isn't known here
 )
 
 const (
-	// KeptMost is how long a request waits at the point of a change, or half of its own time. Behind it the request is refused at once: it never
+	// MaxGateWait is how long a request waits at the point of a change, or half of its own time. Behind it the request is refused at once: it never
 	// ran.
-	KeptMost = 100 * time.Millisecond
-	keptRoom = 4096 // requests that may wait
+	MaxGateWait = 100 * time.Millisecond
+	keptRoom    = 4096 // requests that may wait
 	// shutBack is when clients may come again to a proxy that can't know the tier's policy. It looks for a planner all the while.
 	shutBack = 200 * time.Millisecond
 )
@@ -53,29 +53,29 @@
 	until time.Duration
 }
 
-// Gate lets a tier say which requests are taken; nil ends that.
-func (f *Front) Gate(g Gate) { f.gated.gate = g }
+// SetGate lets a tier say which requests are taken; nil ends that.
+func (f *Engine) SetGate(g Gate) { f.gated.gate = g }
 
-// Revise says which number the proxy's own files bear; 0 = none. Requests that come from now on are taken under it.
-func (f *Front) Revise(number uint64) { f.gated.own = number }
+// SetRevision says which number the proxy's own files bear; 0 = none. Requests that come from now on are taken under it.
+func (f *Engine) SetRevision(number uint64) { f.gated.own = number }
 
-// Revised gives that number; empty = none.
-func (f *Front) Revised() string {
+// Revision gives that number; empty = none.
+func (f *Engine) Revision() string {
 	if f.gated.own == 0 {
 		return ""
 	}
 	return strconv.FormatUint(f.gated.own, 10)
 }
 
-// Kept counts the requests that wait at the point of a change.
-func (f *Front) Kept() int { return len(f.gated.kept) }
+// GateQueueLength counts the requests that wait at the point of a change.
+func (f *Engine) GateQueueLength() int { return len(f.gated.kept) }
 
 // pass asks the gate about a request. false = it is not to be taken now: it waits, or has been refused.
-func (f *Front) pass(q *request, in Request) bool {
+func (f *Engine) pass(q *request, in Request) bool {
 	g := &f.gated
 	// The clock is read here, behind the request's last byte: a proxy that stood still would otherwise take under a lease that has ended.
 	now := f.clock.Now()
-	policy, verdict := g.gate.May(now)
+	policy, verdict := g.gate.Admit(now)
 	switch {
 	case verdict == GateOpen:
 		g.policy = policy
@@ -85,8 +85,8 @@
 		}
 		return true
 	case verdict == GateWait && len(g.kept) < keptRoom:
-		f.Counters.Kept++
-		k := keptRequest{q, in, now + min(KeptMost, in.Wait/2)}
+		f.Counters.GateQueued++
+		k := keptRequest{q, in, now + min(MaxGateWait, in.Wait/2)}
 		if g.kept = append(g.kept, k); len(g.kept) == 1 || k.until < g.first {
 			g.first = k.until
 			f.Deadlines.Set(&g.timer, g.first, f.letGo)
@@ -98,20 +98,20 @@
 	return false
 }
 
-func (f *Front) shut() {
-	f.Counters.GateShut++
+func (f *Engine) shut() {
+	f.Counters.GateRefused++
 	if !f.gated.shut {
 		f.gated.shut = true
 		slog.Warn("requests are refused: the tier's policy can't be known here", "number", f.gated.policy)
 	}
 }
 
-// Passed tells that the gate may have opened: what waits is asked about again, in its order.
-func (f *Front) Passed() {
+// GateChanged tells that the gate may have opened: what waits is asked about again, in its order.
+func (f *Engine) GateChanged() {
 	g := &f.gated
 	for len(g.kept) > 0 {
 		k := g.kept[0]
-		policy, verdict := g.gate.May(f.clock.Now())
+		policy, verdict := g.gate.Admit(f.clock.Now())
 		if verdict == GateWait {
 			return
 		}
@@ -131,14 +131,14 @@
 }
 
 // letGo refuses what has waited for too long: never held back to spare a retry.
-func (f *Front) letGo() {
+func (f *Engine) letGo() {
 	g, now := &f.gated, f.clock.Now()
 	was := g.kept
 	g.kept, g.first = nil, 0
 	for _, k := range was {
 		switch {
 		case now >= k.until: // nobody hears it whose client has gone
-			f.answer(k.q.id, &f.Counters.Refused, refusedOf, func(c Caller) { c.Refused(KeptMost) })
+			f.answer(k.q.id, &f.Counters.Refused, refusedOf, func(c Caller) { c.Refused(MaxGateWait) })
 		default:
 			if g.kept = append(g.kept, k); g.first == 0 || k.until < g.first {
 				g.first = k.until
@@ -151,14 +151,14 @@
 }
 
 // enter hands a request that is taken to the router.
-func (f *Front) enter(q *request, in Request) {
+func (f *Engine) enter(q *request, in Request) {
 	if g := &f.gated; g.gate != nil || g.own > 0 {
 		under := g.own
 		if g.gate != nil {
 			under = g.policy
 		}
-		if c, ok := q.caller.(Policied); ok {
-			c.Under(under)
+		if c, ok := q.caller.(PolicyRecorder); ok {
+			c.SetPolicy(under)
 		}
 	}
 	class := q.class
@@ -169,7 +169,7 @@
 	}
 	switch f.cfg.Logic.Classes[class].Read { // elsewhere the key names no session
 	case logic.Session:
-		out.Session, out.TokenAge = logic.SessionID(in.Session), tokenAge(f.clock, in.After)
+		out.Session, out.TokenAge = logic.SessionID(in.Session), tokenAge(f.clock, in.LastCommit)
 	case logic.Write:
 		out.Session = logic.SessionID(in.Session)
 	}
--- a/internal/state/tier_test.go
+++ b/internal/state/tier_test.go
@@ -10,11 +10,11 @@
 // door is a gate that the test opens and shuts.
 type door struct {
 	policy  uint64
-	verdict Verdict
+	verdict GateDecision
 	asked   []time.Duration
 }
 
-func (d *door) May(now time.Duration) (uint64, Verdict) {
+func (d *door) Admit(now time.Duration) (uint64, GateDecision) {
 	d.asked = append(d.asked, now)
 	return d.policy, d.verdict
 }
@@ -25,10 +25,10 @@
 	policies []uint64
 }
 
-func (c *told) Under(policy uint64) { c.policies = append(c.policies, policy) }
+func (c *told) SetPolicy(policy uint64) { c.policies = append(c.policies, policy) }
 
 func (b *bench) come(c Caller, wait time.Duration) logic.RequestID {
-	id, err := b.f.Take(Request{Class: "any", Wait: wait, Command: command{}, Caller: c})
+	id, err := b.f.Submit(Request{Class: "any", Wait: wait, Command: command{}, Caller: c})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -39,23 +39,23 @@
 func TestWhatWaitsAtThePointIsTakenUnderTheNewPolicy(t *testing.T) {
 	b := newBench(t, 4)
 	g := &door{policy: 1}
-	b.f.Gate(g)
+	b.f.SetGate(g)
 	var a, c, gone told
 	b.come(&a, time.Second)
 	g.verdict = GateWait
 	b.come(&c, time.Second)
 	id := b.come(&gone, time.Second)
 	b.f.Abandon(id)
-	if b.f.Kept() != 2 || len(b.told) != 2 { // one request, and one that was abandoned
-		t.Fatalf("%d wait, the router was told %v", b.f.Kept(), b.told)
+	if b.f.GateQueueLength() != 2 || len(b.told) != 2 { // one request, and one that was abandoned
+		t.Fatalf("%d wait, the router was told %v", b.f.GateQueueLength(), b.told)
 	}
 	b.now += 30 * time.Millisecond
-	b.f.Passed() // not yet
+	b.f.GateChanged() // not yet
 	g.policy, g.verdict = 2, GateOpen
-	b.f.Passed()
+	b.f.GateChanged()
 	b.pass(time.Second)
-	if len(a.policies) != 1 || a.policies[0] != 1 || len(c.policies) != 1 || c.policies[0] != 2 || len(gone.policies)+b.f.Kept() != 0 {
-		t.Errorf("taken under %v, %v and %v, %d wait", a.policies, c.policies, gone.policies, b.f.Kept())
+	if len(a.policies) != 1 || a.policies[0] != 1 || len(c.policies) != 1 || c.policies[0] != 2 || len(gone.policies)+b.f.GateQueueLength() != 0 {
+		t.Errorf("taken under %v, %v and %v, %d wait", a.policies, c.policies, gone.policies, b.f.GateQueueLength())
 	}
 	c.want(t)
 	b.want("request", "abandoned", "request") // and none of who has gone
@@ -68,7 +68,7 @@
 func TestNothingWaitsLongAtThePoint(t *testing.T) {
 	b := newBench(t, 4)
 	g := &door{verdict: GateWait}
-	b.f.Gate(g)
+	b.f.SetGate(g)
 	var long, short, later told
 	b.come(&long, time.Second)
 	b.come(&short, 80*time.Millisecond)
@@ -83,8 +83,8 @@
 	b.pass(40 * time.Millisecond)
 	later.want(t, "refused 100ms")
 	g.verdict = GateOpen
-	b.f.Passed()
-	if len(long.policies)+len(short.policies)+len(later.policies)+b.f.Kept()+b.f.Pending() != 0 {
+	b.f.GateChanged()
+	if len(long.policies)+len(short.policies)+len(later.policies)+b.f.GateQueueLength()+b.f.Pending() != 0 {
 		t.Error("what was refused is taken")
 	}
 }
@@ -93,16 +93,16 @@
 func TestWithoutThePolicyNothingIsTaken(t *testing.T) {
 	b := newBench(t, 4)
 	g := &door{verdict: GateWait}
-	b.f.Gate(g)
+	b.f.SetGate(g)
 	var a, c told
 	b.come(&a, time.Second)
-	g.verdict = GateShut
-	b.f.Passed()
+	g.verdict = GateClosed
+	b.f.GateChanged()
 	a.want(t, "refused 200ms")
 	b.now += time.Minute // it stood still
 	b.come(&c, time.Second)
 	c.want(t, "refused 200ms")
-	if len(b.told) > 0 || g.asked[len(g.asked)-1] != b.now || b.f.Counters.GateShut != 2 || b.f.Pending() != 0 {
+	if len(b.told) > 0 || g.asked[len(g.asked)-1] != b.now || b.f.Counters.GateRefused != 2 || b.f.Pending() != 0 {
 		t.Errorf("the router was told %v; asked for %v at %v", b.told, g.asked, b.now)
 	}
 }
--- a/internal/state/unlisted_test.go
+++ b/internal/state/unlisted_test.go
@@ -23,7 +23,7 @@
 	}
 	before := heap()
 	for i := range 1_000_000 {
-		if _, err := f.Take(Request{Class: "any", Group: i + 1, Wait: 1e9, Caller: refused}); err != nil {
+		if _, err := f.Submit(Request{Class: "any", Group: i + 1, Wait: 1e9, Caller: refused}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -41,4 +41,4 @@
 func (r *refusals) Served([]byte)           {}
 func (r *refusals) Refused(_ time.Duration) { r.n++ }
 func (r *refusals) Failed()                 {}
-func (r *refusals) Unfit([]byte)            {}
+func (r *refusals) BadRequest([]byte)       {}
--- a/internal/trace/read.go
+++ b/internal/trace/read.go
@@ -13,11 +13,11 @@
 
 // Reader reads a trace, block by block.
 type Reader struct {
-	Head
+	Header
 	in    *bufio.Reader
 	block []byte
 
-	Blocks, Damaged int // read, and passed over
+	Blocks, CorruptBlocks int // read, and passed over
 }
 
 // NewReader reads the head.
@@ -25,7 +25,7 @@
 	r := &Reader{in: bufio.NewReaderSize(in, 64<<10)}
 	var m [8]byte
 	if _, err := io.ReadFull(r.in, m[:]); err != nil || [7]byte(m[:7]) != [7]byte(magic[:7]) {
-		return nil, ErrForm
+		return nil, ErrNotTrace
 	}
 	if m[7] != magic[7] {
 		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, m[7], magic[7])
@@ -34,15 +34,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("head: %w", err)
 	}
-	return r, r.Head.read(p)
+	return r, r.Header.read(p)
 }
 
-func (h *Head) read(p []byte) error {
+func (h *Header) read(p []byte) error {
 	began, n := binary.Varint(p)
 	if n <= 0 {
-		return ErrDamaged
+		return ErrCorrupt
 	}
-	h.Began, p = time.Duration(began)*time.Microsecond, p[n:]
+	h.StartedAt, p = time.Duration(began)*time.Microsecond, p[n:]
 	next := func() (uint64, bool) {
 		x, n := binary.Uvarint(p)
 		if n <= 0 {
@@ -53,19 +53,19 @@
 	}
 	sample, ok := next()
 	if !ok || sample > 1e6 || len(p) < 8 {
-		return ErrDamaged
+		return ErrCorrupt
 	}
 	h.Sample = float64(sample) / 1e6
-	copy(h.Salt[:], p)
+	copy(h.SaltID[:], p)
 	p = p[8:]
 	count, ok := next()
 	if !ok || count > mostNames {
-		return ErrDamaged
+		return ErrCorrupt
 	}
 	for range count {
 		length, ok := next()
 		if !ok || length > uint64(len(p)) {
-			return ErrDamaged
+			return ErrCorrupt
 		}
 		h.Classes, p = append(h.Classes, string(p[:length])), p[length:]
 	}
@@ -79,13 +79,13 @@
 	case err == io.EOF:
 		return nil, io.EOF
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return nil, ErrCut
+		return nil, ErrTruncated
 	case err != nil:
 		return nil, err
 	}
 	length := binary.LittleEndian.Uint32(head[:])
 	if length == 0 || length > mostBlock {
-		return nil, fmt.Errorf("%w: a block of %d bytes", ErrDamaged, length)
+		return nil, fmt.Errorf("%w: a block of %d bytes", ErrCorrupt, length)
 	}
 	if uint32(cap(r.block)) < length {
 		r.block = make([]byte, length)
@@ -93,27 +93,27 @@
 	r.block = r.block[:length]
 	if _, err := io.ReadFull(r.in, r.block); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) || err == io.EOF {
-			return nil, ErrCut
+			return nil, ErrTruncated
 		}
 		return nil, err
 	}
 	if crc32.Checksum(r.block, sum) != binary.LittleEndian.Uint32(head[4:]) {
-		r.Damaged++
-		return nil, ErrDamaged
+		r.CorruptBlocks++
+		return nil, ErrCorrupt
 	}
 	return r.block, nil
 }
 
-// Each gives all records in their order. A block that is damaged inside is passed over and counted; a trace that ends in the
+// ForEach gives all records in their order. A block that is damaged inside is passed over and counted; a trace that ends in the
 // middle of a block gives ErrCut behind all that was whole.
-func (r *Reader) Each(do func(Record) error) error {
+func (r *Reader) ForEach(do func(Record) error) error {
 	for {
-		damaged := r.Damaged
+		damaged := r.CorruptBlocks
 		p, err := r.frame()
 		switch {
 		case err == io.EOF:
 			return nil
-		case err != nil && r.Damaged > damaged: // its length stood, so the next one can be found
+		case err != nil && r.CorruptBlocks > damaged: // its length stood, so the next one can be found
 			continue
 		case err != nil:
 			return err
@@ -127,12 +127,12 @@
 
 // Trace is a whole one in memory.
 type Trace struct {
-	Head
+	Header
 	Records []Record
 	// What was found on reading: blocks that were passed over, whether the end is missing, and steps back in time.
-	Damaged  int
-	Cut      bool
-	Backward int
+	CorruptBlocks int
+	Truncated     bool
+	BackwardSteps int
 }
 
 // mostRecords bounds what Load takes in: some gigabytes.
@@ -157,9 +157,9 @@
 	}
 	t := &Trace{}
 	latest := time.Duration(0)
-	err = r.Each(func(x Record) error {
+	err = r.ForEach(func(x Record) error {
 		if x.At < latest {
-			t.Backward++
+			t.BackwardSteps++
 			x.At = latest
 		}
 		latest = x.At
@@ -168,9 +168,9 @@
 		}
 		return nil
 	})
-	t.Head, t.Damaged = r.Head, r.Damaged
-	if errors.Is(err, ErrCut) {
-		t.Cut, err = true, nil
+	t.Header, t.CorruptBlocks = r.Header, r.CorruptBlocks
+	if errors.Is(err, ErrTruncated) {
+		t.Truncated, err = true, nil
 	}
 	return t, err
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -41,20 +41,20 @@
 
 // The errors of a reader. What was read before one stands.
 var (
-	ErrForm    = errors.New("this is no trace")
-	ErrVersion = errors.New("a trace of another version")
-	ErrCut     = errors.New("the trace is cut off in the middle of a block")
-	ErrDamaged = errors.New("a block of the trace is damaged")
+	ErrNotTrace  = errors.New("this is no trace")
+	ErrVersion   = errors.New("a trace of another version")
+	ErrTruncated = errors.New("the trace is cut off in the middle of a block")
+	ErrCorrupt   = errors.New("a block of the trace is damaged")
 )
 
 var sum = crc32.MakeTable(crc32.Castagnoli)
 
-// Head is what holds for a whole trace.
-type Head struct {
-	Began   time.Duration // Unix time
-	Sample  float64       // part of the sessions that are in it
-	Classes []string
-	Salt    [8]byte // names the salt without telling it: only hashes of the same one can be held against each other
+// Header is what holds for a whole trace.
+type Header struct {
+	StartedAt time.Duration // Unix time
+	Sample    float64       // part of the sessions that are in it
+	Classes   []string
+	SaltID    [8]byte // names the salt without telling it: only hashes of the same one can be held against each other
 }
 
 // Record is one request.
@@ -104,10 +104,10 @@
 	return append(dst, payload...)
 }
 
-func (h *Head) append(dst []byte) []byte {
-	p := binary.AppendVarint(nil, int64(h.Began/time.Microsecond))
+func (h *Header) append(dst []byte) []byte {
+	p := binary.AppendVarint(nil, int64(h.StartedAt/time.Microsecond))
 	p = binary.AppendUvarint(p, uint64(h.Sample*1e6))
-	p = append(p, h.Salt[:]...)
+	p = append(p, h.SaltID[:]...)
 	p = binary.AppendUvarint(p, uint64(len(h.Classes)))
 	for _, c := range h.Classes {
 		p = binary.AppendUvarint(p, uint64(len(c)))
@@ -172,7 +172,7 @@
 	next := func() (uint64, error) {
 		x, n := binary.Uvarint(p)
 		if n <= 0 {
-			return 0, ErrDamaged
+			return 0, ErrCorrupt
 		}
 		p = p[n:]
 		return x, nil
@@ -180,7 +180,7 @@
 	for len(p) > 0 {
 		gap, n := binary.Varint(p)
 		if n <= 0 {
-			return ErrDamaged
+			return ErrCorrupt
 		}
 		p = p[n:]
 		var v [6]uint64 // class, group, session, flags, wait, size
@@ -191,7 +191,7 @@
 			}
 			if i == 2 && v[i] == uint64(len(sessions)) {
 				if len(p) < 8 {
-					return ErrDamaged
+					return ErrCorrupt
 				}
 				sessions = append(sessions, binary.LittleEndian.Uint64(p))
 				p = p[8:]
@@ -199,9 +199,9 @@
 		}
 		switch {
 		case v[0] >= uint64(classes):
-			return fmt.Errorf("%w: class %d of %d", ErrDamaged, v[0], classes)
+			return fmt.Errorf("%w: class %d of %d", ErrCorrupt, v[0], classes)
 		case v[2] >= uint64(len(sessions)), v[1] > 1<<31, v[4] > 1<<40, v[5] > 1<<40, gap > 1<<53, gap < -(1 << 53):
-			return ErrDamaged
+			return ErrCorrupt
 		case v[3]&^uint64(flagsKnown) != 0:
 			return fmt.Errorf("%w: flags %x", ErrVersion, v[3])
 		}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -74,14 +74,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := r.Each(func(x Record) error { got = append(got, x); return nil }); err != nil {
+		if err := r.ForEach(func(x Record) error { got = append(got, x); return nil }); err != nil {
 			t.Fatal(err)
 		}
 		if d := cmp.Diff(want, got); d != "" {
 			t.Fatal(d)
 		}
-		if r.Began != began || r.Sample != 1 || !cmp.Equal(r.Classes, classes) || r.Salt != salt.name() {
-			t.Fatalf("%+v", r.Head)
+		if r.StartedAt != began || r.Sample != 1 || !cmp.Equal(r.Classes, classes) || r.SaltID != salt.name() {
+			t.Fatalf("%+v", r.Header)
 		}
 	})
 }
@@ -90,7 +90,7 @@
 func TestCutOffAnywhere(t *testing.T) {
 	whole := written(Config{}, requests(2000)).Bytes()
 	all, err := ReadAll(bytes.NewReader(whole))
-	if err != nil || len(all.Records) != 2000 || all.Cut || all.Backward != 0 {
+	if err != nil || len(all.Records) != 2000 || all.Truncated || all.BackwardSteps != 0 {
 		t.Fatalf("%v, %d records", err, len(all.Records))
 	}
 	for n := 0; n < len(whole); n += 7 {
@@ -99,7 +99,7 @@
 			if part != nil && len(part.Records) > 0 {
 				t.Fatalf("cut at %d: %v behind %d records", n, err, len(part.Records))
 			}
-			if n > 200 || !errors.Is(err, ErrForm) && !errors.Is(err, ErrCut) && !errors.Is(err, ErrDamaged) && err.Error() != "head: EOF" {
+			if n > 200 || !errors.Is(err, ErrNotTrace) && !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) && err.Error() != "head: EOF" {
 				t.Fatalf("cut at %d: %v", n, err)
 			}
 			continue
@@ -110,7 +110,7 @@
 			}
 		}
 	}
-	if part, err := ReadAll(bytes.NewReader(whole[:len(whole)-1])); err != nil || !part.Cut || len(part.Records) == 0 || len(part.Records) == 2000 {
+	if part, err := ReadAll(bytes.NewReader(whole[:len(whole)-1])); err != nil || !part.Truncated || len(part.Records) == 0 || len(part.Records) == 2000 {
 		t.Errorf("%v, %+v", err, part)
 	}
 }
@@ -124,7 +124,7 @@
 		at := rapid.IntRange(0, len(b)-1).Draw(t, "at")
 		b[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		part, err := ReadAll(bytes.NewReader(b))
-		if err == nil && part.Damaged == 0 && !part.Cut {
+		if err == nil && part.CorruptBlocks == 0 && !part.Truncated {
 			t.Fatalf("byte %d turned, and nothing noticed", at)
 		}
 		if err == nil && len(part.Records) >= len(all.Records) {
@@ -139,33 +139,33 @@
 	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrVersion) || err.Error() != "a trace of another version: 9, this program reads 1" {
 		t.Error(err)
 	}
-	if _, err := ReadAll(bytes.NewReader([]byte("#!/bin/sh\nexit 0\n"))); !errors.Is(err, ErrForm) {
+	if _, err := ReadAll(bytes.NewReader([]byte("#!/bin/sh\nexit 0\n"))); !errors.Is(err, ErrNotTrace) {
 		t.Error(err)
 	}
 	// A class that the head doesn't name, and a flag that this version doesn't know.
-	for want, r := range map[error]Record{ErrDamaged: {Class: 2}} {
+	for want, r := range map[error]Record{ErrCorrupt: {Class: 2}} {
 		e := encoder{}
 		e.add(&r)
-		h := Head{Classes: classes}
+		h := Header{Classes: classes}
 		if _, err := ReadAll(bytes.NewReader(append(h.append(nil), e.take()...))); !errors.Is(err, want) {
 			t.Errorf("%+v: %v", r, err)
 		}
 	}
-	h := Head{Classes: classes}
+	h := Header{Classes: classes}
 	b = appendFrame(h.append(nil), []byte{0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 1 << 5, 0, 0})
 	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrVersion) {
 		t.Error(err)
 	}
 	// A block that claims a gigabyte is not believed.
 	b = append(h.append(nil), 0, 0, 0, 64, 1, 2, 3, 4)
-	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrDamaged) {
+	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrCorrupt) {
 		t.Error(err)
 	}
 }
 
 func TestTimeThatRunsBackwards(t *testing.T) {
 	got, err := ReadAll(&written(Config{}, []Record{{At: time.Second}, {At: 400 * time.Millisecond}, {At: 2 * time.Second}}).Buffer)
-	if err != nil || got.Backward != 1 || len(got.Records) != 3 || got.Records[1].At != time.Second || got.Records[2].At != 2*time.Second {
+	if err != nil || got.BackwardSteps != 1 || len(got.Records) != 3 || got.Records[1].At != time.Second || got.Records[2].At != 2*time.Second {
 		t.Errorf("%v, %+v", err, got)
 	}
 }
@@ -205,16 +205,16 @@
 	}
 
 	small := &sink{}
-	w := NewWriter(Config{Most: 40 << 10}, small, classes, began)
+	w := NewWriter(Config{MaxBytes: 40 << 10}, small, classes, began)
 	for i := range 40000 {
 		w.Add(Record{At: began + time.Duration(i)*time.Millisecond, Session: uint64(i)})
 	}
 	w.Close()
-	if small.Len() > 40<<10 || small.Len() < 30<<10 || !w.Full() || w.Kept+w.Dropped != 40000 || !small.closed {
-		t.Errorf("%d bytes, full %v, kept %d, dropped %d", small.Len(), w.Full(), w.Kept, w.Dropped)
+	if small.Len() > 40<<10 || small.Len() < 30<<10 || !w.Full() || w.Recorded+w.Dropped != 40000 || !small.closed {
+		t.Errorf("%d bytes, full %v, kept %d, dropped %d", small.Len(), w.Full(), w.Recorded, w.Dropped)
 	}
-	if got, err := ReadAll(&small.Buffer); err != nil || got.Cut || uint64(len(got.Records)) != w.Kept {
-		t.Errorf("%v, %d records of %d", err, len(got.Records), w.Kept)
+	if got, err := ReadAll(&small.Buffer); err != nil || got.Truncated || uint64(len(got.Records)) != w.Recorded {
+		t.Errorf("%v, %d records of %d", err, len(got.Records), w.Recorded)
 	}
 }
 
@@ -225,12 +225,12 @@
 	for i := range 400000 { // some 6 MB: far more than may wait
 		w.Add(Record{At: began + time.Duration(i)*time.Microsecond, Session: uint64(i)})
 	}
-	if w.Dropped == 0 || w.Kept == 0 || w.Kept > 2*waitingBytes/10 {
-		t.Errorf("kept %d, dropped %d", w.Kept, w.Dropped)
+	if w.Dropped == 0 || w.Recorded == 0 || w.Recorded > 2*waitingBytes/10 {
+		t.Errorf("kept %d, dropped %d", w.Recorded, w.Dropped)
 	}
 	close(slow.let)
-	if err := w.Close(); err != nil || w.Kept+w.Dropped != 400000 {
-		t.Errorf("%v: kept %d, dropped %d", err, w.Kept, w.Dropped)
+	if err := w.Close(); err != nil || w.Recorded+w.Dropped != 400000 {
+		t.Errorf("%v: kept %d, dropped %d", err, w.Recorded, w.Dropped)
 	}
 	broken := &sink{err: errors.New("no space left")}
 	w = NewWriter(Config{}, broken, classes, began)
@@ -252,13 +252,13 @@
 
 func BenchmarkAdd(b *testing.B) {
 	out := &discard{}
-	w := NewWriter(Config{Most: 1 << 40}, out, classes, began)
+	w := NewWriter(Config{MaxBytes: 1 << 40}, out, classes, began)
 	b.ReportAllocs()
 	for i := range b.N {
 		w.Add(Record{At: began + time.Duration(i)*20*time.Microsecond, Session: uint64(i * i % 5000), Wait: time.Second, Size: 120})
 	}
 	w.Close()
-	b.ReportMetric(float64(out.n)/float64(w.Kept), "bytes/record")
+	b.ReportMetric(float64(out.n)/float64(w.Recorded), "bytes/record")
 }
 
 type discard struct{ n int }
--- a/internal/trace/write.go
+++ b/internal/trace/write.go
@@ -11,10 +11,10 @@
 
 // Config says what is kept.
 type Config struct {
-	File   string
-	Sample float64 // part of the sessions; 1
-	Most   int64   // bytes of the file; 64 MiB
-	Salt   Salt    // nil = a new one that nobody ever sees
+	File     string
+	Sample   float64 // part of the sessions; 1
+	MaxBytes int64   // bytes of the file; 64 MiB
+	Salt     Salt    // nil = a new one that nobody ever sees
 }
 
 // WithDefaults fills in what is not set.
@@ -22,8 +22,8 @@
 	if c.Sample == 0 {
 		c.Sample = 1
 	}
-	if c.Most == 0 {
-		c.Most = 64 << 20
+	if c.MaxBytes == 0 {
+		c.MaxBytes = 64 << 20
 	}
 	if len(c.Salt) == 0 {
 		c.Salt = make([]byte, 32)
@@ -54,11 +54,11 @@
 	full   bool
 	owed   atomic.Int64 // bytes that wait for the disk
 
-	Kept    uint64 // records
-	Dropped uint64 // those of blocks that the disk was too slow for, or that came when the file was full
-	inBlock uint64
-	first   time.Duration // when the first record of the block in hand came
-	failed  atomic.Pointer[error]
+	Recorded uint64 // records
+	Dropped  uint64 // those of blocks that the disk was too slow for, or that came when the file was full
+	inBlock  uint64
+	first    time.Duration // when the first record of the block in hand came
+	failed   atomic.Pointer[error]
 }
 
 // Create begins a file in the place of a former one of that name, which may still be written to. now is Unix time.
@@ -78,9 +78,9 @@
 // NewWriter writes to what is given, and closes it in the end.
 func NewWriter(cfg Config, out io.WriteCloser, classes []string, now time.Duration) *Writer {
 	cfg = cfg.WithDefaults()
-	w := &Writer{cfg: cfg, began: now, blocks: make(chan []byte, waiting), out: out, left: cfg.Most, hasher: cfg.Salt.hasher()}
+	w := &Writer{cfg: cfg, began: now, blocks: make(chan []byte, waiting), out: out, left: cfg.MaxBytes, hasher: cfg.Salt.hasher()}
 	w.done.Go(w.run)
-	h := Head{Began: now, Sample: cfg.Sample, Classes: classes, Salt: cfg.Salt.name()}
+	h := Header{StartedAt: now, Sample: cfg.Sample, Classes: classes, SaltID: cfg.Salt.name()}
 	w.push(h.append(nil))
 	return w
 }
@@ -111,8 +111,8 @@
 // Sample is the part of the sessions that is kept.
 func (w *Writer) Sample() float64 { return w.cfg.Sample }
 
-// Most is how many bytes the file may hold.
-func (w *Writer) Most() int64 { return w.cfg.Most }
+// MaxBytes is how many bytes the file may hold.
+func (w *Writer) MaxBytes() int64 { return w.cfg.MaxBytes }
 
 // Full tells that the file has reached its size.
 func (w *Writer) Full() bool { return w.full }
@@ -152,7 +152,7 @@
 		}
 	}
 	if !w.full && w.push(b) {
-		w.Kept += n
+		w.Recorded += n
 	} else {
 		w.Dropped += n
 	}
