--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -130,12 +130,12 @@
 			highest, at = l.Level, l
 		}
 		var admits []string
-		for i, share := range l.Admit {
+		for i, share := range l.AdmittedShares {
 			if share < 1 {
 				admits = append(admits, fmt.Sprintf("%s=%.2f", classes[i].Name, share))
 			}
 		}
-		t.add(l.Group, l.Name, l.Level, now-l.Since, l.Pressure, or(strings.Join(admits, " "), "all"), l.Offered, l.Capacity, l.Lost, l.Changes, l.Dwell, or(l.Frozen, "-"), l.Why, l.Leave)
+		t.add(l.Group, l.Name, l.Level, now-l.Since, l.Pressure, or(strings.Join(admits, " "), "all"), l.OfferedWork, l.Capacity, l.LostShare, l.RecentChanges, l.Dwell, or(l.FrozenReason, "-"), l.Reason, l.ExitCondition)
 	}
 	if highest >= 0 {
 		t.add("all", at.Name, at.Level, now-at.Since, at.Pressure, "-", 0.0, 0.0, 0.0, 0, time.Duration(0), "-", fmt.Sprintf("the highest level, that of group %d", at.Group), "-")
--- a/internal/handover/api.go
+++ b/internal/handover/api.go
@@ -14,17 +14,17 @@
 
 // The roles of a member.
 const (
-	Unknown Role = iota
+	RoleUnknown Role = iota
 	Primary
 	Replica
 )
 
-// Presence is what the list says of a member.
-type Presence uint8
+// DiscoveryState is what the list says of a member.
+type DiscoveryState uint8
 
 // The kinds of presence.
 const (
-	Gone Presence = iota
+	Unlisted DiscoveryState = iota
 	Ready
 	Draining
 )
@@ -32,15 +32,15 @@
 // Phase is where a group stands with its primary.
 type Phase uint8
 
-// The phases. A switch begins with Drains or Lost and ends with Found; what was held leaves while it is Settling.
+// The phases. A switch begins with PhaseDraining or PhaseLost and ends with PhaseFound; what was held leaves while it is PhaseSettling.
 const (
-	Unheard  Phase = iota // no primary has been known yet
-	Steady                // there is one
-	Drains                // it drains, or has stepped down, and another is awaited
-	Lost                  // it is silent or gone
-	Electing              // it has been for longer than a blip takes
-	Found                 // another was named, or the same is back; no write has been served by it yet
-	Settling              // one has
+	PhaseUndiscovered Phase = iota // no primary has been known yet
+	PhaseSteady                    // there is one
+	PhaseDraining                  // it drains, or has stepped down, and another is awaited
+	PhaseLost                      // it is silent or gone
+	PhaseElecting                  // it has been for longer than a blip takes
+	PhaseFound                     // another was named, or the same is back; no write has been served by it yet
+	PhaseSettling                  // one has
 )
 
 // String names a phase.
@@ -51,12 +51,12 @@
 // Cause is why a group came to be without a primary. How long that lasts depends on it.
 type Cause uint8
 
-// The causes.
+// The causeCount.
 const (
-	Planned Cause = iota // a drain was told, or the primary itself says that it is a replica now
-	Silence              // it owes answers and gives none, or its connections end
-	Absence              // the list has it no more
-	causes
+	CausePlanned  Cause = iota // a drain was told, or the primary itself says that it is a replica now
+	CauseSilent                // it owes answers and gives none, or its connections end
+	CauseUnlisted              // the list has it no more
+	causeCount
 )
 
 // String names a cause.
@@ -112,8 +112,8 @@
 	}
 }
 
-// Check tells which setting makes no sense, after WithDefaults.
-func (c *Config) Check() error {
+// Validate tells which setting makes no sense, after WithDefaults.
+func (c *Config) Validate() error {
 	for name, p := range map[string]Prior{"drain": c.Drain, "death": c.Death} {
 		if p.From < 0 || p.To <= p.From {
 			return fmt.Errorf("handover: %s is %v to %v, the second must be above the first", name, p.From, p.To)
@@ -130,23 +130,23 @@
 
 // Status is where a group stands, to be shown.
 type Status struct {
-	Phase    Phase
-	Since    time.Duration // of the phase
-	Primary  uint64        // 0 = none
-	Rivals   int           // members beside it that claim to be primary
-	Held     int
-	Bytes    int
-	Expected time.Duration // until a primary is back, the middle of what is thought likely; 0 where there is one
-	Cause    Cause         // of the switch under way
+	Phase          Phase
+	Since          time.Duration // of the phase
+	Primary        uint64        // 0 = none
+	RivalPrimaries int           // members beside it that claim to be primary
+	Held           int
+	HeldBytes      int
+	ExpectedWait   time.Duration // until a primary is back, the middle of what is thought likely; 0 where there is one
+	Cause          Cause         // of the switch under way
 }
 
-// Switch is one that has ended.
-type Switch struct {
-	Group    int
-	Cause    Cause
-	From, To uint64
-	Began    time.Duration // on the clock that was handed in
-	Length   time.Duration // until a primary was known again
-	Held     int           // requests that were held for it, at most at once
-	Refused  int           // and those refused for want of a primary
+// Failover is one that has ended.
+type Failover struct {
+	Group                  int
+	Cause                  Cause
+	OldPrimary, NewPrimary uint64
+	StartedAt              time.Duration // on the clock that was handed in
+	Duration               time.Duration // until a primary was known again
+	MaxHeld                int           // requests that were held for it, at most at once
+	Refused                int           // and those refused for want of a primary
 }
--- a/internal/handover/doubt.go
+++ b/internal/handover/doubt.go
@@ -95,7 +95,7 @@
 }
 
 // end ends a doubt; was tells what it was.
-func (s *Seat) end(was bool) {
+func (s *Member) end(was bool) {
 	x, r := &s.suspect, &s.h.restarts
 	if !x.doubted {
 		return
@@ -107,8 +107,8 @@
 	}
 }
 
-// Doubt gives the probability that the member has started anew in the silences that the doubt is about.
-func (s *Seat) Doubt() float64 {
+// RestartProbability gives the probability that the member has started anew in the silences that the doubt is about.
+func (s *Member) RestartProbability() float64 {
 	x := &s.suspect
 	if !x.doubted {
 		return 0
@@ -117,9 +117,9 @@
 	return odds / (1 + odds)
 }
 
-// Cold tells since when a member is to be taken for a started one, where that is less than lasts ago, and how sure that is:
+// ColdSince tells since when a member is to be taken for a started one, where that is less than lasts ago, and how sure that is:
 // 1 where the start was told or is beyond doubt, 0 where there was none.
-func (s *Seat) Cold(now, lasts time.Duration) (from time.Duration, sure float64) {
+func (s *Member) ColdSince(now, lasts time.Duration) (from time.Duration, sure float64) {
 	x := &s.suspect
 	if x.doubted && now-x.back >= lasts {
 		x.doubted = false
@@ -127,7 +127,7 @@
 	if x.bornAt > 0 && now-x.bornAt < lasts {
 		from, sure = x.bornAt, 1
 	}
-	if p := s.Doubt(); p >= cleared {
+	if p := s.RestartProbability(); p >= cleared {
 		if from = max(from, x.back); p > certain {
 			p = 1
 		}
@@ -137,7 +137,7 @@
 }
 
 // born notes a start that the list tells of. Where it lies in the last silence it ends the doubt: it has started, then.
-func (s *Seat) born(now, at time.Duration, late bool) {
+func (s *Member) born(now, at time.Duration, late bool) {
 	x := &s.suspect
 	if x.bornAt = at; late {
 		s.h.lags.add(now - at)
@@ -147,57 +147,57 @@
 	}
 }
 
-// Refused notes a refused dial: nothing listened at the member's address, so its process has ended, or has not begun.
-func (s *Seat) Refused() {
+// NoteRefusedDial notes a refused dial: nothing listened at the member's address, so its process has ended, or has not begun.
+func (s *Member) NoteRefusedDial() {
 	if s.Silent {
 		s.suspect.refused = true
 	}
 }
 
-// Testimony is what became of a connection from before a silence.
-type Testimony uint8
+// ConnectionEvidence is what became of a connection from before a silence.
+type ConnectionEvidence uint8
 
 // The kinds of testimony.
 const (
-	Answered Testimony = iota // on it, so its process never ended
-	Ended                     // it was reset or closed: in the silence, or when it was used behind it
-	Mute                      // neither, though the member answers on others
+	ConnectionAnswered     ConnectionEvidence = iota // on it, so its process never ended
+	ConnectionEnded                                  // it was reset or closed: in the silence, or when it was used behind it
+	ConnectionUnresponsive                           // neither, though the member answers on others
 )
 
-// Testifies holds the end of a connection from before the silence, or that it is mute, against the doubt.
-func (s *Seat) Testifies(what Testimony) {
+// NoteConnectionEvidence holds the end of a connection from before the silence, or that it is mute, against the doubt.
+func (s *Member) NoteConnectionEvidence(what ConnectionEvidence) {
 	x := &s.suspect
 	switch {
-	case what == Ended && s.Silent:
+	case what == ConnectionEnded && s.Silent:
 		x.broken = true
 	case x.heardOf || !x.doubted: // one witness a silence
-	case what == Ended:
+	case what == ConnectionEnded:
 		x.odds, x.heardOf = x.odds+ended, true
-	case what == Mute:
+	case what == ConnectionUnresponsive:
 		x.odds, x.heardOf = x.odds+mute, true
 	}
 }
 
-// Kept notes an answer on a connection that was up at a time. If that was before the first silence in doubt, the process
+// NoteAnswerOnConnection notes an answer on a connection that was up at a time. If that was before the first silence in doubt, the process
 // never ended: it would have ended the connection. A start that was told is not in doubt, and stays.
-func (s *Seat) Kept(opened time.Duration) {
+func (s *Member) NoteAnswerOnConnection(opened time.Duration) {
 	if x := &s.suspect; opened > 0 && opened < x.since {
 		s.end(false)
 	}
 }
 
-// Unborn notes that the list works and has named no start since the doubt began: the longer so, the less the doubt.
-func (s *Seat) Unborn(now time.Duration) {
+// NoteNoListedStart notes that the list works and has named no start since the doubt began: the longer so, the less the doubt.
+func (s *Member) NoteNoListedStart(now time.Duration) {
 	if x := &s.suspect; x.doubted {
-		if x.listed = now; s.Doubt() < cleared {
+		if x.listed = now; s.RestartProbability() < cleared {
 			s.end(false)
 		}
 	}
 }
 
-// Placed holds the first position that a replica tells behind a silence against the doubt. One that is at the present went on,
+// NotePosition holds the first position that a replica tells behind a silence against the doubt. One that is at the present went on,
 // or has caught up already; one that stood still may have hung or started, and says nothing.
-func (s *Seat) Placed(now, position time.Duration) {
+func (s *Member) NotePosition(now, position time.Duration) {
 	x := &s.suspect
 	if !x.doubted || x.placed || s.Role != Replica || position <= 0 {
 		return
--- a/internal/handover/estimate.go
+++ b/internal/handover/estimate.go
@@ -21,14 +21,14 @@
 // more than other groups', new ones more than old ones; a prior from the settings fills in until there are some.
 type estimator struct {
 	cfg  *Config
-	seen [causes][]length
-	memo [causes]struct {
+	seen [causeCount][]length
+	memo [causeCount]struct {
 		group int
 		at    time.Duration
 		n     int // observations that it holds
 		x, w  []float64
 	}
-	counts [causes]int
+	counts [causeCount]int
 }
 
 type length struct {
@@ -62,7 +62,7 @@
 	m.group, m.at, m.n = group, now, e.counts[c]
 	m.x, m.w = m.x[:0], m.w[:0]
 	prior := e.cfg.Death
-	if c == Planned {
+	if c == CausePlanned {
 		prior = e.cfg.Drain
 	}
 	for i := range priorPoints {
--- a/internal/lab/scale/calculate/checks.go
+++ b/internal/lab/scale/calculate/checks.go
@@ -23,17 +23,17 @@
 		played = 2 * time.Minute
 	)
 	groups := max(in.Size.Databases/in.GroupSize, 1)
-	schedule := ping.Schedule{Proxies: in.Size.Proxies, Tick: tick, Tightest: tightestBound}
-	replica := ping.Member{Headless: s.headless, Members: in.GroupSize, Rate: float64(in.Statements) / float64(groups)}
+	schedule := ping.Schedule{Proxies: in.Size.Proxies, ClockResolution: tick, TightestMaxAge: tightestBound}
+	replica := ping.Member{NoPrimary: s.headless, GroupSize: in.GroupSize, RequestRate: float64(in.Statements) / float64(groups)}
 	checks := 0
 	for now := time.Hour; now < time.Hour+played; now += tick {
 		if s.bounded {
-			schedule.Bounded(now)
+			schedule.NoteBoundedRead(now)
 		}
-		replica.Asked = now
+		replica.LastRequest = now
 		if due, _ := schedule.Due(now, &replica); due {
 			checks++
-			replica.Probed, replica.Placed = now, now
+			replica.LastPing, replica.LastPosition = now, now
 		}
 	}
 	return float64(checks) / played.Seconds()
--- a/internal/lab/scale/calculate/messages.go
+++ b/internal/lab/scale/calculate/messages.go
@@ -80,7 +80,7 @@
 }
 
 func (m *Messages) encodeLists(in Inputs) error {
-	wait := in.ListBound / 2 // as limit.Calls.Watch has it
+	wait := in.ListBound / 2 // as in limit.CallSchedule.WatchTimeouts
 	m.ListCall = len(discovery.AppendRequest(nil, "10.101.202.33:8500", exampleNumber, wait))
 	list := discovery.List{Generation: exampleNumber}
 	empty, err := json.Marshal(&list)
--- a/internal/lab/virtual/list.go
+++ b/internal/lab/virtual/list.go
@@ -75,7 +75,7 @@
 	watch, life := n.watches, n.life
 	_, generation, _ := w.fleet.List(w.clock.now)
 	n.count(noDatabase, ListMessage, Sent, listCallBytes(generation))
-	wait, _ := (&limit.Calls{}).Watch()
+	wait, _ := (&limit.CallSchedule{}).WatchTimeouts()
 	w.at(w.clock.now+wait, func() {
 		if n.watches != watch || n.life != life || !n.watch {
 			return
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/lab/virtual/virtual_test.go
@@ -53,8 +53,8 @@
 
 func yardLevels(cfg Config) *levels.Config {
 	classes := state.LevelClasses(LogicConfig(cfg.Fleet, 1))
-	c := levels.Config{Classes: classes, Ladder: levels.Default(classes)}.WithDefaults()
-	if err := c.Check(); err != nil {
+	c := levels.Config{Classes: classes, Ladder: levels.DefaultLadder(classes)}.WithDefaults()
+	if err := c.Validate(); err != nil {
 		panic(err)
 	}
 	return &c
--- a/internal/lab/worksim/worksim.go
+++ b/internal/lab/worksim/worksim.go
@@ -293,7 +293,7 @@
 		last := time.Duration(math.MaxInt64) // when it may be sent
 		if o.TakenOver != nil && o.TakenOver.MayHaveBeenSent && !s.config.Takeover.DisabledGuards.Has(takeover.NoWindowCheck) {
 			// It must not be under way any more when its group forgets the key, by the judgement of one proxy.
-			last = s.repeats.ResendUntil(s.Now-o.TakenOver.SinceFirstSend, s.config.DeduplicationWindow, 10*s.config.MaxRunTime)
+			last = s.repeats.ResendDeadline(s.Now-o.TakenOver.SinceFirstSend, s.config.DeduplicationWindow, 10*s.config.MaxRunTime)
 		}
 		if s.rng.Float64() < s.config.HeldShare { // it waits for a primary
 			life := n.life
--- a/internal/levels/api.go
+++ b/internal/levels/api.go
@@ -86,8 +86,8 @@
 	return c
 }
 
-// Check tells what makes no sense in a configuration.
-func (c *Config) Check() error {
+// Validate tells what makes no sense in a configuration.
+func (c *Config) Validate() error {
 	if len(c.Ladder) == 0 {
 		return fmt.Errorf("levels: the ladder is empty")
 	}
@@ -123,9 +123,9 @@
 	return nil
 }
 
-// Default is the ladder that ships: classes of the highest worth are never shed; of the others, those go first that
+// DefaultLadder is the ladder that ships: classes of the highest worth are never shed; of the others, those go first that
 // earn least for the time that they may take (worth over aim, the one sign of their work that the settings hold).
-func Default(classes []Class) []Level {
+func DefaultLadder(classes []Class) []Level {
 	most := 0.0
 	for _, c := range classes {
 		most = max(most, c.Worth)
@@ -161,25 +161,25 @@
 
 // Decision is the outcome of a Tick.
 type Decision struct {
-	Level   int
-	Changed bool
-	From    int
-	Reason  string // one plain sentence with the figures behind it; only with Changed
+	Level         int
+	Changed       bool
+	PreviousLevel int
+	Reason        string // one plain sentence with the figures behind it; only with Changed
 }
 
 // Status is what an operator is shown of a group.
 type Status struct {
-	Level    int
-	Name     string
-	Pressure float64   // how much of the level's shedding is in use, 0 to 1
-	Admit    []float64 // share admitted now, by class
-	Since    time.Duration
-	Why      string
-	Leave    string  // what would have to happen to leave it
-	Offered  float64 // work asked for, in busy databases' worth
-	Capacity float64 // work that the group has been seen to do; 0 = not known yet
-	Lost     float64 // part of the protected worth
-	Frozen   string  // why no decision is made now, if so
-	Changes  int     // within the last minute
-	Dwell    time.Duration
+	Level          int
+	Name           string
+	Pressure       float64   // how much of the level's shedding is in use, 0 to 1
+	AdmittedShares []float64 // share admitted now, by class
+	Since          time.Duration
+	Reason         string
+	ExitCondition  string  // what would have to happen to leave it
+	OfferedWork    float64 // work asked for, in busy databases' worth
+	Capacity       float64 // work that the group has been seen to do; 0 = not known yet
+	LostShare      float64 // part of the protected worth
+	FrozenReason   string  // why no decision is made now, if so
+	RecentChanges  int     // within the last minute
+	Dwell          time.Duration
 }
--- a/internal/levels/controller.go
+++ b/internal/levels/controller.go
@@ -87,9 +87,9 @@
 		plan: make([]logic.Admission, n)}
 }
 
-// Plan gives the admissions in force; nil where everything is admitted. The slice is the controller's: it follows
+// Admissions gives the admissions in force; nil where everything is admitted. The slice is the controller's: it follows
 // each Tick.
-func (c *Controller) Plan() []logic.Admission {
+func (c *Controller) Admissions() []logic.Admission {
 	if c.level == 0 {
 		return nil
 	}
@@ -119,7 +119,7 @@
 	dt := now - c.last
 	c.last = now
 	if dt <= 0 {
-		return Decision{Level: c.level, From: c.level}
+		return Decision{Level: c.level, PreviousLevel: c.level}
 	}
 	if to, ok := c.held(); ok {
 		c.measure(f, dt)
@@ -130,7 +130,7 @@
 		if c.pressure = 1; d.Changed {
 			return d
 		}
-		return Decision{Level: c.level, From: c.level}
+		return Decision{Level: c.level, PreviousLevel: c.level}
 	}
 	if c.freeze(now, dt, f) {
 		// What is seen now says nothing of load. It starts again from what it knew; time in which nothing was seen is
@@ -146,12 +146,12 @@
 			c.unjudged = 0
 			return c.change(now, c.level-1, fmt.Sprintf("nothing could be judged for %v: %s", max(c.cfg.Blind, c.dwell), c.frozen))
 		}
-		return Decision{Level: c.level, From: c.level}
+		return Decision{Level: c.level, PreviousLevel: c.level}
 	}
 	c.unjudged = 0
 	c.measure(f, dt)
 	if now-c.startAt < startTime {
-		return Decision{Level: c.level, From: c.level}
+		return Decision{Level: c.level, PreviousLevel: c.level}
 	}
 	c.learn(dt)
 	c.press(dt)
@@ -161,7 +161,7 @@
 	if to, reason, ok := c.wayDown(now); ok {
 		return c.change(now, to, reason)
 	}
-	return Decision{Level: c.level, From: c.level}
+	return Decision{Level: c.level, PreviousLevel: c.level}
 }
 
 // held tells the level that the operator holds the group at.
@@ -235,9 +235,9 @@
 	return false
 }
 
-// Adopt goes on under another configuration: at the level of the same name, or, where that is gone, at the first that
+// Reconfigure goes on under another configuration: at the level of the same name, or, where that is gone, at the first that
 // admits no more than was admitted.
-func (c *Controller) Adopt(now time.Duration, cfg *Config) (Decision, *Controller) {
+func (c *Controller) Reconfigure(now time.Duration, cfg *Config) (Decision, *Controller) {
 	n := NewController(cfg, c.group, now)
 	old := c.cfg.Ladder[c.level]
 	to := -1
@@ -266,10 +266,10 @@
 	n.since, n.why, n.level, n.changes, n.changed = c.since, c.why, to, c.changes, c.changed
 	n.noPrimary, n.frozenUntil, n.frozen, n.leftAt = c.noPrimary, c.frozenUntil, c.frozen, c.leftAt
 	n.dwell = min(max(c.dwell, cfg.Dwell), cfg.DwellMost)
-	d := Decision{Level: to, From: c.level}
+	d := Decision{Level: to, PreviousLevel: c.level}
 	if cfg.Ladder[to].Name != old.Name {
 		d = n.change(now, to, fmt.Sprintf("level %q is gone from the operator's file; %q admits no more than it did", old.Name, cfg.Ladder[to].Name))
-		d.From = c.level
+		d.PreviousLevel = c.level
 	}
 	if n.pressure = 0; to > 0 {
 		n.pressure = 1 // the level below may be another: nothing is let in again by that alone
@@ -287,26 +287,26 @@
 
 // Status tells what an operator wants to know.
 func (c *Controller) Status(now time.Duration) Status {
-	s := Status{Level: c.level, Name: c.cfg.Ladder[c.level].Name, Since: c.since, Why: c.why, Offered: c.work(0), Capacity: c.total(),
-		Lost: c.loss(c.level + 1), Frozen: c.frozen, Changes: c.recent(now), Dwell: c.dwell}
+	s := Status{Level: c.level, Name: c.cfg.Ladder[c.level].Name, Since: c.since, Reason: c.why, OfferedWork: c.work(0), Capacity: c.total(),
+		LostShare: c.loss(c.level + 1), FrozenReason: c.frozen, RecentChanges: c.recent(now), Dwell: c.dwell}
 	s.Pressure = c.pressure
 	for i := range c.cfg.Classes {
-		s.Admit = append(s.Admit, c.share(i))
+		s.AdmittedShares = append(s.AdmittedShares, c.share(i))
 	}
 	_, pinned := c.held()
 	switch {
 	case pinned:
-		s.Leave = "the operator's file holds it"
+		s.ExitCondition = "the operator's file holds it"
 	case c.level == 0:
-		s.Leave = fmt.Sprintf("up when over %.0f%% of the protected worth is lost for %v", 100*c.cfg.Enter, c.cfg.EnterAfter)
+		s.ExitCondition = fmt.Sprintf("up when over %.0f%% of the protected worth is lost for %v", 100*c.cfg.Enter, c.cfg.EnterAfter)
 	case !c.fits():
-		s.Leave = fmt.Sprintf("the work to come back must fall from %.2f to %.2f core s/s, and losses from %.0f%% to %.0f%%, for %v",
+		s.ExitCondition = fmt.Sprintf("the work to come back must fall from %.2f to %.2f core s/s, and losses from %.0f%% to %.0f%%, for %v",
 			c.work(c.level-1), c.cfg.Margin*c.total(), 100*c.loss(c.level), 100*c.cfg.Leave, c.dwell)
 	case c.recent(now) >= c.cfg.Fall:
-		s.Leave = fmt.Sprintf("the work to come back fits; %d changes within a minute, it waits for less than %d", c.recent(now), c.cfg.Fall)
+		s.ExitCondition = fmt.Sprintf("the work to come back fits; %d changes within a minute, it waits for less than %d", c.recent(now), c.cfg.Fall)
 	default:
 		left := max(c.dwell-(now-max(c.fitSince, c.since)), 0)
-		s.Leave = fmt.Sprintf("the work to come back must fit for %v more", left.Round(100*time.Millisecond))
+		s.ExitCondition = fmt.Sprintf("the work to come back must fit for %v more", left.Round(100*time.Millisecond))
 	}
 	return s
 }
--- a/internal/levels/levels_test.go
+++ b/internal/levels/levels_test.go
@@ -26,7 +26,7 @@
 
 func shipped(c virtual.Config) levels.Config {
 	classes := state.LevelClasses(virtual.LogicConfig(c.Fleet, 1))
-	return levels.Config{Classes: classes, Ladder: levels.Default(classes)}.WithDefaults()
+	return levels.Config{Classes: classes, Ladder: levels.DefaultLadder(classes)}.WithDefaults()
 }
 
 // play plays the timber yards' fleet at a demand, a multiple of its capacity.
@@ -39,7 +39,7 @@
 	if change != nil {
 		change(&c, &l)
 	}
-	if err := l.Check(); err != nil {
+	if err := l.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	c.Levels = &l
@@ -179,7 +179,7 @@
 	s.run(10*time.Second, 0, three)
 	s.cold = 0.8
 	s.run(8*time.Second, 0.4, three)
-	if st := s.c.Status(s.now); st.Level != 0 || st.Frozen == "" {
+	if st := s.c.Status(s.now); st.Level != 0 || st.FrozenReason == "" {
 		t.Errorf("%+v", st)
 	}
 	s.cold = 0 // warm now, and the losses go on
@@ -195,7 +195,7 @@
 func TestLevelsDontMistakeTroubleForLittleCapacity(t *testing.T) {
 	s := newScript()
 	s.run(20*time.Second, 0, three)
-	offered := s.c.Status(s.now).Offered
+	offered := s.c.Status(s.now).OfferedWork
 	s.run(6*time.Second, 0.7, three)
 	if st := s.c.Status(s.now); st.Level == 0 || st.Capacity < 0.9*offered {
 		t.Errorf("level %q, a capacity of %.1f core s/s where %.1f were served a moment ago", st.Name, st.Capacity, offered)
@@ -225,8 +225,8 @@
 				}
 				return 1.3
 			}, 20*time.Second, nil)
-			if l := r.Levels[0]; len(r.Changes) == 0 || r.Changes[0].To == "core" || l.Capacity < 0.75*l.Offered/1.3 {
-				t.Errorf("seed %d, quiet %.1f: a capacity of %.1f core s/s with %.1f offered:%s", seed, quiet, l.Capacity, l.Offered, story(r))
+			if l := r.Levels[0]; len(r.Changes) == 0 || r.Changes[0].To == "core" || l.Capacity < 0.75*l.OfferedWork/1.3 {
+				t.Errorf("seed %d, quiet %.1f: a capacity of %.1f core s/s with %.1f offered:%s", seed, quiet, l.Capacity, l.OfferedWork, story(r))
 			}
 		}
 	}
@@ -316,9 +316,9 @@
 			t.Errorf("seed %d:%s", seed, story(storm))
 		}
 		a, b := calm.Levels[0], storm.Levels[0]
-		t.Logf("seed %d: asked for %.2f of %.2f without retries, %.2f of %.2f with", seed, a.Offered, a.Capacity, b.Offered, b.Capacity)
-		if b.Offered > 1.3*a.Offered {
-			t.Errorf("seed %d: retries count as demand: %.2f against %.2f core s/s", seed, b.Offered, a.Offered)
+		t.Logf("seed %d: asked for %.2f of %.2f without retries, %.2f of %.2f with", seed, a.OfferedWork, a.Capacity, b.OfferedWork, b.Capacity)
+		if b.OfferedWork > 1.3*a.OfferedWork {
+			t.Errorf("seed %d: retries count as demand: %.2f against %.2f core s/s", seed, b.OfferedWork, a.OfferedWork)
 		}
 	}
 }
@@ -354,7 +354,7 @@
 			}}}
 		})
 		sum := func(l state.GroupLevel) (s float64) {
-			for _, x := range l.Admit {
+			for _, x := range l.AdmittedShares {
 				s += x
 			}
 			return s
@@ -442,6 +442,6 @@
 	for b.Loop() {
 		now += 100 * time.Millisecond
 		k.Tick(now, f)
-		k.Plan()
+		k.Admissions()
 	}
 }
--- a/internal/levels/steps.go
+++ b/internal/levels/steps.go
@@ -86,7 +86,7 @@
 
 // change goes to a level.
 func (c *Controller) change(now time.Duration, to int, reason string) Decision {
-	d := Decision{Level: to, Changed: true, From: c.level, Reason: reason}
+	d := Decision{Level: to, Changed: true, PreviousLevel: c.level, Reason: reason}
 	c.pressure = 0
 	if to < c.level {
 		c.leftAt, c.pressure = now, 1
--- a/internal/limit/worth.go
+++ b/internal/limit/worth.go
@@ -8,9 +8,9 @@
 // meritMin is what the least class may fill all the same.
 const meritMin = 0.25
 
-// Merit gives the part of a database's limit that a request may fill: the less worth its class earns for its work (own) against the
+// LimitShare gives the part of a database's limit that a request may fill: the less worth its class earns for its work (own) against the
 // best class (the largest of all), the sooner it is shed, where limits are reached.
-func Merit(own float64, all []float64) float64 {
+func LimitShare(own float64, all []float64) float64 {
 	best := 0.0
 	for _, w := range all {
 		best = max(best, w)
@@ -36,8 +36,8 @@
 	return Quotas{most: most, sum: make([]float64, len(most)), last: make([]time.Duration, len(most))}
 }
 
-// Beyond notes a tenant's request, and tells whether it is beyond its quota; then it doesn't count.
-func (q *Quotas) Beyond(now time.Duration, tenant int) bool {
+// Exceeded notes a tenant's request, and tells whether it is beyond its quota; then it doesn't count.
+func (q *Quotas) Exceeded(now time.Duration, tenant int) bool {
 	if tenant < 0 || tenant >= len(q.most) || q.most[tenant] <= 0 {
 		return false
 	}
@@ -50,8 +50,8 @@
 	return false
 }
 
-// Back gives back what a request took that was refused.
-func (q *Quotas) Back(tenant int) {
+// Refund gives back what a request took that was refused.
+func (q *Quotas) Refund(tenant int) {
 	if tenant >= 0 && tenant < len(q.sum) {
 		q.sum[tenant]--
 	}
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -32,7 +32,7 @@
 	deadlines *state.Deadlines
 	front     *state.Front
 	address   string
-	times     limit.Calls // how long calls may take
+	times     limit.CallSchedule // how long calls may take
 	dial      func(address string, then func(netpoll.Connection, error))
 
 	conn       netpoll.Connection
@@ -54,7 +54,7 @@
 // logic.Config.ListBound has it.
 func NewDiscovery(loop *Loop, clock state.Clock, front *state.Front, address string, generation int64, bound time.Duration) *Discovery {
 	return &Discovery{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front, address: address,
-		generation: generation, times: limit.Calls{Bound: bound},
+		generation: generation, times: limit.CallSchedule{PropagationBound: bound},
 		dial: func(address string, then func(netpoll.Connection, error)) { connect(loop, address, dialTimeout, then) }}
 }
 
@@ -92,9 +92,9 @@
 
 func (d *Discovery) call() {
 	d.calling, d.calledAt = true, d.clock.Now()
-	wait, patient := d.times.Watch()
+	wait, patient := d.times.WatchTimeouts()
 	if d.first {
-		wait, patient = d.times.First()
+		wait, patient = d.times.FirstCallTimeouts()
 	}
 	d.out = discovery.AppendRequest(d.out[:0], d.address, d.generation, wait)
 	d.deadlines.Set(&d.timer, d.clock.Now()+patient, func() { d.failed(errors.New("no answer in time")) })
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -310,7 +310,7 @@
 	h.Search = c.Duration("search", 0, 5*time.Millisecond, 10*time.Second)
 	h.Margin = c.Duration("margin", 0, time.Millisecond, 10*time.Second)
 	h = h.WithDefaults()
-	if err := h.Check(); err != nil {
+	if err := h.Validate(); err != nil {
 		c.Errorf("", "%v", err)
 	}
 	p.file.Handover = h
@@ -466,7 +466,7 @@
 
 // full is the whole ladder: the file's own, or the one that ships.
 func (p *parser) full() []levels.Level {
-	ladder := levels.Default(p.classes)
+	ladder := levels.DefaultLadder(p.classes)
 	if len(p.ladder) == 0 {
 		return ladder
 	}
@@ -481,5 +481,5 @@
 	cfg.Classes, cfg.Ladder, cfg.Pin, cfg.Cap = p.classes, p.full(), p.pins, p.caps
 	cfg = cfg.WithDefaults()
 	p.file.Levels = &cfg
-	return cfg.Check()
+	return cfg.Validate()
 }
--- a/internal/ping/ping.go
+++ b/internal/ping/ping.go
@@ -18,103 +18,107 @@
 	thinPart  = 0.05
 	silentAsk = 4 * time.Second // a silent member is tried again so often, while requests come
 
-	// Quiet is how long a member may owe answers before it is pinged out of turn.
-	Quiet = 150 * time.Millisecond
+	// OverdueAfter is how long a member may owe answers before it is pinged out of turn.
+	OverdueAfter = 150 * time.Millisecond
 
-	// Rest is how long a member may go without a look.
-	Rest = 50 * time.Millisecond
+	// MaxDueDelay is how long a member may go without a look.
+	MaxDueDelay = 50 * time.Millisecond
 )
 
 // Schedule is one proxy's.
 type Schedule struct {
-	Proxies  int           // that ping the same databases
-	Tick     time.Duration // the grain of the proxy's clock
-	Tightest time.Duration // bound of any class; 0 = none has one
-	Shared   bool          // the tier shares health checks: see dueShared
-	Listed   int           // databases of the list
-	Room     int           // connections to databases that this proxy may have; 0 = any number
+	Proxies         int           // that ping the same databases
+	ClockResolution time.Duration // the grain of the proxy's clock
+	TightestMaxAge  time.Duration // bound of any class; 0 = none has one
+	SharedChecks    bool          // the tier shares health checks: see dueShared
+	ListedDatabases int           // databases of the list
+	MaxConnections  int           // connections to databases that this proxy may have; 0 = any number
 
 	bounded time.Duration // when the last bounded read came
 }
 
-// Bounded notes a bounded read.
-func (s *Schedule) Bounded(now time.Duration) { s.bounded = now }
+// NoteBoundedRead notes a bounded read.
+func (s *Schedule) NoteBoundedRead(now time.Duration) { s.bounded = now }
 
-// Shortest is the shortest period that positions may ask for.
-func (s *Schedule) Shortest() time.Duration {
-	if s.Tightest > 0 {
-		return min(every, max(s.Tightest/boundPart, s.Tick))
+// ShortestPeriod is the shortest period that positions may ask for.
+func (s *Schedule) ShortestPeriod() time.Duration {
+	if s.TightestMaxAge > 0 {
+		return min(every, max(s.TightestMaxAge/boundPart, s.ClockResolution))
 	}
 	return every
 }
 
-// Many tells of proxies in such number that pings at that period would take much of a database, a tenth of a core.
-func (s *Schedule) Many() bool { return float64(s.Proxies)/s.Shortest().Seconds() > 10*thinAll }
+// ExcessiveProxies tells of proxies in such number that pings at that period would take much of a database, a tenth of a core.
+func (s *Schedule) ExcessiveProxies() bool {
+	return float64(s.Proxies)/s.ShortestPeriod().Seconds() > 10*thinAll
+}
 
-// OnNeed tells whether databases that nobody asks for are not checked at all: a check takes a connection, and there is not room for one to each.
-func (s *Schedule) OnNeed() bool { return s.Room > 0 && s.Listed > s.Room }
+// OnDemand tells whether databases that nobody asks for are not checked at all: a check takes a connection, and there is not room for one to each.
+func (s *Schedule) OnDemand() bool {
+	return s.MaxConnections > 0 && s.ListedDatabases > s.MaxConnections
+}
 
 // Period is how old a replica's position may get.
 func (s *Schedule) Period(now time.Duration) time.Duration {
-	if s.Tightest > 0 && now-s.bounded < every {
-		return s.Shortest()
+	if s.TightestMaxAge > 0 && now-s.bounded < every {
+		return s.ShortestPeriod()
 	}
 	return every
 }
 
-// Thin tells whether pings at that period are too many for a group's members and this proxy's requests to it, in a second.
-func (s *Schedule) Thin(now time.Duration, members int, rate float64) bool {
+// ThinTraffic tells whether pings at that period are too many for a group's members and this proxy's requests to it, in a second.
+func (s *Schedule) ThinTraffic(now time.Duration, members int, rate float64) bool {
 	pings := 1 / s.Period(now).Seconds()
-	return (pings*float64(s.Proxies) > thinAll || s.OnNeed()) && pings*float64(members) > thinPings*rate
+	return (pings*float64(s.Proxies) > thinAll || s.OnDemand()) && pings*float64(members) > thinPings*rate
 }
 
 // Member is what there is to know of one.
 type Member struct {
-	Probed   time.Duration // the last ping; 0 = never
-	First    time.Duration // when it is to be pinged first, unless it is known by then
-	Known    bool          // its role or position, by a peer
-	Placed   time.Duration // the last news of its position
-	Owes     bool          // answers, for longer than they usually take
-	Silent   bool
-	Primary  bool          // as it last said: it stands at the present
-	Headless bool          // its group has no primary
-	Search   time.Duration // between pings while one is looked for; 0 = that is not so
-	Members  int           // of its group
-	Rate     float64       // requests a second to its group
-	Asked    time.Duration // the last of them
-	Ejected  bool          // dead by the word of a quorum
+	LastPing       time.Duration // the last ping; 0 = never
+	FirstPingAt    time.Duration // when it is to be pinged first, unless it is known by then
+	Known          bool          // its role or position, by a peer
+	LastPosition   time.Duration // the last news of its position
+	AnswerOverdue  bool          // answers, for longer than they usually take
+	Silent         bool
+	Primary        bool          // as it last said: it stands at the present
+	NoPrimary      bool          // its group has no primary
+	SearchInterval time.Duration // between pings while one is looked for; 0 = that is not so
+	GroupSize      int           // of its group
+	RequestRate    float64       // requests a second to its group
+	LastRequest    time.Duration // the last of them
+	Ejected        bool          // dead by the word of a quorum
 }
 
 // Due tells whether a member is to be pinged now, and until when it need not be looked at unless something happens to it.
 func (s *Schedule) Due(now time.Duration, m *Member) (due bool, until time.Duration) {
-	if s.Shared {
+	if s.SharedChecks {
 		return s.dueShared(now, m)
 	}
-	since, period, steady, owes := now-m.Probed, s.Period(now), every, m.Owes
+	since, period, steady, owes := now-m.LastPing, s.Period(now), every, m.AnswerOverdue
 	if m.Primary {
 		period = every
 	}
-	if m.Probed == 0 && m.Search == 0 && (m.Known || now < m.First) {
-		return false, max(m.First, now+Rest)
+	if m.LastPing == 0 && m.SearchInterval == 0 && (m.Known || now < m.FirstPingAt) {
+		return false, max(m.FirstPingAt, now+MaxDueDelay)
 	}
-	if m.Probed == 0 && m.Search == 0 && !m.Owes && s.OnNeed() && s.Thin(now, m.Members, m.Rate) {
-		return false, now + Rest // who asks for its group has it checked
+	if m.LastPing == 0 && m.SearchInterval == 0 && !m.AnswerOverdue && s.OnDemand() && s.ThinTraffic(now, m.GroupSize, m.RequestRate) {
+		return false, now + MaxDueDelay // who asks for its group has it checked
 	}
-	if m.Probed == 0 || m.Search > 0 && since >= m.Search && !m.Silent {
+	if m.LastPing == 0 || m.SearchInterval > 0 && since >= m.SearchInterval && !m.Silent {
 		return true, 0
 	}
-	if s.Thin(now, m.Members, m.Rate) {
-		owes = owes || m.Silent && since >= silentAsk && m.Asked > m.Probed
-		steady = time.Duration(min(float64(m.Members)/(thinPart*m.Rate), 3600) * 1e9)
+	if s.ThinTraffic(now, m.GroupSize, m.RequestRate) {
+		owes = owes || m.Silent && since >= silentAsk && m.LastRequest > m.LastPing
+		steady = time.Duration(min(float64(m.GroupSize)/(thinPart*m.RequestRate), 3600) * 1e9)
 		period = steady
 	}
-	if owes || since >= steady || since >= period && now-m.Placed >= period || steady == every && m.Headless && since >= min(period, Quiet) {
+	if owes || since >= steady || since >= period && now-m.LastPosition >= period || steady == every && m.NoPrimary && since >= min(period, OverdueAfter) {
 		return true, 0
 	}
-	if m.Owes || m.Silent || m.Headless || m.Search > 0 {
+	if m.AnswerOverdue || m.Silent || m.NoPrimary || m.SearchInterval > 0 {
 		return false, 0
 	}
-	return false, min(now+Rest, m.Probed+steady, max(m.Probed, m.Placed)+period)
+	return false, min(now+MaxDueDelay, m.LastPing+steady, max(m.LastPing, m.LastPosition)+period)
 }
 
 // Nearest keeps those of a list whose ping is within a window of the quickest. Where some have never been pinged and others have, they
--- a/internal/ping/shared.go
+++ b/internal/ping/shared.go
@@ -15,25 +15,25 @@
 // dueShared is Due where the tier shares health checks. Steady checks are its checkers' then. Left are those for an answer that is owed,
 // and in a group that is in use the first one, those while it has no primary, and those of a member that is silent here and not ejected.
 func (s *Schedule) dueShared(now time.Duration, m *Member) (due bool, until time.Duration) {
-	since := now - m.Probed
-	headless := m.Headless && since >= every || m.Search > 0 && since >= m.Search
+	since := now - m.LastPing
+	headless := m.NoPrimary && since >= every || m.SearchInterval > 0 && since >= m.SearchInterval
 	switch {
-	case m.Owes:
+	case m.AnswerOverdue:
 		return true, 0
-	case !InUse(now, m.Asked):
-		return false, now + Rest // the first request to its group makes a first check due
-	case m.Probed == 0:
+	case !InUse(now, m.LastRequest):
+		return false, now + MaxDueDelay // the first request to its group makes a first check due
+	case m.LastPing == 0:
 		due = !m.Known
 	case m.Silent:
-		due = !m.Ejected && since >= silentAsk && m.Asked > m.Probed
+		due = !m.Ejected && since >= silentAsk && m.LastRequest > m.LastPing
 	default:
 		due = headless
 	}
-	if due || m.Silent || m.Headless || m.Search > 0 {
+	if due || m.Silent || m.NoPrimary || m.SearchInterval > 0 {
 		return due, 0
 	}
-	if m.Probed > 0 {
+	if m.LastPing > 0 {
 		return false, now + restShared
 	}
-	return false, now + Rest
+	return false, now + MaxDueDelay
 }
--- a/internal/state/links.go
+++ b/internal/state/links.go
@@ -199,7 +199,7 @@
 		l.fail(r)
 		return
 	case linkWitness:
-		l.testify(handover.Answered)
+		l.testify(handover.ConnectionAnswered)
 		return
 	case linkIdle, linkStreaming, linkClosed: // what nobody asked for makes the next answer doubtful
 		l.Down()
@@ -258,7 +258,7 @@
 		return
 	}
 	if l.state == linkWitness {
-		l.testify(handover.Ended)
+		l.testify(handover.ConnectionEnded)
 		return
 	}
 	r := Reply{Result: logic.Reset}
--- a/internal/state/probes.go
+++ b/internal/state/probes.go
@@ -95,7 +95,7 @@
 }
 
 // testify ends a witness, and tells the router what became of it.
-func (l *link) testify(what handover.Testimony) {
+func (l *link) testify(what handover.ConnectionEvidence) {
 	f, m, opened := l.f, l.m, l.upAt
 	f.close(l)
 	f.tell(func() { f.router.Witness(f.clock.Now(), m.id, what, opened) })
@@ -112,7 +112,7 @@
 		l.Down()
 		return
 	}
-	l.f.Deadlines.Set(&l.Deadline, l.f.clock.Now()+muteAfter, func() { l.testify(handover.Mute) })
+	l.f.Deadlines.Set(&l.Deadline, l.f.clock.Now()+muteAfter, func() { l.testify(handover.ConnectionUnresponsive) })
 }
 
 func (f *Front) report(r Reply) logic.Report {
--- a/internal/state/reduced.go
+++ b/internal/state/reduced.go
@@ -58,9 +58,9 @@
 			continue
 		}
 		from := c.Status(now).Name
-		d, next := c.Adopt(now, cfg)
+		d, next := c.Reconfigure(now, cfg)
 		r.groups[id] = next
-		f.planned.Plan(id, next.Plan())
+		f.planned.Plan(id, next.Admissions())
 		if d.Changed {
 			f.levelChanged(id, from, d)
 		}
@@ -82,9 +82,9 @@
 			r.groups[id] = c
 		}
 		d := c.Tick(now, &r.facts)
-		f.planned.Plan(id, c.Plan())
+		f.planned.Plan(id, c.Admissions())
 		if d.Changed {
-			f.levelChanged(id, r.cfg.Ladder[d.From].Name, d)
+			f.levelChanged(id, r.cfg.Ladder[d.PreviousLevel].Name, d)
 		}
 	}
 	if len(r.groups) > len(f.planned.Groups()) { // groups that the list has left out for long
--- a/internal/state/show.go
+++ b/internal/state/show.go
@@ -111,9 +111,9 @@
 	}
 	for _, id := range f.planned.Groups() {
 		s := groups[id]
-		v := SwitchView{Group: int(id), Phase: s.Phase.String(), For: now - s.Since, To: name(s.Primary), Rivals: s.Rivals, Held: s.Held,
-			Bytes: s.Bytes, Expected: s.Expected}
-		if s.Phase == handover.Unheard { // since the group is known, which is not what an operator asks
+		v := SwitchView{Group: int(id), Phase: s.Phase.String(), For: now - s.Since, To: name(s.Primary), Rivals: s.RivalPrimaries, Held: s.Held,
+			Bytes: s.HeldBytes, Expected: s.ExpectedWait}
+		if s.Phase == handover.PhaseUndiscovered { // since the group is known, which is not what an operator asks
 			v.For = 0
 		} else if s.Primary == 0 {
 			v.Cause = s.Cause.String()
@@ -122,8 +122,8 @@
 	}
 	slices.SortFunc(out, func(a, b SwitchView) int { return cmp.Compare(a.Group, b.Group) })
 	for _, s := range ended {
-		out = append(out, SwitchView{Group: s.Group, Phase: "ended", For: s.Length, Cause: s.Cause.String(), From: name(s.From), To: name(s.To),
-			Held: s.Held, Refused: s.Refused})
+		out = append(out, SwitchView{Group: s.Group, Phase: "ended", For: s.Duration, Cause: s.Cause.String(), From: name(s.OldPrimary), To: name(s.NewPrimary),
+			Held: s.MaxHeld, Refused: s.Refused})
 	}
 	return out
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -58,7 +58,7 @@
 func (b *bench) Probed(_ time.Duration, p logic.Probed)   { b.probe = p; b.note("probed %d", p.Result) }
 func (b *bench) Timer(time.Duration, logic.TimerID)       { b.note("timer") }
 func (b *bench) Abandoned(time.Duration, logic.RequestID) { b.note("abandoned") }
-func (b *bench) Witness(_ time.Duration, _ logic.MemberID, what handover.Testimony, opened time.Duration) {
+func (b *bench) Witness(_ time.Duration, _ logic.MemberID, what handover.ConnectionEvidence, opened time.Duration) {
 	b.note("%s %v", [...]string{"answered", "ended", "mute"}[what], opened-clockBase)
 }
 func (b *bench) Heard(_ time.Duration, facts []peers.Fact) {
--- a/internal/takeover/doc.go
+++ b/internal/takeover/doc.go
@@ -9,7 +9,7 @@
 // one owner at most (as in Lamport's Paxos, with the lease in place of a competing ballot). Epoch tells successive owners apart.
 //
 // When the lease has expired, the owner sends nothing, and a replica takes the record over. Whether the former owner has sent the write can't
-// be seen. It is sent again only while its group is certain to remember the key (handover.ResendUntil), or if it provably was not sent,
+// be seen. It is sent again only while its group is certain to remember the key (handover.Config.ResendDeadline), or if it provably was not sent,
 // because too few replicas can have allowed it. Otherwise its outcome is reported as unknown.
 //
 // What the check before a send does not cover: a process that is paused between the check and the write resumes and writes, though the record
--- a/logic/api.go
+++ b/logic/api.go
@@ -160,7 +160,7 @@
 		t.PingWindow = 15 * time.Millisecond
 	}
 	if t.FirstLimit == 0 {
-		t.FirstLimit = limit.First
+		t.FirstLimit = limit.DefaultInitialLimit
 	}
 	return t
 }
@@ -279,7 +279,7 @@
 	Probed(now time.Duration, p Probed)
 	Timer(now time.Duration, id TimerID)
 	// Witness tells what became of a connection from before a silence, up since opened.
-	Witness(now time.Duration, id MemberID, what handover.Testimony, opened time.Duration)
+	Witness(now time.Duration, id MemberID, what handover.ConnectionEvidence, opened time.Duration)
 	Heard(now time.Duration, facts []peers.Fact) // what a peer tells; valid during the call only
 	Abandoned(now time.Duration, id RequestID)   // the client left; nothing more is owed
 }
--- a/logic/facts.go
+++ b/logic/facts.go
@@ -63,7 +63,7 @@
 
 // warmth is the part of its usual work that a member can be taken to do: less while it is cold, or as far as it may be.
 func (r *Router) warmth(now time.Duration, m *member) float64 {
-	from, sure := m.seat.Cold(now, r.cfg.Cold)
+	from, sure := m.seat.ColdSince(now, r.cfg.Cold)
 	if sure == 0 {
 		return 1
 	}
@@ -82,12 +82,12 @@
 }
 
 // Switches gives the groups' places with their primaries, and the last switches that have ended, the newest first.
-func (r *Router) Switches(now time.Duration) (groups map[GroupID]handover.Status, ended []handover.Switch) {
+func (r *Router) Switches(now time.Duration) (groups map[GroupID]handover.Status, ended []handover.Failover) {
 	groups = map[GroupID]handover.Status{}
 	for _, id := range r.listed {
 		groups[id] = r.groups[id].lead.Status(now)
 	}
-	return groups, r.lead.Ended()
+	return groups, r.lead.RecentFailovers()
 }
 
 // Handover puts other settings for switches into force.
@@ -134,7 +134,7 @@
 	if m == nil {
 		return MemberFacts{}, false
 	}
-	return MemberFacts{Group: m.Group, Role: m.role(), Silent: m.seat.Silent, Benched: r.failures.More(&m.bench), Cold: r.warmth(now, m) < 1,
-		Doubt: m.seat.Doubt(),
-		Out:   len(m.out), Limit: m.Most, Strain: m.Strain, Ping: m.ping, Position: m.position}, true
+	return MemberFacts{Group: m.Group, Role: m.role(), Silent: m.seat.Silent, Benched: r.failures.IsOutlier(&m.bench), Cold: r.warmth(now, m) < 1,
+		Doubt: m.seat.RestartProbability(),
+		Out:   len(m.out), Limit: m.MaxInFlight, Strain: m.Strain, Ping: m.ping, Position: m.position}, true
 }
--- a/logic/health.go
+++ b/logic/health.go
@@ -42,7 +42,7 @@
 // ShareChecks tells that the tier shares health checks, and how many a second this proxy may send; 0 = they are not shared.
 func (r *Router) ShareChecks(now time.Duration, perSecond float64) {
 	r.checks = checkBudget{perSecond: perSecond, at: now}
-	r.pings.Shared = perSecond > 0
+	r.pings.SharedChecks = perSecond > 0
 	for _, m := range r.order {
 		m.restsTill, m.ejected = 0, false
 	}
@@ -60,7 +60,7 @@
 	if r.sharesChecks() {
 		return g.primary == nil || r.checks.spare(now)
 	}
-	return r.pings.Thin(now, len(g.members), r.rateOf(now, g))
+	return r.pings.ThinTraffic(now, len(g.members), r.rateOf(now, g))
 }
 
 // probe sends a health check, if none is out.
@@ -126,8 +126,8 @@
 		m.toldAt = max(m.toldAt, min(v.RoleAt, now))
 	}
 	if v.Failing && !was.Failing {
-		r.failures.Note(now, &m.bench, 1)
-		r.failures.Spread(now, &m.bench, r.cfg.Fronts, r.rng.Float64())
+		r.failures.Record(now, &m.bench, 1)
+		r.failures.ExtendPause(now, &m.bench, r.cfg.Fronts, r.rng.Float64())
 	}
 	if was.State == healthcheck.Ejected && !m.ejected && m.seat.Silent && ping.InUse(now, m.group.rate.last) {
 		r.probe(now, m)
@@ -142,7 +142,7 @@
 	if m.seat.Silent {
 		return
 	}
-	m.group.lead.Silent(now, m.seat)
+	m.group.lead.NoteSilence(now, m.seat)
 	r.follow(now, m.group)
 	r.hedge(now, m)
 }
@@ -150,8 +150,8 @@
 // startedCold takes the word of a quorum that a member has just started, where nothing is known of it here. It only ever makes this proxy
 // send less: a start that is known stays as it is, and a member that is cold is never taken for a warm one.
 func (r *Router) startedCold(now time.Duration, m *member, at time.Duration) {
-	if _, sure := m.seat.Cold(now, r.cfg.Cold); sure == 0 && at > 0 {
-		m.group.lead.Born(now, m.seat, min(at, now), false)
+	if _, sure := m.seat.ColdSince(now, r.cfg.Cold); sure == 0 && at > 0 {
+		m.group.lead.NoteStart(now, m.seat, min(at, now), false)
 		r.follow(now, m.group)
 	}
 }
--- a/logic/hold_test.go
+++ b/logic/hold_test.go
@@ -58,7 +58,7 @@
 		t.Errorf("sent to %d, %v after the election: a ping's period and a way were wanted", s.to, f.now-before)
 	}
 	f.serve(id, 80*ms)
-	if n := f.r.groups[0].lead.Holds(); n != 0 {
+	if n := f.r.groups[0].lead.HeldCount(); n != 0 {
 		t.Errorf("%d are held", n)
 	}
 }
@@ -99,8 +99,8 @@
 	id, at := f.request(clsGuarded, 1), f.now
 	f.passAs(0, 4*time.Second)
 	f.wantFinal(id, "refused")
-	if f.count(id) > 0 || f.r.groups[0].lead.Holds() > 0 {
-		t.Errorf("%d sends, %d held", f.count(id), f.r.groups[0].lead.Holds())
+	if f.count(id) > 0 || f.r.groups[0].lead.HeldCount() > 0 {
+		t.Errorf("%d sends, %d held", f.count(id), f.r.groups[0].lead.HeldCount())
 	}
 	_ = at
 }
@@ -112,7 +112,7 @@
 	f.passAs(0, 200*ms)
 	f.r.Abandoned(f.now, id)
 	f.passAs(2, 500*ms)
-	if f.count(id) > 0 || f.finals[id] != "" || f.r.groups[0].lead.Holds() > 0 || len(f.r.requests) > 0 {
+	if f.count(id) > 0 || f.finals[id] != "" || f.r.groups[0].lead.HeldCount() > 0 || len(f.r.requests) > 0 {
 		t.Errorf("%d sends, %q, %d requests kept", f.count(id), f.finals[id], len(f.r.requests))
 	}
 }
@@ -180,7 +180,7 @@
 	f.r.Handover(handover.Config{})
 	f.passAs(0, 10*ms)
 	f.wantFinal(id, "refused")
-	if f.r.groups[0].lead.Holds() > 0 {
+	if f.r.groups[0].lead.HeldCount() > 0 {
 		t.Error("it is held still")
 	}
 }
@@ -192,7 +192,7 @@
 	f.drain(1)
 	id := f.request(clsGuarded, 1)
 	f.passAs(0, 200*ms)
-	if f.r.groups[0].lead.Holds() != 1 {
+	if f.r.groups[0].lead.HeldCount() != 1 {
 		t.Fatal("it doesn't wait for a primary")
 	}
 	f.r.hold(f.r.requests[id]) // as inquire does
@@ -200,7 +200,7 @@
 		f.passAs(2, 10*ms)
 	}
 	f.serve(id, 20*ms)
-	if n := f.r.groups[0].lead.Holds(); n > 0 || len(f.r.requests) > 0 {
+	if n := f.r.groups[0].lead.HeldCount(); n > 0 || len(f.r.requests) > 0 {
 		t.Errorf("%d are held, %d requests kept", n, len(f.r.requests))
 	}
 	f.r.Members(f.now, List{Kind: ListFull}) // what is held is answered now
@@ -215,7 +215,7 @@
 		ids = append(ids, f.request(clsGuarded, SessionID(i+1)))
 	}
 	f.passAs(0, 400*ms)
-	if n := f.r.groups[0].lead.Holds(); n != 100 {
+	if n := f.r.groups[0].lead.HeldCount(); n != 100 {
 		t.Fatalf("%d held", n)
 	}
 	most, served := 0, 0
@@ -229,8 +229,8 @@
 				f.finals[a.req.ID] = "served"
 				f.r.Outcome(f.now, Outcome{Request: a.req.ID, Attempt: a.n, Member: 2, Result: OK, Took: f.now - a.sentAt,
 					Finished: true, Role: RolePrimary, Position: f.now})
-				if f.r.groups[0].lead.Holds() > 0 && m.out[len(m.out)-1].sentAt != f.now {
-					t.Fatalf("a place was freed, %d wait, and none goes", f.r.groups[0].lead.Holds())
+				if f.r.groups[0].lead.HeldCount() > 0 && m.out[len(m.out)-1].sentAt != f.now {
+					t.Fatalf("a place was freed, %d wait, and none goes", f.r.groups[0].lead.HeldCount())
 				}
 			}
 		}
@@ -390,7 +390,7 @@
 		f.r.Probed(f.now, Probed{Member: 3, Result: ConnectFailed, Refused: refused})
 		f.passAs(1, 8*time.Second)
 		if m := f.r.members[3]; m.seat.Silent || (f.r.warmth(f.now, m) < 1) != refused {
-			t.Errorf("refused %v: silent %v, warmth %v, doubt %v", refused, m.seat.Silent, f.r.warmth(f.now, m), m.seat.Doubt())
+			t.Errorf("refused %v: silent %v, warmth %v, doubt %v", refused, m.seat.Silent, f.r.warmth(f.now, m), m.seat.RestartProbability())
 		}
 	}
 }
@@ -401,7 +401,7 @@
 	f := settled(t, holding(), 3)
 	f.passAs(1, 200*ms)
 	f.passAs(0, 3*time.Second, 1, 2, 3) // all fall silent: no event comes but the clock's
-	if p := f.r.groups[0].lead.Status(f.now).Phase; p != handover.Electing {
+	if p := f.r.groups[0].lead.Status(f.now).Phase; p != handover.PhaseElecting {
 		t.Errorf("%v, 3 s behind the primary's silence", p)
 	}
 }
--- a/logic/housekeeping.go
+++ b/logic/housekeeping.go
@@ -13,18 +13,18 @@
 
 // evidence holds what is heard of a member back from a silence against the doubt that it has started anew.
 func (r *Router) evidence(now time.Duration, m *member, opened time.Duration) {
-	if m.seat.Kept(opened); r.calls.Well() {
-		m.seat.Unborn(now)
+	if m.seat.NoteAnswerOnConnection(opened); r.calls.Healthy() {
+		m.seat.NoteNoListedStart(now)
 	}
 }
 
 // Witness holds what became of a connection from before a silence against the doubt.
-func (r *Router) Witness(now time.Duration, id MemberID, what handover.Testimony, opened time.Duration) {
-	if m := r.members[id]; m != nil && what == handover.Answered {
+func (r *Router) Witness(now time.Duration, id MemberID, what handover.ConnectionEvidence, opened time.Duration) {
+	if m := r.members[id]; m != nil && what == handover.ConnectionAnswered {
 		r.heard(m, now)
 		r.evidence(now, m, opened)
 	} else if m != nil {
-		m.seat.Testifies(what)
+		m.seat.NoteConnectionEvidence(what)
 	}
 }
 
@@ -47,8 +47,8 @@
 		return
 	}
 	r.act.SetTimer(tickTimer, now+max(housekeeping, r.cfg.Tick))
-	if r.calls.Overdue(now) {
-		r.calls.Answered(now, true, r.rng.Float64())
+	if r.calls.TimedOut(now) {
+		r.calls.NoteEnd(now, true, r.rng.Float64())
 	}
 	if r.calls.Due(now) {
 		r.ask(now)
@@ -78,10 +78,10 @@
 	owes := len(m.out) > 0 && !m.seat.Silent &&
 		now-max(m.heardAt, m.out[0].sentAt, m.probedAt) > r.patience(m, m.out[0])
 	g, due := m.group, false
-	due, m.restsTill = r.pings.Due(now, &ping.Member{Probed: m.probedAt, Placed: m.placedAt, Owes: owes,
-		First: m.firstAt, Known: m.toldAt > 0, Ejected: m.ejected,
-		Silent: m.seat.Silent, Primary: m.role() == RolePrimary, Headless: g.primary == nil, Asked: g.rate.last,
-		Search: g.lead.Searching(now, r.cfg.Fronts), Members: len(g.members), Rate: r.rateOf(now, g)})
+	due, m.restsTill = r.pings.Due(now, &ping.Member{LastPing: m.probedAt, LastPosition: m.placedAt, AnswerOverdue: owes,
+		FirstPingAt: m.firstAt, Known: m.toldAt > 0, Ejected: m.ejected,
+		Silent: m.seat.Silent, Primary: m.role() == RolePrimary, NoPrimary: g.primary == nil, LastRequest: g.rate.last,
+		SearchInterval: g.lead.SearchInterval(now, r.cfg.Fronts), GroupSize: len(g.members), RequestRate: r.rateOf(now, g)})
 	if due {
 		r.probe(now, m)
 	}
@@ -112,26 +112,26 @@
 			r.lost(m, now)
 		}
 		if p.Refused {
-			m.seat.Refused()
+			m.seat.NoteRefusedDial()
 		}
 	}
 	if len(r.held) > 0 {
 		r.retryHeld(now)
-	} else if m.group.lead.Stirs() {
+	} else if m.group.lead.NeedsTick() {
 		r.release(now, m.group)
 	}
 }
 
 // opening tells of a fresh router that the agent has yet to answer, or a member of the group a ping.
 func (r *Router) opening(now time.Duration, g *group) bool {
-	listOwed := r.cfg.Pushed && !r.calls.Ended()
+	listOwed := r.cfg.Pushed && !r.calls.HasEnded()
 	if now-r.startAt >= freshHold || !r.cfg.MayProbe && !listOwed {
 		return false
 	}
 	if listOwed || len(g.members) == 0 {
 		return true
 	}
-	if r.pings.OnNeed() && r.thin(now, g) { // its members are checked as the request needs them, and no others
+	if r.pings.OnDemand() && r.thin(now, g) { // its members are checked as the request needs them, and no others
 		return false
 	}
 	return slices.ContainsFunc(g.members, func(m *member) bool {
@@ -157,7 +157,7 @@
 	list := r.stirring
 	r.stirring = nil
 	for _, g := range list {
-		if g.stirs = g.lead.Stirs(); g.stirs {
+		if g.stirs = g.lead.NeedsTick(); g.stirs {
 			r.stirring = append(r.stirring, g)
 			r.release(now, g)
 		}
@@ -165,6 +165,6 @@
 }
 
 func (r *Router) ask(now time.Duration) {
-	r.calls.Called(now)
+	r.calls.NoteCall(now)
 	r.act.Watch(true)
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -68,14 +68,14 @@
 		members: map[MemberID]*member{}, groups: map[GroupID]*group{}, requests: map[RequestID]*request{},
 		cost: make([]time.Duration, len(cfg.Classes)), slow: make([]time.Duration, len(cfg.Classes)),
 		retries: retryReserve, lead: handover.New(cfg.Handover),
-		pings: ping.Schedule{Proxies: cfg.Fronts, Tick: cfg.Tick, Room: cfg.Connections}, calls: limit.Calls{Bound: cfg.ListBound}}
+		pings: ping.Schedule{Proxies: cfg.Fronts, ClockResolution: cfg.Tick, MaxConnections: cfg.Connections}, calls: limit.CallSchedule{PropagationBound: cfg.ListBound}}
 	r.nobody = r.newGroup(-1)
 	r.pins.init(keepEntries)
 	r.commits.init(keepEntries)
 	for i, c := range cfg.Classes {
 		r.cost[i], r.slow[i] = c.Aim/aimOverCost, c.Aim
 	}
-	r.pings.Tightest = tightest(cfg.Classes)
+	r.pings.TightestMaxAge = tightest(cfg.Classes)
 	quotas := make([]float64, len(cfg.Tenants))
 	for i, t := range cfg.Tenants {
 		quotas[i] = r.share(t.Quota)
@@ -90,7 +90,7 @@
 func (r *Router) Members(now time.Duration, l List) {
 	r.begin(now)
 	if r.cfg.Pull && l.Kind != ListCached {
-		r.calls.Answered(now, l.Kind == ListFailed, r.rng.Float64())
+		r.calls.NoteEnd(now, l.Kind == ListFailed, r.rng.Float64())
 	}
 	if l.Kind == ListFailed {
 		return
@@ -104,7 +104,7 @@
 		r.entry(now, e)
 	}
 	r.order = slices.DeleteFunc(r.order, func(m *member) bool { return !m.listed && r.leftOut(now, m) })
-	r.pings.Listed = len(r.order)
+	r.pings.ListedDatabases = len(r.order)
 	r.retryHeld(now)
 }
 
@@ -113,16 +113,16 @@
 	known := m != nil
 	if !known {
 		g := r.groupOf(e.Group)
-		m = &member{group: g, Limit: limit.New(r.cfg.Fronts, r.cfg.Tuning.FirstLimit), account: limit.NewAccount(),
+		m = &member{group: g, Limit: limit.New(r.cfg.Fronts, r.cfg.Tuning.FirstLimit), account: limit.NewColdBudget(),
 			firstAt: r.firstPing(now)}
-		m.seat = g.lead.Join(uint64(e.ID))
+		m.seat = g.lead.AddMember(uint64(e.ID))
 		r.members[e.ID] = m
 		r.order = append(r.order, m)
 		r.peers.Join(uint64(e.ID))
 		g.members = append(g.members, m) // a Born above zero makes it cold, below
 	}
 	if e.Born > m.Born { // restarted: its role is open again, its log goes on from where it stood
-		m.group.lead.Born(now, m.seat, e.Born, known)
+		m.group.lead.NoteStart(now, m.seat, e.Born, known)
 		m.reborn()
 	}
 	m.listed = e.State != Gone
@@ -130,9 +130,9 @@
 		e.State = m.State
 	}
 	m.Member = e
-	m.group.lead.Listed(now, m.seat, handover.Presence(e.State))
+	m.group.lead.SetDiscoveryState(now, m.seat, handover.DiscoveryState(e.State))
 	if e.Primary && r.cfg.ListRole != ListRoleNone {
-		m.group.lead.Told(now, m.seat, max(now-listRoleAge, e.Born), r.cfg.ListRole == ListRoleLate)
+		m.group.lead.NoteListedPrimary(now, m.seat, max(now-listRoleAge, e.Born), r.cfg.ListRole == ListRoleLate)
 	}
 	r.follow(now, m.group)
 }
@@ -141,19 +141,19 @@
 func (r *Router) leftOut(now time.Duration, m *member) bool {
 	if m.State != Gone && !r.cfg.DrainOnly {
 		m.State = Gone
-		m.group.lead.Listed(now, m.seat, handover.Gone)
+		m.group.lead.SetDiscoveryState(now, m.seat, handover.Unlisted)
 		r.follow(now, m.group)
 	}
-	if len(m.out) > 0 || m.probing || m.State == Ready && (!m.seat.Silent || now-m.seat.LostAt <= forgetSilent) {
+	if len(m.out) > 0 || m.probing || m.State == Ready && (!m.seat.Silent || now-m.seat.SilentSince <= forgetSilent) {
 		return false
 	}
 	delete(r.members, m.ID)
 	r.peers.Leave(uint64(m.ID))
 	m.group.members = slices.DeleteFunc(m.group.members, func(x *member) bool { return x == m })
-	m.group.lead.Leave(now, m.seat)
+	m.group.lead.RemoveMember(now, m.seat)
 	r.follow(now, m.group) // the one that left may have stood before another
 	if len(m.group.members) == 0 {
-		for _, id := range m.group.lead.Waiting(now) { // nobody would look at them any more
+		for _, id := range m.group.lead.ReleaseOrder(now) { // nobody would look at them any more
 			r.finish(now, r.requests[RequestID(id)], hintNoPrimary)
 		}
 		delete(r.groups, m.Group)
@@ -203,17 +203,17 @@
 		m.placedAt = max(m.placedAt, at)
 		m.position = max(m.position, min(position, now))
 	}
-	m.group.lead.Says(now, m.seat, handover.Role(role), at)
-	m.seat.Placed(now, position)
+	m.group.lead.NoteRole(now, m.seat, handover.Role(role), at)
+	m.seat.NotePosition(now, position)
 	r.follow(now, m.group)
 }
 
 // heard notes a sign of life. A member back from a long silence may have restarted: it counts as cold.
 func (r *Router) heard(m *member, now time.Duration) {
 	m.heardAt = now
-	back, doubted := m.group.lead.Heard(now, m.seat)
+	back, doubted := m.group.lead.NoteResponse(now, m.seat)
 	if doubted {
-		m.Forget()
+		m.Reset()
 	}
 	if back {
 		r.follow(now, m.group)
@@ -225,7 +225,7 @@
 	if m.seat.Silent {
 		return
 	}
-	m.group.lead.Silent(now, m.seat)
+	m.group.lead.NoteSilence(now, m.seat)
 	r.peers.Ailing(now, uint64(m.ID), peers.Silent)
 	r.follow(now, m.group)
 	r.hedge(now, m)
@@ -239,8 +239,8 @@
 		q, age := a.req, now-a.sentAt
 		if !a.overdue && age > max(2*r.slow[q.Class], q.class.Aim) {
 			a.overdue, m.stuck = true, true
-			r.failures.Note(now, &m.bench, 1)
-			if m.Strain < limit.High && !m.seat.Silent {
+			r.failures.Record(now, &m.bench, 1)
+			if m.Strain < limit.HighStrain && !m.seat.Silent {
 				r.missing += missWeight * (1 - r.missing)
 			}
 		}
@@ -251,7 +251,7 @@
 	}
 }
 
-func (r *Router) loses(m *member) bool { return r.missing > missLimit && m.Strain < limit.High }
+func (r *Router) loses(m *member) bool { return r.missing > missLimit && m.Strain < limit.HighStrain }
 
 // ---- Requests, attempts and outcomes ----
 
@@ -272,11 +272,11 @@
 	r.requests[in.ID] = q
 	q.group.rate.add(now, thinSpan)
 	r.enterRounds(now, g)
-	q.over = r.quotas.Beyond(now, in.Tenant)
+	q.over = r.quotas.Exceeded(now, in.Tenant)
 	r.retries = min(r.retries+retryPart, retryReserve)
 	q.group.mixed(r.cost[q.Class].Seconds(), q.class.Worth, r.long(q))
 	if q.class.Read == Bounded {
-		r.pings.Bounded(now)
+		r.pings.NoteBoundedRead(now)
 	}
 	q.token = r.tokenOf(now, &in)
 	if r.opening(now, q.group) {
@@ -288,7 +288,7 @@
 
 func (r *Router) start(now time.Duration, q *request) {
 	if ok, hint := r.route(now, q); !ok && !q.held && !q.open() {
-		r.giveUp(now, q, hint, q.group.lead.Holds())
+		r.giveUp(now, q, hint, q.group.lead.HeldCount())
 	}
 }
 
@@ -300,7 +300,7 @@
 	}
 	h := q.asHeld(r.cost[q.Class], r.usual(q), ahead)
 	for _, a := range q.tries {
-		h.Until = min(h.Until, r.until(q, a))
+		h.Deadline = min(h.Deadline, r.until(q, a))
 	}
 	ok, better, pushed := q.group.lead.Hold(now, h)
 	better = min(better, r.cfg.MaxComeBack*2/3) // behind that all would come back in one moment
@@ -316,7 +316,7 @@
 // release lets go what waits for a primary, as far as that bears it, and looks anew at what has to wait on.
 func (r *Router) release(now time.Duration, g *group) {
 	g.lead.Tick(now)
-	for i, id := range g.lead.Waiting(now) {
+	for i, id := range g.lead.ReleaseOrder(now) {
 		q := r.requests[RequestID(id)]
 		if q == nil || q.done || q.held || q.open() {
 			continue
@@ -335,7 +335,7 @@
 	if q.class.Effect != Guarded || !a.open && !a.ran {
 		return q.Deadline
 	}
-	return min(q.Deadline, r.lead.Config().ResendUntil(a.sentAt, q.class.DedupWindow, r.slow[q.Class]))
+	return min(q.Deadline, r.lead.Config().ResendDeadline(a.sentAt, q.class.DedupWindow, r.slow[q.Class]))
 }
 
 func (r *Router) hold(q *request) {
@@ -354,7 +354,7 @@
 // send is the only place that sends a request; each rule is checked here last.
 func (r *Router) send(now time.Duration, q *request, m *member) bool {
 	if q.Deadline-now <= r.cost[q.Class] { // it can't be served; sinking, the estimate is tried again
-		limit.Quantile(&r.cost[q.Class], 0, costPart)
+		limit.UpdateQuantile(&r.cost[q.Class], 0, costPart)
 		return false
 	}
 	if q.done || m.group != q.group || m.State != Ready || !r.effectAllows(now, q, m) ||
@@ -376,7 +376,7 @@
 	q.tries = append(q.tries, a)
 	m.out = append(m.out, a)
 	r.wake(m)
-	m.account.Take(r.cost[q.Class].Seconds()) // of no matter unless it is cold
+	m.account.Spend(r.cost[q.Class].Seconds()) // of no matter unless it is cold
 	r.act.Send(q.ID, m.ID, until-now)
 	return true
 }
@@ -411,7 +411,7 @@
 			hint = 0
 		}
 		if !q.over {
-			r.quotas.Back(q.Tenant)
+			r.quotas.Refund(q.Tenant)
 		}
 		r.refusals[r.refusalReason(now, q)]++
 		if t := q.tallyOf(); q.class.primaryMode() && q.group.primary == nil {
@@ -459,7 +459,7 @@
 		q.tallyOf().Late++
 		for _, a := range q.tries {
 			if a.open {
-				r.strain(now, a.to, q.class.Aim, limit.Late)
+				r.strain(now, a.to, q.class.Aim, limit.LateStrain)
 			}
 		}
 		r.drop(q)
@@ -483,7 +483,7 @@
 		q.done = true
 		q.countEnd(now, o)
 	}
-	if q.group.lead.Holds() > 0 && a.to == q.group.primary {
+	if q.group.lead.HeldCount() > 0 && a.to == q.group.primary {
 		defer r.release(now, q.group) // there is room
 	}
 	if q.done {
@@ -495,7 +495,7 @@
 		ok, hint = r.route(now, q)
 	}
 	if !ok && !q.open() && !q.held {
-		r.giveUp(now, q, hint, q.group.lead.Holds())
+		r.giveUp(now, q, hint, q.group.lead.HeldCount())
 	}
 }
 
@@ -525,7 +525,7 @@
 				r.commits.add(q.Session, cmp.Or(position, now))
 			}
 			position = 0
-			q.group.lead.Served(now)
+			q.group.lead.NoteWriteServed(now)
 		}
 		r.evidence(now, m, o.Opened)
 		r.learn(m, role, position, now, now)
@@ -539,27 +539,27 @@
 		m.missed(q)
 	case OK:
 		took := now - a.sentAt
-		limit.Quantile(&r.cost[q.Class], took, costPart)
-		limit.Quantile(&r.slow[q.Class], took, slowPart)
-		r.strain(now, m, q.class.Aim, min(float64(took)/float64(q.class.Aim), limit.Late))
-		r.failures.Note(now, &m.bench, 0)
+		limit.UpdateQuantile(&r.cost[q.Class], took, costPart)
+		limit.UpdateQuantile(&r.slow[q.Class], took, slowPart)
+		r.strain(now, m, q.class.Aim, min(float64(took)/float64(q.class.Aim), limit.LateStrain))
+		r.failures.Record(now, &m.bench, 0)
 		r.missing -= missWeight * r.missing
 		if q.class.Read != Write && q.Session != 0 && m.role() == RoleReplica {
 			r.pins.put(q.pinKey(), pin{m, q.group.lead.Term()})
 		}
 	case TimedOut:
 		if !r.loses(m) {
-			r.strain(now, m, q.class.Aim, limit.Late)
+			r.strain(now, m, q.class.Aim, limit.LateStrain)
 		}
 	case Failed, Full, ConnectFailed, Reset:
 		if r.failed(now, m); o.Result == Full {
-			r.strain(now, m, q.class.Aim, limit.Late)
+			r.strain(now, m, q.class.Aim, limit.LateStrain)
 		}
 		if o.Result == ConnectFailed {
 			r.probe(now, m)
 		}
 		if o.Refused {
-			m.seat.Refused()
+			m.seat.NoteRefusedDial()
 		}
 	}
 }
@@ -569,7 +569,7 @@
 // strain holds an answer against its aim, unless it may be this front that is late.
 func (r *Router) strain(now time.Duration, m *member, aim time.Duration, x float64) {
 	if !r.stood(now) {
-		m.Judge(now, aim, x, len(m.out))
+		m.RecordAnswer(now, aim, x, len(m.out))
 	}
 }
 
@@ -580,7 +580,7 @@
 // what this front has for each member of the group, times half the multiple that the rule allows. It starts
 // in a random debt and is never above zero, so that the sum of all fronts is bounded.
 func (r *Router) bears(now time.Duration, m *member, merit float64) bool {
-	from, sure := m.seat.Cold(now, r.cfg.Cold)
+	from, sure := m.seat.ColdSince(now, r.cfg.Cold)
 	if sure == 0 {
 		return true
 	} else if r.peers.On() && !r.priority.Admits(merit, r.luck) {
@@ -589,9 +589,9 @@
 	most := fallPart + (fallDoubt-fallPart)*(1-sure)
 	part := r.warmthSince(now, from) * max(r.cfg.FallMultiple*most, 1) / r.bearers(m.group)
 	debt := func() float64 { return r.rng.Float64() * m.group.work }
-	ok := m.account.Bears(now, from, debt, part*r.rateOf(now, m.group)*m.group.work)
+	ok := m.account.Allows(now, from, debt, part*r.rateOf(now, m.group)*m.group.work)
 	if merit >= 1 && m.role() != RolePrimary {
-		r.priority.Note(ok)
+		r.priority.Record(ok)
 	}
 	return ok
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -82,8 +82,8 @@
 	moved := false
 	for i := SessionID(0); i < 12; i++ {
 		moved = moved || f.serve(f.request(clsSession, 5), ms).to != first
-		f.r.groups[0].lead.Says(f.now, f.r.members[first].seat, handover.Replica, f.now)
-		f.r.groups[0].lead.Says(f.now, f.r.members[other].seat, handover.Primary, f.now)
+		f.r.groups[0].lead.NoteRole(f.now, f.r.members[first].seat, handover.Replica, f.now)
+		f.r.groups[0].lead.NoteRole(f.now, f.r.members[other].seat, handover.Primary, f.now)
 	}
 	if !moved {
 		t.Error("the session stayed with its old replica through twelve changes of primary")
@@ -325,7 +325,7 @@
 			t.Errorf("a long read went to %d, not to the straggler", s.to)
 		}
 	}
-	f.r.members[4].Most = 0 // crowded: its peers stay in the filter all the same
+	f.r.members[4].MaxInFlight = 0 // crowded: its peers stay in the filter all the same
 	id := f.request(clsAny, 0)
 	f.wantFinal(id, "refused")
 }
@@ -442,7 +442,7 @@
 	cfg.Classes[clsBounded].Worth = 0.1 // the same work as a session read's, a tenth of the worth
 	f := settled(t, cfg, 4)
 	for _, m := range f.r.order {
-		m.Most = 10
+		m.MaxInFlight = 10
 	}
 	shed := func(class, n int) (refused int) {
 		for i := 0; i < n; i++ {
@@ -467,7 +467,7 @@
 func TestClientsLeavingCutTheLimit(t *testing.T) {
 	f := settled(t, testConfig(), 2)
 	m := f.r.members[2]
-	before := m.Most
+	before := m.MaxInFlight
 	for i := 0; i < 40; i++ {
 		id := f.request(clsBounded, 0)
 		if f.count(id) == 0 {
@@ -483,8 +483,8 @@
 		}
 		f.pongs()
 	}
-	if m.Most > before/3 {
-		t.Errorf("limit %.1f of %.1f after two thirds of the clients left", m.Most, before)
+	if m.MaxInFlight > before/3 {
+		t.Errorf("limit %.1f of %.1f after two thirds of the clients left", m.MaxInFlight, before)
 	}
 }
 
@@ -504,7 +504,7 @@
 		}
 	}
 	for _, m := range f.r.order {
-		m.Most = 10
+		m.MaxInFlight = 10
 	}
 	ask(0, 40)
 	ask(1, 8)
@@ -544,7 +544,7 @@
 		f.serve(f.request(clsSession, 0), 100*ms)
 	}
 	for _, m := range f.r.order {
-		m.Most = 4
+		m.MaxInFlight = 4
 	}
 	sent := 0
 	for i := 0; i < 5; i++ {
@@ -562,7 +562,7 @@
 	f := settled(t, cfg, 3)
 	named := entry(2)
 	named.Primary = true
-	f.r.members[2].seat.Role, f.r.members[2].seat.At = handover.Unknown, 0
+	f.r.members[2].seat.Role, f.r.members[2].seat.RoleTime = handover.RoleUnknown, 0
 	f.r.Members(f.now, List{Kind: ListDelta, Entries: []Member{named}})
 	if s := f.serve(f.request(clsFresh, 0), ms); s.to != 1 {
 		t.Fatalf("a late list outranked member 1's own word: sent to %d", s.to)
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -18,8 +18,8 @@
 // proxies, would be too many: a position is worth telling once it has grown older than those would let it.
 func (r *Router) newPeers() *peers.Gossip {
 	cfg := peers.Config{Proxies: r.cfg.Fronts, Most: r.cfg.PeerFacts, Phase: float64(mix(r.cfg.Seed)>>11) / (1 << 53)}
-	if r.pings.Many() {
-		cfg.Fresh = time.Duration(min(max(float64(r.cfg.Fronts)/worthTelling, 1), 2) * float64(r.pings.Shortest()))
+	if r.pings.ExcessiveProxies() {
+		cfg.Fresh = time.Duration(min(max(float64(r.cfg.Fronts)/worthTelling, 1), 2) * float64(r.pings.ShortestPeriod()))
 	}
 	return peers.New(cfg)
 }
@@ -45,25 +45,25 @@
 	r.believe(m, Role(f.Role), f.Position, f.At, now)
 	switch {
 	case f.Ails == peers.Silent:
-		inUse := !r.pings.OnNeed() || m.group.inRounds
+		inUse := !r.pings.OnDemand() || m.group.inRounds
 		if inUse && m.heardAt < f.At && !m.seat.Silent && now-m.probedAt >= wordEvery {
 			r.probe(now, m)
 		}
 		return
 	case f.Ails == peers.Failing:
-		r.failures.Note(now, &m.bench, 1)
-		r.failures.Spread(now, &m.bench, r.cfg.Fronts, r.rng.Float64())
+		r.failures.Record(now, &m.bench, 1)
+		r.failures.ExtendPause(now, &m.bench, r.cfg.Fronts, r.rng.Float64())
 	default:
-		r.failures.Note(now, &m.bench, 0)
+		r.failures.Record(now, &m.bench, 0)
 	}
 	m.toldAt = max(m.toldAt, f.At)
 }
 
 // failed counts a quick failure that this front has seen, and lets its peers know.
 func (r *Router) failed(now time.Duration, m *member) {
-	r.failures.Note(now, &m.bench, 1)
+	r.failures.Record(now, &m.bench, 1)
 	if r.peers.On() {
-		r.failures.Spread(now, &m.bench, r.cfg.Fronts, r.rng.Float64())
+		r.failures.ExtendPause(now, &m.bench, r.cfg.Fronts, r.rng.Float64())
 		r.peers.Ailing(now, uint64(m.ID), peers.Failing)
 	}
 }
@@ -81,7 +81,7 @@
 // ping for each that is owed would cost more than it saves; where a peer has had an answer since, it is this front's way that is
 // doubted, which is rare.
 func (r *Router) patience(m *member, a *attempt) time.Duration {
-	wait := max(ping.Quiet, r.slow[a.req.Class]/2)
+	wait := max(ping.OverdueAfter, r.slow[a.req.Class]/2)
 	if m.toldAt > a.sentAt {
 		wait *= 3
 	}
--- a/logic/peers_test.go
+++ b/logic/peers_test.go
@@ -62,7 +62,7 @@
 		t.Fatal("a replica that fails at every peer is used")
 	}
 	f.now += 1100 * ms
-	if f.r.usable(m, f.now) != (f.now >= f.r.members[2].bench.Until()) {
+	if f.r.usable(m, f.now) != (f.now >= f.r.members[2].bench.PausedUntil()) {
 		t.Error("it is tried once a second by each")
 	}
 }
@@ -75,7 +75,7 @@
 		f.word(1, peers.Primary, peers.Failing, 0)
 	}
 	m := f.r.members[1]
-	if !f.r.failures.More(&m.bench) || m.bench.Trial(f.now) {
+	if !f.r.failures.IsOutlier(&m.bench) || m.bench.AllowsTrial(f.now) {
 		t.Fatal("it doesn't count as failing, or is at its trial")
 	}
 	if !f.r.usable(m, f.now) {
@@ -129,15 +129,15 @@
 		f := settled(t, cfg, 4)
 		told := 0
 		for range 4 { // a position each period of pings
-			f.now += f.r.pings.Shortest()
+			f.now += f.r.pings.ShortestPeriod()
 			f.r.peers.Saw(f.now, 2, peers.Replica, f.now, f.now)
-			f.now += f.r.pings.Shortest() / 2 // its turn
+			f.now += f.r.pings.ShortestPeriod() / 2 // its turn
 			for _, fact := range f.r.peers.Due(f.now) {
 				if fact.Database == peers.Short(2) {
 					told++
 				}
 			}
-			f.now -= f.r.pings.Shortest() / 2
+			f.now -= f.r.pings.ShortestPeriod() / 2
 		}
 		if told != x.told {
 			t.Errorf("%d proxies: told %d times in four periods, %d expected", x.proxies, told, x.told)
--- a/logic/reload.go
+++ b/logic/reload.go
@@ -24,7 +24,7 @@
 	}
 	r.nobody.tally = append(r.nobody.tally, make([]Tally, len(classes)-len(r.nobody.tally))...)
 	r.cfg.MaxAttempts, r.cfg.MayComeBack, r.cfg.MaxComeBack = maxAttempts, mayComeBack, maxComeBack
-	r.pings.Tightest = tightest(next)
+	r.pings.TightestMaxAge = tightest(next)
 	return at
 }
 
--- a/logic/rounds.go
+++ b/logic/rounds.go
@@ -26,14 +26,14 @@
 func (r *Router) lookAround(now time.Duration) {
 	inRound := now >= r.rounds.nextAt
 	if inRound {
-		r.rounds.nextAt = now + ping.Rest
+		r.rounds.nextAt = now + ping.MaxDueDelay
 	}
 	awake := r.rounds.awake
 	r.rounds.awake, r.rounds.spare = r.rounds.spare[:0], awake
 	for _, m := range awake {
 		m.awake = false
 	}
-	if inRound && !r.pings.OnNeed() {
+	if inRound && !r.pings.OnDemand() {
 		r.visitAll(now, r.order)
 		return
 	}
@@ -82,7 +82,7 @@
 // seeksPrimary tells whether a group's members are looked at for want of a primary. Where checks go out on need, a request has them checked,
 // or the wait for another primary does.
 func (r *Router) seeksPrimary(now time.Duration, g *group) bool {
-	return g.primary == nil && (!r.pings.OnNeed() || g.lead.Searching(now, r.cfg.Fronts) > 0)
+	return g.primary == nil && (!r.pings.OnDemand() || g.lead.SearchInterval(now, r.cfg.Fronts) > 0)
 }
 
 // wake lets a member be looked at each time.
@@ -109,7 +109,7 @@
 
 // stir lets a group be looked at each time while something is to be done there by time alone, and its members while it looks for a primary.
 func (r *Router) stir(now time.Duration, g *group) {
-	if !g.stirs && g.lead.Stirs() {
+	if !g.stirs && g.lead.NeedsTick() {
 		g.stirs = true
 		r.stirring = append(r.stirring, g)
 	}
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -32,9 +32,9 @@
 	if m.State != Ready || m.seat.Silent {
 		return false
 	}
-	if r.failures.More(&m.bench) { // one trial at a time; a primary that fails often is all there is
-		trial := m.bench.Trial(now) && len(m.out) == 0
-		return trial && !m.bench.Rests(now) || m.role() == RolePrimary && (trial || !m.stuck)
+	if r.failures.IsOutlier(&m.bench) { // one trial at a time; a primary that fails often is all there is
+		trial := m.bench.AllowsTrial(now) && len(m.out) == 0
+		return trial && !m.bench.Paused(now) || m.role() == RolePrimary && (trial || !m.stuck)
 	}
 	return true
 }
@@ -43,7 +43,7 @@
 // that wait, the one sign of what other fronts send. Answers in time since then outrank a report.
 func (r *Router) crowded(now time.Duration, m *member, part float64) bool {
 	waits := m.queue >= queueLong && now-m.queueAt < reportLife
-	return waits && (m.Judged <= m.queueAt || m.Strain >= limit.High) || m.Filled(now, len(m.out), part, r.luck)
+	return waits && (m.LastAnswer <= m.queueAt || m.Strain >= limit.HighStrain) || m.Reached(now, len(m.out), part, r.luck)
 }
 
 // merit gives the part of a member's limit that the request may fill.
@@ -56,7 +56,7 @@
 	if q.over {
 		own *= r.cfg.OverShare
 	}
-	return limit.Merit(own, all)
+	return limit.LimitShare(own, all)
 }
 
 // choose gives the member for the request's next attempt, or nil and the hint for a refusal.
@@ -68,7 +68,7 @@
 			r.inquire(now, q, len(q.group.members), func(*member) bool { return true })
 			return nil, hintNoPrimary
 		}
-		if p.Filled(now, len(p.out), part, r.luck) || !r.bears(now, p, 1) {
+		if p.Reached(now, len(p.out), part, r.luck) || !r.bears(now, p, 1) {
 			return nil, hintCrowded
 		}
 		return p, 0
@@ -182,7 +182,7 @@
 
 // long tells of reads that may stall applying: spread at random they push each replica out of the filter.
 func (r *Router) long(q *request) bool {
-	return q.class.Read == Any && r.pings.Tightest > 0 && r.cost[q.Class] > r.pings.Tightest/longPart
+	return q.class.Read == Any && r.pings.TightestMaxAge > 0 && r.cost[q.Class] > r.pings.TightestMaxAge/longPart
 }
 
 // stragglers gives where long reads go: to the replicas furthest behind, as many as their part of the work
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -344,14 +344,14 @@
 // After a stall the answers that had waited with this front looked late, and cut the limits of all members.
 func TestStandingStillMovesNoLimit(t *testing.T) {
 	f := settled(t, testConfig(), 3)
-	before := f.r.members[1].Most
+	before := f.r.members[1].MaxInFlight
 	ids := []RequestID{f.request(clsUnsafe, 1), f.request(clsUnsafe, 2), f.request(clsUnsafe, 3)}
 	f.now += 900 * ms
 	f.end(f.mustSend(ids[0]), OK)
 	f.r.Timer(f.now, tickTimer)
 	f.end(f.mustSend(ids[1]), OK)
-	if m := f.r.members[1]; m.Most != before || m.Strain != 0 {
-		t.Errorf("limit %v of %v and strain %v after answers that waited with this front", m.Most, before, m.Strain)
+	if m := f.r.members[1]; m.MaxInFlight != before || m.Strain != 0 {
+		t.Errorf("limit %v of %v and strain %v after answers that waited with this front", m.MaxInFlight, before, m.Strain)
 	}
 	f.pass(600 * ms)
 	f.end(f.mustSend(ids[2]), OK)
@@ -367,7 +367,7 @@
 	sent := 0
 	for i := 0; i < 200; i++ {
 		for _, m := range f.r.order {
-			m.Most, m.Eased = 0.5, f.now
+			m.MaxInFlight, m.LastRaised = 0.5, f.now
 		}
 		id := f.request(clsAny, 0)
 		if s, ok := f.last(id); ok {
--- a/logic/state.go
+++ b/logic/state.go
@@ -35,21 +35,21 @@
 	order    []*member            // all members, in the order in which they were first listed
 	requests map[RequestID]*request
 	held     []*request
-	lead     *handover.Handover
+	lead     *handover.Tracker
 	pins     recent[pinKey, pin]
 	commits  commits
 
-	cost     []time.Duration // per class, the bare answer time
-	slow     []time.Duration // and the time past which an answer is overdue
-	quotas   limit.Quotas    // what tenants have asked for
-	missing  float64         // share of answers that don't come though their members answer in time, moving average
-	failures limit.Failures  // quick ones, at all members
-	retries  float64         // further attempts that may still be made
+	cost     []time.Duration      // per class, the bare answer time
+	slow     []time.Duration      // and the time past which an answer is overdue
+	quotas   limit.Quotas         // what tenants have asked for
+	missing  float64              // share of answers that don't come though their members answer in time, moving average
+	failures limit.FailureTracker // quick ones, at all members
+	retries  float64              // further attempts that may still be made
 
-	calls    limit.Calls // of the list
+	calls    limit.CallSchedule // of the list
 	pings    ping.Schedule
-	priority limit.Priority // among classes, at cold members
-	peers    *peers.Gossip  // what the other proxies have seen
+	priority limit.ColdPriority // among classes, at cold members
+	peers    *peers.Gossip      // what the other proxies have seen
 	refusals [RefusalReasons]uint64
 	looks    uint64      // at members, by time alone
 	checks   checkBudget // where the tier shares them
@@ -60,8 +60,8 @@
 	Member
 	listed   bool
 	group    *group
-	seat     *handover.Seat // its role, and the doubt whether it has started anew
-	position time.Duration  // it has applied all commits up to then; a lower bound that only grows
+	seat     *handover.Member // its role, and the doubt whether it has started anew
+	position time.Duration    // it has applied all commits up to then; a lower bound that only grows
 
 	ping      time.Duration // moving average; 0 = never answered
 	probing   bool
@@ -81,10 +81,10 @@
 
 	out []*attempt // this front's attempts there, oldest first
 	limit.Limit
-	account limit.Account // while cold
-	queue   float64       // requests that it last reported to be waiting
+	account limit.ColdBudget // while cold
+	queue   float64          // requests that it last reported to be waiting
 	queueAt time.Duration
-	bench   limit.Bench // where it fails more than the others
+	bench   limit.Breaker // where it fails more than the others
 }
 
 type group struct {
@@ -161,7 +161,7 @@
 }
 
 func (r *Router) newGroup(id GroupID) *group {
-	return &group{tally: make([]Tally, len(r.cfg.Classes)), lead: r.lead.Group(int(id))}
+	return &group{tally: make([]Tally, len(r.cfg.Classes)), lead: r.lead.NewGroup(int(id))}
 }
 
 // groupOf finds the group that a list names, or makes it.
@@ -182,14 +182,14 @@
 }
 
 // asHeld is the request as far as holding it is concerned.
-func (q *request) asHeld(cost, slow time.Duration, ahead int) handover.Held {
+func (q *request) asHeld(cost, slow time.Duration, ahead int) handover.HeldRequest {
 	width := 0
 	price := q.group.price()
 	if p := q.group.primary; p != nil {
-		width = int(p.Most / 2) // of what may be out there, a part waits
+		width = int(p.MaxInFlight / 2) // of what may be out there, a part waits
 	}
-	return handover.Held{ID: uint64(q.ID), At: q.at, Until: q.Deadline, Cost: cost, Slow: slow, Aim: q.class.Aim, Late: q.class.Late,
-		Worth: q.class.Worth, Price: price, Size: q.Size, Ran: q.ran, Was: q.waits, Ahead: ahead, Width: width}
+	return handover.HeldRequest{ID: uint64(q.ID), ReceivedAt: q.at, Deadline: q.Deadline, ServiceTime: cost, SlowServiceTime: slow, Aim: q.class.Aim, LateFactor: q.class.Late,
+		Worth: q.class.Worth, ShadowPrice: price, Size: q.Size, MayHaveRun: q.ran, AlreadyHeld: q.waits, QueuedAhead: ahead, Concurrency: width}
 }
 
 // usual is what an answer takes that is slow for its class, but not late.
@@ -206,7 +206,7 @@
 }
 
 // Between these strains of its members a group's work gets its price: the lower is that of members at ease.
-const strainFree, strainFull = 0.3, limit.High
+const strainFree, strainFull = 0.3, limit.HighStrain
 
 // price is what a second of the group's work earns, as far as there is none to spare: what a held request takes there,
 // others don't get.
@@ -225,7 +225,7 @@
 }
 
 // reborn forgets what only held of the process before: its failures, and what it had waiting. Its log it goes on with.
-func (m *member) reborn() { m.bench, m.queue, m.stuck = limit.Bench{}, 0, false }
+func (m *member) reborn() { m.bench, m.queue, m.stuck = limit.Breaker{}, 0, false }
 
 // role is what the member was when it last spoke.
 func (m *member) role() Role { return Role(m.seat.Role) }
