--- a/internal/state/show.go
+++ b/internal/state/show.go
@@ -111,9 +111,9 @@
 	}
 	for _, id := range f.planned.Groups() {
 		s := groups[id]
-		v := SwitchView{Group: int(id), Phase: s.Phase.String(), Duration: now - s.Since, NewPrimary: name(s.Primary), Rivals: s.Rivals, HeldRequests: s.Held,
-			HeldBytes: s.Bytes, ExpectedRemaining: s.Expected}
-		if s.Phase == handover.Unheard { // since the group is known, which is not what an operator asks
+		v := SwitchView{Group: int(id), Phase: s.Phase.String(), Duration: now - s.Since, NewPrimary: name(s.Primary), Rivals: s.RivalPrimaries, HeldRequests: s.Held,
+			HeldBytes: s.HeldBytes, ExpectedRemaining: s.ExpectedWait}
+		if s.Phase == handover.PhaseUndiscovered { // since the group is known, which is not what an operator asks
 			v.Duration = 0
 		} else if s.Primary == 0 {
 			v.Cause = s.Cause.String()
@@ -122,8 +122,8 @@
 	}
 	slices.SortFunc(out, func(a, b SwitchView) int { return cmp.Compare(a.Group, b.Group) })
 	for _, s := range ended {
-		out = append(out, SwitchView{Group: s.Group, Phase: "ended", Duration: s.Length, Cause: s.Cause.String(), OldPrimary: name(s.From), NewPrimary: name(s.To),
-			HeldRequests: s.Held, RefusedRequests: s.Refused})
+		out = append(out, SwitchView{Group: s.Group, Phase: "ended", Duration: s.Duration, Cause: s.Cause.String(), OldPrimary: name(s.OldPrimary), NewPrimary: name(s.NewPrimary),
+			HeldRequests: s.MaxHeld, RefusedRequests: s.Refused})
 	}
 	return out
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -61,7 +61,7 @@
 }
 func (b *bench) Timer(time.Duration, logic.TimerID)       { b.note("timer") }
 func (b *bench) Abandoned(time.Duration, logic.RequestID) { b.note("abandoned") }
-func (b *bench) ConnectionEvidence(_ time.Duration, _ logic.MemberID, what handover.Testimony, opened time.Duration) {
+func (b *bench) ConnectionEvidence(_ time.Duration, _ logic.MemberID, what handover.ConnectionEvidence, opened time.Duration) {
 	b.note("%s %v", [...]string{"answered", "ended", "mute"}[what], opened-clockBase)
 }
 func (b *bench) PeerFacts(_ time.Duration, facts []peers.Report) {
