--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -91,7 +91,7 @@
 	case sim.Outcome:
 		r.Outcome(now, e.Outcome)
 	case sim.Probed:
-		r.ProbeDone(now, e.Probed)
+		r.Probed(now, e.Probed)
 	case sim.Datagram:
 		if facts, err := peers.Parse(nil, e.Message, now, now); err == nil {
 			r.PeerFacts(now, facts)
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -58,10 +58,7 @@
 	count(friend, message, 1, 0)
 	count(stranger, message, 1, 1)
 	count(friend, message[:7], 1, 2)
-	loop.Post(func() {
-		front.Peers(p)
-		front.SendToPeers([]peers.Fact{{Database: 1, Role: peers.Replica, At: clock.Now()}})
-	})
+	loop.Post(func() { front.Peers(p); front.Push([]peers.Fact{{Database: 1, Role: peers.Replica, At: clock.Now()}}) })
 	buf := make([]byte, 512)
 	friend.SetReadDeadline(time.Now().Add(patience))
 	if n, err := friend.Read(buf); err != nil || n != len(message) {
--- a/internal/state/peers.go
+++ b/internal/state/peers.go
@@ -11,8 +11,8 @@
 // Peers sets what carries messages to the other proxies; without, what there is to tell is dropped.
 func (f *Front) Peers(t Teller) { f.teller = t }
 
-// SendToPeers implements logic.Actions.
-func (f *Front) SendToPeers(facts []peers.Fact) {
+// Push implements logic.Actions.
+func (f *Front) Push(facts []peers.Fact) {
 	if f.teller == nil {
 		return
 	}
--- a/internal/state/probes.go
+++ b/internal/state/probes.go
@@ -56,7 +56,7 @@
 
 // probeUnsent tells the router that a probe was never sent, which says nothing of its member.
 func (f *Front) probeUnsent(to logic.MemberID) {
-	f.tell(func() { f.router.ProbeDone(f.clock.Now(), logic.ProbeResult{Member: to, Result: logic.NotSent}) })
+	f.tell(func() { f.router.Probed(f.clock.Now(), logic.ProbeEnd{Member: to, Result: logic.NotSent}) })
 }
 
 func (f *Front) ask(l *link) {
@@ -90,8 +90,8 @@
 		defer w.askAgain()
 	}
 	f.checks.checked(f, m, r)
-	p := logic.ProbeResult{Member: m.id, Result: r.Result, Elapsed: took, Report: f.report(r), ConnOpenedAt: r.opened, DialRefused: r.refused}
-	f.tell(func() { f.router.ProbeDone(f.clock.Now(), p) })
+	p := logic.ProbeEnd{Member: m.id, Result: r.Result, Elapsed: took, Report: f.report(r), ConnOpenedAt: r.opened, DialRefused: r.refused}
+	f.tell(func() { f.router.Probed(f.clock.Now(), p) })
 }
 
 // testify ends a witness, and tells the router what became of it.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -20,7 +20,7 @@
 	now   time.Duration
 	conns []*conn
 	told  []string
-	probe logic.ProbeResult
+	probe logic.ProbeEnd
 	last  logic.Outcome
 	list  logic.MemberList
 	req   logic.Request
@@ -55,10 +55,7 @@
 	b.last = o
 	b.note("outcome %d finished=%v", o.Result, o.Finished)
 }
-func (b *bench) ProbeDone(_ time.Duration, p logic.ProbeResult) {
-	b.probe = p
-	b.note("probed %d", p.Result)
-}
+func (b *bench) Probed(_ time.Duration, p logic.ProbeEnd) { b.probe = p; b.note("probed %d", p.Result) }
 func (b *bench) Timer(time.Duration, logic.TimerID)       { b.note("timer") }
 func (b *bench) Abandoned(time.Duration, logic.RequestID) { b.note("abandoned") }
 func (b *bench) ConnectionEvidence(_ time.Duration, _ logic.MemberID, what handover.Testimony, opened time.Duration) {
--- a/internal/wire/sim/frames.go
+++ b/internal/wire/sim/frames.go
@@ -83,7 +83,7 @@
 	ID       logic.RequestID
 	Attempt  int
 	Outcome  logic.Outcome
-	Probed   logic.ProbeResult
+	Probed   logic.ProbeEnd
 	Timer    logic.TimerID
 	Message  []byte // of a peer
 }
@@ -264,7 +264,7 @@
 		e.Kind, e.Timer = Timer, logic.TimerID(rec.u64(5))
 	case codePong:
 		e.Kind = Probed
-		e.Probed = logic.ProbeResult{Member: rec.member(7), Elapsed: rec.micros(13), Report: sc.report(rec, 17)}
+		e.Probed = logic.ProbeEnd{Member: rec.member(7), Elapsed: rec.micros(13), Report: sc.report(rec, 17)}
 		e.Probed.Result, err = result(rec.u16(5))
 	case codeEnd:
 		e.Kind = Outcome
@@ -432,8 +432,8 @@
 	}
 }
 
-// SendToPeers implements logic.Actions.
-func (e *Encoder) SendToPeers(facts []peers.Fact) {
+// Push implements logic.Actions.
+func (e *Encoder) Push(facts []peers.Fact) {
 	if e.message = wirepeers.Append(e.message[:0], e.Now, e.Now, facts); len(e.message) > 0 {
 		e.Share(everyone, string(e.message))
 	}
--- a/logic/api.go
+++ b/logic/api.go
@@ -8,90 +8,90 @@
 	"havenproxy/internal/peers"
 )
 
-// All times are durations on the front's own clock, which starts anywhere and only moves forward.
-// All ids are opaque: the router compares them and hands them back, nothing more.
+// All times are durations on the proxy's own monotonic clock, whose origin is arbitrary. All IDs are opaque: the
+// router only compares them and returns them.
 type (
-	// MemberID names one process of a group; a machine that replaces another has a new one.
+	// MemberID identifies one process of a group. A machine that replaces another has a new ID.
 	MemberID uint64
-	// RequestID names one try of a client; it is never reused.
+	// RequestID identifies one request of a client, not counting the proxy's own retries. It is never reused.
 	RequestID uint64
-	// SessionID ties a session's writes and reads together; 0 means none.
+	// SessionID links the writes and reads of a session; 0 means that there is no session.
 	SessionID uint64
-	// GroupID names a set of members that hold the same data.
+	// GroupID identifies a set of members that hold the same data.
 	GroupID int
-	// TimerID is chosen by the router and handed back by Timer.
+	// TimerID is chosen by the router and passed back to Timer.
 	TimerID uint64
 )
 
-// Role is what a member was when it last spoke.
+// Role is the role that a member last reported.
 type Role uint8
 
-// The roles of a member.
+// Roles of a member.
 const (
 	RoleUnknown Role = iota
 	RolePrimary
 	RoleReplica
 )
 
-// Freshness says what data a request class needs.
+// Freshness is the consistency that a request class requires of the data.
 type Freshness uint8
 
-// The kinds of request class.
+// Kinds of freshness.
 const (
-	Any     Freshness = iota // any member's data will do
-	Bounded                  // data at most Class.MaxAge old when sent
-	Session                  // all that the session has written
-	Fresh                    // all that was committed before the request arrived
-	Write                    // only the primary takes it
+	Any     Freshness = iota // any member qualifies
+	Bounded                  // data at most Class.MaxAge old at the time of sending
+	Session                  // includes all earlier writes of the session
+	Fresh                    // includes all commits before the request arrived; only the primary qualifies
+	Write                    // only the primary accepts it
 )
 
-// Effect says what a repeated attempt does.
+// Effect states whether an attempt may be repeated.
 type Effect uint8
 
-// The kinds of effect.
+// Kinds of effect.
 const (
 	Idempotent Effect = iota // safe to repeat
-	Guarded                  // carries a key; repeats are dropped for Class.DedupWindow
-	SingleShot               // must never run twice
+	Guarded                  // carries a deduplication key; members drop repeats for Class.DedupWindow
+	SingleShot               // must not be executed twice
 )
 
-// KeyScope says which members drop the repeats of a Guarded class.
+// KeyScope states which members recognize a repeat of a Guarded request by its key.
 type KeyScope uint8
 
-// The scopes of a key.
+// Scopes of a deduplication key.
 const (
 	ScopeAll  KeyScope = iota // all members
 	ScopeZone                 // members of the same zone
 	ScopeCell                 // members of the same group
 )
 
-// LagCheck says what a member does with a read for which it lags too far behind.
+// LagCheck states what a member does with a read for which it lags too far behind.
 type LagCheck uint8
 
-// The kinds of member-side checks.
+// Kinds of lag check.
 const (
-	LagCheckNone   LagCheck = iota // answers from what it has
-	LagCheckRefuse                 // answers OutcomeMiss at once
-	LagCheckWait                   // waits a little, then OutcomeMiss
+	LagCheckNone   LagCheck = iota // answers from the data that it has
+	LagCheckRefuse                 // answers Misdirected at once
+	LagCheckWait                   // waits briefly, then answers Misdirected
 )
 
-// ListRole says how far the member list tells who is primary.
+// ListRole states whether the member list names the primary, and how current that is.
 type ListRole uint8
 
-// The kinds of role in lists.
+// Kinds of list role.
 const (
-	ListRoleNone  ListRole = iota // never
-	ListRoleStart                 // as it was at the start
-	ListRoleLate                  // seconds late
+	ListRoleNone  ListRole = iota // the list never names the primary
+	ListRoleStart                 // the list names the primary as of its start
+	ListRoleLate                  // the list names the primary with a delay of seconds
 )
 
-// Class describes one class of request.
+// Class describes one class of requests.
 type Class struct {
 	Name        string
 	Read        Freshness
-	MaxAge      time.Duration // for Bounded
-	Aim         time.Duration // answers within it earn the full worth
-	Limit       time.Duration // the client's patience over all its tries
+	MaxAge      time.Duration // for Bounded reads
+	Aim         time.Duration // target latency: answers within it earn the full worth
+	Limit       time.Duration // how long the client waits, over all its tries
 	Effect      Effect
 	Scope       KeyScope
 	DedupWindow time.Duration
@@ -103,58 +103,60 @@
 // Tenant describes one customer.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second over all fronts; 0 = no quota
+	Quota float64 // requests per second over all proxies; 0 = no quota
 }
 
-// Config is all that a router is told at its start. Every field is a fact about the deployment; the zero
-// value of an optional one means "not so" or "none".
+// Config describes the deployment to a new router. The zero value of an optional field means "no" or "none".
 type Config struct {
-	Seed    uint64 // for the router's own random numbers
-	Proxies int    // how many fronts share the traffic
-	Zone    int    // the zone of this front
-
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64 // worth of a request beyond its tenant's share, as a part of its class's
-
-	Tick          time.Duration // the front hands over events no more often than this
-	ListOnRequest bool          // the member list comes only when asked for (Watch, Fetch)
-	// ListFromAgent tells that an agent on this machine has the list, and that what the agent has counts as told from the router's first event on:
-	// a fresh router holds requests until the first call for it has ended. With Pull.
+	Seed    uint64 // of the router's random number generator
+	Proxies int    // number of proxies that share the traffic
+	Zone    int    // of this proxy
+
+	Classes []Class
+	Tenants []Tenant
+	// OverShareWorth is the worth of a request beyond its tenant's quota, as a fraction of its class's worth.
+	OverShareWorth float64
+
+	Tick          time.Duration // shortest interval between the proxy's calls of the router
+	ListOnRequest bool          // the member list is only delivered on request (WatchList, FetchList)
+	// ListFromAgent states that an agent on this machine has the list, so that the router is expected to know the
+	// agent's list from its first event on: a new router holds requests until its first call for the list has
+	// ended. Requires ListOnRequest.
 	ListFromAgent bool
-	// ListMaxDelay is by when a change of the list has to be known here, counted from when the list's service had it and could be reached,
-	// whatever call to it failed before; 0 = limit.DefaultBound.
-	ListMaxDelay  time.Duration
-	ListRole      ListRole
-	SessionTokens bool // requests carry their session's token; otherwise the router remembers commits
+	// ListMaxDelay bounds the time until a change of the list is known here, counted from when the list's service
+	// had the change and was reachable, whichever call failed before; 0 = limit.DefaultBound.
+	ListMaxDelay time.Duration
+	ListRole     ListRole
+	// SessionTokens states that requests carry their session's token; otherwise the router remembers commits.
+	SessionTokens bool
 	LagCheck      LagCheck
 
 	EnableProbes     bool
-	MaxConnections   int // to members that this front may have at once; 0 = any number
+	MaxConnections   int // to members, that this proxy may have open at once; 0 = unlimited
 	EnableCancel     bool
-	ParallelAttempts bool // two attempts of one request may be out together
-	MaxPeerFacts     int  // how many facts a message to all peers holds; 0 = there is no talk
-	EnableRetryAfter bool // clients are told when to come back
+	ParallelAttempts bool // two attempts of one request may be in flight at once
+	MaxPeerFacts     int  // number of facts in a message to all peers; 0 = proxies exchange no facts
+	EnableRetryAfter bool // refusals carry a retry-after hint
 	MaxAttempts      int
-	MaxRetryAfter    time.Duration // longest hint that clients heed
+	MaxRetryAfter    time.Duration // longest hint that clients respect
 
-	ColdPeriod       time.Duration // a started member is warm after this at most
-	ColdShare        float64       // a started member's capacity is at least this part of its usual one
-	OverloadMultiple float64       // a cold member that is sent more than this times its capacity falls over
-	IgnoreGone       bool          // only a listed drain binds, "gone" doesn't
+	ColdPeriod       time.Duration // a started member has its full capacity after this time at the latest
+	ColdShare        float64       // least capacity of a started member, as a fraction of its usual one
+	OverloadMultiple float64       // a cold member that receives more than this multiple of its capacity fails
+	IgnoreGone       bool          // a member listed as gone, or no longer listed, stays usable; only a listed drain excludes it
 
-	Handover handover.Config // what is held while a group has no primary; nothing by itself
+	Handover handover.Config // holding of requests while a group has no primary; the zero value holds none
 	Tuning   Tuning
 }
 
-// Tuning is what an operator may set otherwise than the design and this project's measurements have it. The zero value of a
-// field takes the default that its comment names.
+// Tuning holds the settings that an operator may change from their measured defaults. A zero field takes the
+// default given in its comment.
 type Tuning struct {
-	PingWindow time.Duration // how much slower than the quickest ping a candidate may be; 15 ms
-	FirstLimit float64       // attempts that all fronts together may have out at an unknown member; 36
+	PingWindow time.Duration // how much slower than the lowest ping time a candidate may be; 15 ms
+	FirstLimit float64       // attempts that all proxies together may have in flight at an unknown member; 36
 }
 
-// WithDefaults fills in what is not set.
+// WithDefaults returns t with the defaults for the fields that are zero.
 func (t Tuning) WithDefaults() Tuning {
 	if t.PingWindow == 0 {
 		t.PingWindow = 15 * time.Millisecond
@@ -165,65 +167,65 @@
 	return t
 }
 
-// Request is one try of a client.
+// Request is one request from a client. A retry by the client is another Request with a new ID.
 type Request struct {
 	ID        RequestID
 	Class     int // index into Config.Classes
 	Tenant    int // index into Config.Tenants
 	Group     GroupID
 	Session   SessionID
-	ClientKey uint64        // the same with each try of one caller, for draws; 0 = each request by itself
-	Deadline  time.Duration // when the client gives this try up
-	TokenAge  time.Duration // Config.SessionTokens: how long ago the session's last write was committed; 0 = none
-	Retry     bool          // the client says that it is a repeat
-	Size      int           // in bytes; 0 = not told
+	ClientKey uint64        // the same for all tries of one client, for sampling by client; 0 = each request is its own client
+	Deadline  time.Duration // when the client gives up
+	TokenAge  time.Duration // with Config.SessionTokens: time since the session's last write was committed; 0 = none
+	Retry     bool          // the client marked it as a retry
+	Size      int           // in bytes; 0 = unknown
 }
 
 // Result is how an attempt or a probe ended.
 type Result uint8
 
-// The results. NeverRan tells which of them prove that the attempt had no effect.
+// Results. NeverRan reports which of them prove that the attempt was not executed.
 const (
 	OK            Result = iota
-	Misdirected          // turned away untouched: not the primary, or too far behind
-	Failed               // the member answered with an error; it may have run
-	Rejected             // turned away unseen: queue full or draining
-	TimedOut             // no answer in time; it may have run
-	ConnectFailed        // no connection could be made
-	Reset                // the connection broke; it may have run
-	Cancelled            // withdrawn; it may have run
-	NotSent              // never sent
+	Misdirected          // rejected without effect: the member is not the primary or is too far behind
+	Failed               // the member answered with an error; it may have been executed
+	Rejected             // rejected before being read: the member's queue is full or it drains
+	TimedOut             // no answer in time; it may have been executed
+	ConnectFailed        // no connection could be opened
+	Reset                // the connection broke; it may have been executed
+	Cancelled            // cancelled by the proxy; it may have been executed
+	NotSent              // the proxy never sent it
 )
 
-// NeverRan tells whether the result proves that nothing ran.
+// NeverRan reports whether the result proves that the attempt was not executed.
 func (r Result) NeverRan() bool {
 	return r == Misdirected || r == Rejected || r == ConnectFailed || r == NotSent
 }
 
-// Outcome is the end of one attempt; every Send gets exactly one.
+// Outcome is the end of one attempt. Every Send is followed by exactly one.
 type Outcome struct {
 	Request      RequestID
-	Attempt      int // 0 for the request's first Send, then 1, 2 ...
+	Attempt      int // 0 for the request's first Send, then 1, 2, and so on
 	Member       MemberID
 	Result       Result
 	Elapsed      time.Duration
-	Finished     bool          // the request has had its final answer; a first OK gives it by itself
-	Role         Role          // what the answer told of the member's role
-	Position     time.Duration // all commits up to then are applied (rounded down); of an OK write: its commit
-	Load         Report        // where answers carry reports
-	ConnOpenedAt time.Duration // since when the connection was up that brought the answer; 0 = not told
-	DialRefused  bool          // of ConnectFailed: the dial was refused, so nothing listens there
+	Finished     bool          // the request has its final answer; the first OK always is one
+	Role         Role          // as the answer reported it
+	Position     time.Duration // the member has applied all commits up to this time (rounded down); for a write that is OK, its commit
+	Load         Report        // the member's report, where answers carry one
+	ConnOpenedAt time.Duration // when the connection that brought the answer was opened; 0 = unknown
+	DialRefused  bool          // with ConnectFailed: the dial was refused, so nothing listens at the address
 }
 
-// Report is what a member says of itself, somewhat old.
+// Report is a member's report on itself, which may be slightly outdated.
 type Report struct {
 	Role     Role
-	Position time.Duration // 0 = not told; never later than the truth
-	Queue    float64       // requests waiting; negative = not told
+	Position time.Duration // 0 = unknown; never later than the true position
+	Queue    float64       // number of waiting requests; negative = unknown
 }
 
-// ProbeResult is the result of one Probe.
-type ProbeResult struct {
+// ProbeEnd is the end of one Probe.
+type ProbeEnd struct {
 	Member       MemberID
 	Result       Result
 	Elapsed      time.Duration
@@ -232,10 +234,10 @@
 	DialRefused  bool          // as in Outcome
 }
 
-// MemberState is what the list knows of a member's process.
+// MemberState is the state of a member's process according to the list.
 type MemberState uint8
 
-// The states of a listed member.
+// States of a listed member.
 const (
 	Gone MemberState = iota
 	Ready
@@ -250,50 +252,50 @@
 	State     MemberState
 	Primary   bool
 	Size      float64
-	StartedAt time.Duration // when its process last started; 0 = long ago
+	StartedAt time.Duration // when its process last started; 0 = long ago or unknown
 }
 
-// ListKind says how a list event relates to what came before.
+// ListKind states how a list event relates to the earlier ones.
 type ListKind uint8
 
-// The kinds of list events.
+// Kinds of list event.
 const (
 	ListDelta  ListKind = iota // changed entries only
 	ListFull                   // the whole list
-	ListCached                 // the whole list as last held, perhaps out of date
-	ListFailed                 // a call failed or the watch broke; nothing is changed
+	ListCached                 // a stored copy of the whole list, possibly outdated
+	ListFailed                 // a call failed or the watch broke; the list is unchanged
 )
 
-// MemberList is news of the members.
+// MemberList is an event of the member list.
 type MemberList struct {
 	Kind    ListKind
-	Entries []Member // valid only during the call
+	Entries []Member // only valid during the call
 }
 
-// Events are what a front tells its router. Calls must come one at a time, with a clock that never goes back.
+// Events are the calls that a proxy makes to its router. They must not be concurrent, and now must not decrease.
 type Events interface {
 	Members(now time.Duration, l MemberList)
 	Request(now time.Duration, q Request)
-	ResponseStarted(now time.Duration, id RequestID, attempt int) // a streamed answer has begun
+	ResponseStarted(now time.Duration, id RequestID, attempt int) // the first part of a streamed answer has arrived
 	Outcome(now time.Duration, o Outcome)
-	ProbeDone(now time.Duration, p ProbeResult)
+	Probed(now time.Duration, p ProbeEnd)
 	Timer(now time.Duration, id TimerID)
-	// ConnectionEvidence tells what became of a connection from before a silence, up since opened.
-	ConnectionEvidence(now time.Duration, id MemberID, what handover.Testimony, opened time.Duration)
-	PeerFacts(now time.Duration, facts []peers.Fact) // what a peer tells; valid during the call only
-	Abandoned(now time.Duration, id RequestID)       // the client left; nothing more is owed
+	// ConnectionEvidence reports what became of a connection that was opened before the member fell silent.
+	ConnectionEvidence(now time.Duration, id MemberID, evidence handover.Testimony, connOpenedAt time.Duration)
+	PeerFacts(now time.Duration, facts []peers.Fact) // facts received from a peer, only valid during the call
+	Abandoned(now time.Duration, id RequestID)       // the client has left; it needs no answer
 }
 
-// Actions are what a router asks of its front, at the time of the event that it is handling.
+// Actions are the calls that a router makes to its proxy while it handles an event.
 type Actions interface {
 	Send(id RequestID, to MemberID, timeout time.Duration)
 	Probe(to MemberID)
-	Refuse(id RequestID, comeBack time.Duration) // final: it is safe to try again, best after comeBack
-	Fail(id RequestID)                           // final: nothing is promised about the effect
+	Refuse(id RequestID, retryAfter time.Duration) // final answer: the client may safely retry, preferably after retryAfter
+	Fail(id RequestID)                             // final answer: the request may have been executed
 	Cancel(id RequestID, attempt int)
 	SetTimer(id TimerID, at time.Duration)
-	WatchList(on bool)        // ask the list for changes from now on
-	FetchList()               // ask for the whole list once
-	SendToPeers([]peers.Fact) // to all peers, in one message; valid during the call only
+	WatchList(on bool) // request changes of the list from now on
+	FetchList()        // request the whole list once
+	Push([]peers.Fact) // send facts to all peers in one message; the slice is only valid during the call
 	Log(text string)
 }
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -9,15 +9,15 @@
 )
 
 // coldFront is a front with what it has sent in the last step.
-type coldFront struct {
-	*front
-	out []sent
+type coldProxy struct {
+	*testProxy
+	inFlight []sentAttempt
 }
 
 // coldTier plays proxies that don't talk, each with few requests, before a group in which one member has just started, and gives by how much the
 // fullest window of what all of them send there goes beyond N + 2 root N + 2, N being what the settings allow in it where the group's other members
 // are just full. Proxies die and start meanwhile, and one runs beside its successor.
-func coldTier(t *testing.T, proxies int, seed uint64, cold time.Duration) (beyond float64, sentThere int) {
+func simulateColdTier(t *testing.T, proxies int, seed uint64, cold time.Duration) (beyond float64, sentThere int) {
 	const (
 		step   = 20 * ms
 		window = 2 * time.Second
@@ -28,20 +28,20 @@
 	rng := rand.New(rand.NewPCG(seed, uint64(proxies)))
 	cfg := testConfig()
 	cfg.Proxies, cfg.ColdPeriod = proxies, cold
-	start := func(now time.Duration, born time.Duration) *coldFront {
+	start := func(now time.Duration, born time.Duration) *coldProxy {
 		cfg.Seed = rng.Uint64()
-		f := &coldFront{front: newFront(t, cfg)}
+		f := &coldProxy{testProxy: newTestProxy(t, cfg)}
 		f.now = now
-		f.list(ListCached, 4)
+		f.listMembers(ListCached, 4)
 		if born > 0 {
-			f.r.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: born}}})
+			f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: born}}})
 		}
 		return f
 	}
 	now := 1000 * time.Second
-	var all [][]*coldFront // the processes at each proxy's place: one, or two for a while
+	var all [][]*coldProxy // the processes at each proxy's place: one, or two for a while
 	for range proxies {
-		all = append(all, []*coldFront{start(now, 0)})
+		all = append(all, []*coldProxy{start(now, 0)})
 	}
 	var born time.Duration
 	var there []time.Duration
@@ -52,7 +52,7 @@
 			born = now
 			for _, place := range all {
 				for _, f := range place {
-					f.r.Members(now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: born}}})
+					f.router.Members(now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: born}}})
 				}
 			}
 		}
@@ -63,18 +63,18 @@
 			case rng.IntN(2) == 0:
 				all[i] = append(place, start(now, born))
 			default:
-				all[i] = []*coldFront{start(now, born)}
+				all[i] = []*coldProxy{start(now, born)}
 			}
 		}
 		for _, place := range all {
 			for _, f := range place {
 				f.now = now
-				for _, s := range f.out { // what went out a step ago
-					f.end(s, OK)
+				for _, s := range f.inFlight { // what went out a step ago
+					f.finishAttempt(s, OK)
 				}
-				f.out = f.out[:0]
-				f.r.Timer(now, tickTimer)
-				f.pongs()
+				f.inFlight = f.inFlight[:0]
+				f.router.Timer(now, tickTimer)
+				f.answerPings()
 			}
 			if rng.Float64() >= rate*step.Seconds() {
 				continue
@@ -82,7 +82,7 @@
 			f := place[rng.IntN(len(place))]
 			f.sends = f.sends[:0]
 			f.request(clsSession, 0)
-			f.pongs()
+			f.answerPings()
 			for _, s := range f.sends {
 				switch {
 				case s.to == 2 && born > 0:
@@ -90,7 +90,7 @@
 				case s.to > 2 && born > 0:
 					others++
 				}
-				f.out = append(f.out, s)
+				f.inFlight = append(f.inFlight, s)
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 	sent := 0
 	for _, proxies := range []int{20, 30} {
 		for seed := range uint64(seeds) {
-			beyond, n := coldTier(t, proxies, seed, 16*time.Second)
+			beyond, n := simulateColdTier(t, proxies, seed, 16*time.Second)
 			if sent += n; beyond > 0 {
 				t.Fatalf("%d proxies, seed %d: %.1f requests beyond the budget", proxies, seed, beyond)
 			}
--- a/logic/draws.go
+++ b/logic/draws.go
@@ -3,68 +3,70 @@
 import "time"
 
 const (
-	heavyPart = 16          // who sends more than one in so many of a second's requests is a heavy caller,
-	heavyMin  = 8           // if that is more than so many
-	againIn   = time.Second // a class asked for again by the same caller behind a refusal is no new demand
+	heavyDivisor = 16          // a client with more than 1/heavyDivisor of a second's requests counts as heavy,
+	heavyMinimum = 8           // if it sends more than this many requests
+	repeatWindow = time.Second // a request that follows a refusal of the same client and class within this time is not new demand
 )
 
-// draws remembers, in little room, who was refused last and who asks for much.
-type draws struct {
+// demandTracker remembers, in a fixed amount of memory, which clients were refused lately and which send many
+// requests. Clients that share a hash slot are not told apart.
+type demandTracker struct {
 	refused [256]struct {
 		key uint64
 		at  time.Duration
 	}
-	asked  [64]uint16 // requests of this second, by a part of their callers' hashes
-	second time.Duration
-	all    int // requests of this second
-	before int // and of the one before
+	clientCounts  [64]uint16 // requests of the current window, by hash slot of their clients
+	windowStart   time.Duration
+	total         int // requests of the current window
+	previousTotal int // requests of the window before
 }
 
-// mix is the finisher of splitmix64 (Steele, Lea, Flood, 2014).
-func mix(x uint64) uint64 {
+// splitmix64 is the finalizer of SplitMix64 (Steele, Lea, Flood, 2014).
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// note counts a request towards its caller's and tells whether the caller is a heavy one.
-func (d *draws) note(now time.Duration, h uint64) bool {
-	if now-d.second >= time.Second {
-		if d.before = d.all; now-d.second >= 2*time.Second {
-			d.before = 0
+// countRequest counts a request of the client with the given hash and reports whether the client is heavy.
+func (d *demandTracker) countRequest(now time.Duration, clientHash uint64) bool {
+	if now-d.windowStart >= time.Second {
+		if d.previousTotal = d.total; now-d.windowStart >= 2*time.Second {
+			d.previousTotal = 0
 		}
-		d.second, d.all = now, 0
-		for i := range d.asked { // half of the last second's weight stays
-			d.asked[i] /= 2
+		d.windowStart, d.total = now, 0
+		for i := range d.clientCounts { // keep half of the previous window's weight
+			d.clientCounts[i] /= 2
 		}
 	}
-	d.all++
-	n := &d.asked[h%uint64(len(d.asked))]
-	if *n < 1<<15 {
-		*n++
+	d.total++
+	count := &d.clientCounts[clientHash%uint64(len(d.clientCounts))]
+	if *count < 1<<15 {
+		*count++
 	}
-	return int(*n) > max(heavyMin, max(d.all, d.before)/heavyPart)
+	return int(*count) > max(heavyMinimum, max(d.total, d.previousTotal)/heavyDivisor)
 }
 
-// again tells whether the same caller was refused the same class a moment ago.
-func (d *draws) again(now time.Duration, h uint64) bool {
-	x := &d.refused[h%uint64(len(d.refused))]
-	return x.key == h && now-x.at < againIn
+// recentlyRefused reports whether a request with the same client and class was refused within repeatWindow.
+func (d *demandTracker) recentlyRefused(now time.Duration, key uint64) bool {
+	slot := &d.refused[key%uint64(len(d.refused))]
+	return slot.key == key && now-slot.at < repeatWindow
 }
 
-// refuse notes a refusal. One within the time of an earlier one doesn't lengthen it: who asks on and on is demand.
-func (d *draws) refuse(now time.Duration, h uint64) {
-	if x := &d.refused[h%uint64(len(d.refused))]; !d.again(now, h) {
-		x.key, x.at = h, now
+// recordRefusal records a refusal. It does not extend the window of an earlier one: a client that keeps asking is
+// demand.
+func (d *demandTracker) recordRefusal(now time.Duration, key uint64) {
+	if slot := &d.refused[key%uint64(len(d.refused))]; !d.recentlyRefused(now, key) {
+		slot.key, slot.at = key, now
 	}
 }
 
-// callerKey names a request's caller together with its class.
-func callerKey(q *Request) uint64 {
-	who := q.ClientKey
-	if who == 0 {
-		who = uint64(q.ID)
+// demandKey returns the hash of a request's client and class.
+func demandKey(q *Request) uint64 {
+	client := q.ClientKey
+	if client == 0 {
+		client = uint64(q.ID)
 	}
-	return mix(mix(who) + uint64(q.Class))
+	return splitmix64(splitmix64(client) + uint64(q.Class))
 }
--- a/logic/ending.go
+++ b/logic/ending.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// FinishAll gives every open request its final answer now, in the order in which they came: refused where nothing of it can have run, failed
-// elsewhere. It is for a front that ends before their deadlines: what its process takes with it unanswered would be lost.
+// FinishAll gives every open request its final answer, in order of arrival: a refusal if it cannot have been
+// executed, a failure otherwise. It is for a proxy that stops before the requests' deadlines, whose clients would
+// otherwise get no answer.
 func (r *Router) FinishAll(now time.Duration) {
-	r.begin(now)
+	r.ensureStarted(now)
 	ids := make([]RequestID, 0, len(r.requests))
 	for id := range r.requests {
 		ids = append(ids, id)
--- a/logic/facts.go
+++ b/logic/facts.go
@@ -6,135 +6,139 @@
 	"havenproxy/internal/handover"
 )
 
-// What a router tells of its groups to those who plan; nothing here decides.
+// Statistics of groups and members for planners and displays. Nothing here makes a decision.
 
-// ClassCounts counts what became of a class's requests in a group.
+// ClassCounts counts how the requests of one class in one group ended.
 type ClassCounts struct {
-	Offered     int           // anew: repeats of what was refused a moment ago are none
-	Retries     int           // those
-	Shed        int           // of Offered, turned away by the plan
-	InTime      int           // answered in time,
-	Late        int           // too late, or its client has left
-	Refused     int           // turned away by limits
-	NoPrimary   int           // refused for want of a primary: no sign of load
+	Offered     int           // new requests; those that follow a recent refusal count as Retries
+	Retries     int           // requests of a client that was refused the same class a moment ago
+	Shed        int           // of Offered: refused by the admission plan
+	InTime      int           // answered within Class.Aim
+	Late        int           // answered later, or abandoned by the client
+	Refused     int           // refused by limits
+	NoPrimary   int           // refused because there is no primary, which does not indicate load
 	Failed      int           // answered with a failure
-	ServiceTime time.Duration // bare answer time, as learned
+	ServiceTime time.Duration // estimated answer time without queueing
 }
 
-// GroupStats is what a router knows of a group's state.
+// GroupStats is the router's view of a group.
 type GroupStats struct {
-	ReadyMembers  int           // that are ready
-	UsableMembers int           // and not silent
-	WarmCapacity  float64       // sum of the usable ones' parts of their capacity
+	ReadyMembers  int           // members in state Ready
+	UsableMembers int           // ready members that are not silent
+	WarmCapacity  float64       // sum of the usable members' capacities, each as a fraction of its usual one
 	HasPrimary    bool          // a primary is known
-	LatencyRatio  float64       // mean of the usable ones' answer times over aims
-	Classes       []ClassCounts // since the last time
+	LatencyRatio  float64       // mean of the usable members' answer times over their aims
+	Classes       []ClassCounts // counts since the last call
 }
 
-// Groups gives the groups that a list has named, in the order of their first listing.
-func (r *Router) Groups() []GroupID { return r.listed }
+// Groups returns the groups that a list has named, in order of their first listing. The caller must not change the
+// slice.
+func (r *Router) Groups() []GroupID { return r.groupOrder }
 
-// GroupStats gives what is known of a group, and begins its counts anew. The slice in out is used again.
-func (r *Router) GroupStats(now time.Duration, id GroupID, out *GroupStats) bool {
+// GroupStats writes the statistics of a group to stats, whose slice it reuses, and resets the group's counts. It
+// returns false if the group is unknown.
+func (r *Router) GroupStats(now time.Duration, id GroupID, stats *GroupStats) bool {
 	g := r.groups[id]
 	if g == nil {
 		return false
 	}
-	*out = GroupStats{HasPrimary: g.primary != nil, Classes: append(out.Classes[:0], g.tally...)}
-	for i := range out.Classes {
-		out.Classes[i].ServiceTime = r.cost[i]
-		g.tally[i] = ClassCounts{}
+	*stats = GroupStats{HasPrimary: g.primary != nil, Classes: append(stats.Classes[:0], g.counts...)}
+	for i := range stats.Classes {
+		stats.Classes[i].ServiceTime = r.serviceTime[i]
+		g.counts[i] = ClassCounts{}
 	}
 	for _, m := range g.members {
 		if m.State != Ready {
 			continue
 		}
-		out.ReadyMembers++
-		if m.seat.Silent {
+		stats.ReadyMembers++
+		if m.handover.Silent {
 			continue
 		}
-		out.UsableMembers++
-		out.LatencyRatio += m.Strain
-		out.WarmCapacity += r.warmth(now, m)
+		stats.UsableMembers++
+		stats.LatencyRatio += m.Strain
+		stats.WarmCapacity += r.warmCapacity(now, m)
 	}
-	out.LatencyRatio /= float64(max(out.UsableMembers, 1))
+	stats.LatencyRatio /= float64(max(stats.UsableMembers, 1))
 	return true
 }
 
-// warmth is the part of its usual work that a member can be taken to do: less while it is cold, or as far as it may be.
-func (r *Router) warmth(now time.Duration, m *member) float64 {
-	from, sure := m.seat.Cold(now, r.cfg.ColdPeriod)
-	if sure == 0 {
+// warmCapacity returns the capacity to expect of a member as a fraction of its usual one. It is below 1 while the
+// member is cold, weighted by how certain that is.
+func (r *Router) warmCapacity(now time.Duration, m *member) float64 {
+	startedAt, certainty := m.handover.Cold(now, r.cfg.ColdPeriod)
+	if certainty == 0 {
 		return 1
 	}
-	return 1 - sure*(1-r.warmthSince(now, from))
+	return 1 - certainty*(1-r.warmCapacitySince(now, startedAt))
 }
 
-// warmthSince is that of a member that started then.
-func (r *Router) warmthSince(now, from time.Duration) float64 {
-	return r.cfg.ColdShare + (1-r.cfg.ColdShare)*max(0, float64(now-from))/float64(r.cfg.ColdPeriod)
+// warmCapacitySince returns the capacity of a member that started at startedAt.
+func (r *Router) warmCapacitySince(now, startedAt time.Duration) float64 {
+	return r.cfg.ColdShare + (1-r.cfg.ColdShare)*max(0, float64(now-startedAt))/float64(r.cfg.ColdPeriod)
 }
 
-// Excluded tells whether nothing new goes to a member by now: it drains or is gone, is silent, or fails more than others.
+// Excluded reports whether a member gets no new requests at the moment: it drains, is gone, is silent, or fails
+// more often than others.
 func (r *Router) Excluded(now time.Duration, id MemberID) bool {
 	m := r.members[id]
 	return m != nil && !r.usable(m, now)
 }
 
-// Handovers gives the groups' places with their primaries, and the last switches that have ended, the newest first.
-func (r *Router) Handovers(now time.Duration) (groups map[GroupID]handover.Status, ended []handover.Switch) {
+// Handovers returns the state of each group's primary and the latest completed switches of primary, newest first.
+func (r *Router) Handovers(now time.Duration) (groups map[GroupID]handover.Status, completed []handover.Switch) {
 	groups = map[GroupID]handover.Status{}
-	for _, id := range r.listed {
-		groups[id] = r.groups[id].lead.Status(now)
+	for _, id := range r.groupOrder {
+		groups[id] = r.groups[id].handover.Status(now)
 	}
-	return groups, r.lead.Ended()
+	return groups, r.handover.Ended()
 }
 
-// SetHandoverConfig puts other settings for switches into force.
-func (r *Router) SetHandoverConfig(cfg handover.Config) { r.lead.Configure(cfg) }
+// SetHandoverConfig replaces the settings for switches of primary.
+func (r *Router) SetHandoverConfig(cfg handover.Config) { r.handover.Configure(cfg) }
 
-// SetTuning puts another tuning into force; limits that stand already go on from where they are.
+// SetTuning replaces the tuning. Existing limits continue from their present values.
 func (r *Router) SetTuning(t Tuning) { r.cfg.Tuning = t.WithDefaults() }
 
-// tallyOf is where a request is counted.
-func (q *request) tallyOf() *ClassCounts { return &q.group.tally[q.Class] }
+// classCounts returns the counts to which the request belongs.
+func (q *request) classCounts() *ClassCounts { return &q.group.counts[q.Class] }
 
-// drawKey names the request's caller and class.
-func (q *request) drawKey() uint64 { return callerKey(&q.Request) }
+// demandKey returns the hash of the request's client and class.
+func (q *request) demandKey() uint64 { return demandKey(&q.Request) }
 
-// countEnd counts how a request ended whose outcome finished it.
-func (q *request) countEnd(now time.Duration, o Outcome) {
-	switch t := q.tallyOf(); {
-	case o.Result != OK: // abandoned, and counted then, or unfit, which is nobody's load
-	case now-q.at <= q.class.Aim:
-		t.InTime++
+// countOutcome counts a request by the outcome that ended it.
+func (q *request) countOutcome(now time.Duration, o Outcome) {
+	switch counts := q.classCounts(); {
+	case o.Result != OK: // already counted as abandoned, or unsuitable, which does not indicate load
+	case now-q.arrivedAt <= q.class.Aim:
+		counts.InTime++
 	default:
-		t.Late++
+		counts.Late++
 	}
 }
 
-// MemberStats is what a router knows of a member.
+// MemberStats is the router's view of a member.
 type MemberStats struct {
 	Group        GroupID
 	Role         Role
 	Silent       bool
-	Failing      bool // it fails more than others, and is tried now and then only
+	Failing      bool // it fails more often than others and only gets occasional trial requests
 	Cold         bool
-	RestartDoubt float64       // the probability that it started anew in a silence, where that is not known
-	InFlight     int           // attempts under way
-	Limit        float64       // how many may be
-	LatencyRatio float64       // answer time over aim
-	Ping         time.Duration // 0 = never answered
-	Position     time.Duration // it has applied all commits up to then; 0 = not known
+	RestartDoubt float64       // probability that it restarted during a silence, where that is unknown
+	InFlight     int           // this proxy's attempts in flight
+	Limit        float64       // how many may be in flight
+	LatencyRatio float64       // answer time over aim, moving average
+	Ping         time.Duration // moving average; 0 = never answered
+	Position     time.Duration // it has applied all commits up to this time; 0 = unknown
 }
 
-// MemberStats gives what is known of a member.
+// MemberStats returns the statistics of a member and whether it is known.
 func (r *Router) MemberStats(now time.Duration, id MemberID) (MemberStats, bool) {
 	m := r.members[id]
 	if m == nil {
 		return MemberStats{}, false
 	}
-	return MemberStats{Group: m.Group, Role: m.role(), Silent: m.seat.Silent, Failing: r.failures.More(&m.bench), Cold: r.warmth(now, m) < 1,
-		RestartDoubt: m.seat.Doubt(),
-		InFlight:     len(m.out), Limit: m.Most, LatencyRatio: m.Strain, Ping: m.ping, Position: m.position}, true
+	return MemberStats{Group: m.Group, Role: m.role(), Silent: m.handover.Silent, Failing: r.failures.More(&m.outlier), Cold: r.warmCapacity(now, m) < 1,
+		RestartDoubt: m.handover.Doubt(),
+		InFlight:     len(m.inFlight), Limit: m.Most, LatencyRatio: m.Strain, Ping: m.pingTime, Position: m.position}, true
 }
--- a/logic/front_test.go
+++ b/logic/front_test.go
@@ -11,11 +11,11 @@
 const ms = time.Millisecond
 
 // front is a scripted front: it keeps what the router asked for, and tells it what the test says.
-type front struct {
+type testProxy struct {
 	t       *testing.T
-	r       *Router
+	router  *Router
 	now     time.Duration
-	sends   []sent
+	sends   []sentAttempt
 	probes  []MemberID
 	finals  map[RequestID]string
 	hints   map[RequestID]time.Duration
@@ -25,40 +25,40 @@
 	timers  []time.Duration
 }
 
-type sent struct {
-	id RequestID
-	n  int
-	to MemberID
-	at time.Duration
+type sentAttempt struct {
+	id    RequestID
+	index int
+	to    MemberID
+	at    time.Duration
 }
 
-func (f *front) Send(id RequestID, to MemberID, _ time.Duration) {
+func (f *testProxy) Send(id RequestID, to MemberID, _ time.Duration) {
 	n := 0
 	for _, s := range f.sends {
 		if s.id == id {
 			n++
 		}
 	}
-	f.sends = append(f.sends, sent{id, n, to, f.now})
+	f.sends = append(f.sends, sentAttempt{id, n, to, f.now})
 }
-func (f *front) Probe(to MemberID) { f.probes = append(f.probes, to) }
-func (f *front) Refuse(id RequestID, comeBack time.Duration) {
-	f.final(id, "refused")
+func (f *testProxy) Probe(to MemberID) { f.probes = append(f.probes, to) }
+func (f *testProxy) Refuse(id RequestID, comeBack time.Duration) {
+	f.recordFinal(id, "refused")
 	f.hints[id] = comeBack
 }
-func (f *front) Fail(id RequestID) { f.final(id, "failed") }
-func (f *front) final(id RequestID, how string) {
+func (f *testProxy) Fail(id RequestID) { f.recordFinal(id, "failed") }
+func (f *testProxy) recordFinal(id RequestID, how string) {
 	if was := f.finals[id]; was != "" {
 		f.t.Errorf("request %d: %s after %s", id, how, was)
 	}
 	f.finals[id] = how
 }
-func (f *front) Cancel(RequestID, int)                { f.cancels++ }
-func (f *front) SetTimer(_ TimerID, at time.Duration) { f.timers = append(f.timers, at) }
-func (f *front) WatchList(bool)                       { f.watches++ }
-func (f *front) FetchList()                           {}
-func (f *front) SendToPeers([]peers.Fact)             {}
-func (f *front) Log(string)                           {}
+func (f *testProxy) Cancel(RequestID, int)                { f.cancels++ }
+func (f *testProxy) SetTimer(_ TimerID, at time.Duration) { f.timers = append(f.timers, at) }
+func (f *testProxy) WatchList(bool)                       { f.watches++ }
+func (f *testProxy) FetchList()                           {}
+func (f *testProxy) Push([]peers.Fact)                    {}
+func (f *testProxy) Log(string)                           {}
 
 // The classes of the tests' configuration.
 const (
@@ -84,47 +84,47 @@
 		ColdShare: 0.16, OverloadMultiple: 3}
 }
 
-func newFront(t *testing.T, cfg Config) *front {
+func newTestProxy(t *testing.T, cfg Config) *testProxy {
 	t.Helper()
-	f := &front{t: t, now: 1000 * time.Second, finals: map[RequestID]string{}, hints: map[RequestID]time.Duration{}}
+	f := &testProxy{t: t, now: 1000 * time.Second, finals: map[RequestID]string{}, hints: map[RequestID]time.Duration{}}
 	r, err := New(cfg, f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.r = r
+	f.router = r
 	return f
 }
 
 // settled lists n members, 1 the primary, and answers their first pings.
-func settled(t *testing.T, cfg Config, n int) *front {
+func newReadyProxy(t *testing.T, cfg Config, n int) *testProxy {
 	t.Helper()
-	f := newFront(t, cfg)
-	f.list(ListCached, n)
-	f.pass(20 * ms)
+	f := newTestProxy(t, cfg)
+	f.listMembers(ListCached, n)
+	f.advance(20 * ms)
 	return f
 }
 
-func entry(id int) Member { return Member{ID: MemberID(id), Group: 0, State: Ready} }
+func readyMember(id int) Member { return Member{ID: MemberID(id), Group: 0, State: Ready} }
 
-func (f *front) list(kind ListKind, n int) {
+func (f *testProxy) listMembers(kind ListKind, n int) {
 	var l MemberList
 	l.Kind = kind
 	for i := 1; i <= n; i++ {
-		l.Entries = append(l.Entries, entry(i))
+		l.Entries = append(l.Entries, readyMember(i))
 	}
-	f.r.Members(f.now, l)
+	f.router.Members(f.now, l)
 }
 
 // pass lets time go by; pings are answered, by 1 as the primary and by the others as replicas 10 ms behind.
-func (f *front) pass(d time.Duration, mute ...MemberID) {
+func (f *testProxy) advance(d time.Duration, mute ...MemberID) {
 	for end := f.now + d; f.now < end; {
 		f.now += 10 * ms
-		f.r.Timer(f.now, tickTimer)
-		f.pongs(mute...)
+		f.router.Timer(f.now, tickTimer)
+		f.answerPings(mute...)
 	}
 }
 
-func (f *front) pongs(mute ...MemberID) {
+func (f *testProxy) answerPings(mute ...MemberID) {
 	ask := f.probes
 	f.probes = nil
 	for _, m := range ask {
@@ -135,36 +135,36 @@
 		if m == 1 {
 			rep = Report{Role: RolePrimary, Position: f.now}
 		}
-		f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ms, Report: rep})
+		f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: rep})
 	}
 }
 
-func (f *front) request(class int, session SessionID) RequestID {
+func (f *testProxy) request(class int, session SessionID) RequestID {
 	f.nextID++
-	f.r.Request(f.now, Request{ID: f.nextID, Class: class, Session: session, Deadline: f.now + f.r.cfg.Classes[class].Limit})
+	f.router.Request(f.now, Request{ID: f.nextID, Class: class, Session: session, Deadline: f.now + f.router.cfg.Classes[class].Limit})
 	return f.nextID
 }
 
 // last gives the newest send of a request.
-func (f *front) last(id RequestID) (sent, bool) {
+func (f *testProxy) lastSend(id RequestID) (sentAttempt, bool) {
 	for _, s := range slices.Backward(f.sends) {
 		if s.id == id {
 			return s, true
 		}
 	}
-	return sent{}, false
+	return sentAttempt{}, false
 }
 
-func (f *front) mustSend(id RequestID) sent {
+func (f *testProxy) mustSend(id RequestID) sentAttempt {
 	f.t.Helper()
-	s, ok := f.last(id)
+	s, ok := f.lastSend(id)
 	if !ok {
 		f.t.Fatalf("request %d was not sent; its end: %q", id, f.finals[id])
 	}
 	return s
 }
 
-func (f *front) count(id RequestID) (n int) {
+func (f *testProxy) sendCount(id RequestID) (n int) {
 	for _, s := range f.sends {
 		if s.id == id {
 			n++
@@ -174,8 +174,8 @@
 }
 
 // end reports the end of an attempt, with the role and position that the member would tell.
-func (f *front) end(s sent, res Result) {
-	o := Outcome{Request: s.id, Attempt: s.n, Member: s.to, Result: res, Elapsed: f.now - s.at, Finished: res == OK}
+func (f *testProxy) finishAttempt(s sentAttempt, res Result) {
+	o := Outcome{Request: s.id, Attempt: s.index, Member: s.to, Result: res, Elapsed: f.now - s.at, Finished: res == OK}
 	if res == OK || res == Misdirected || res == Failed || res == Rejected {
 		o.Role, o.Position = RoleReplica, f.now-10*ms
 		if s.to == 1 {
@@ -185,18 +185,18 @@
 	if res == OK {
 		f.finals[s.id] = "served"
 	}
-	f.r.Outcome(f.now, o)
+	f.router.Outcome(f.now, o)
 }
 
-func (f *front) serve(id RequestID, took time.Duration) sent {
+func (f *testProxy) serve(id RequestID, took time.Duration) sentAttempt {
 	f.t.Helper()
 	s := f.mustSend(id)
 	f.now += took
-	f.end(s, OK)
+	f.finishAttempt(s, OK)
 	return s
 }
 
-func (f *front) wantFinal(id RequestID, how string) {
+func (f *testProxy) wantFinal(id RequestID, how string) {
 	f.t.Helper()
 	if got := f.finals[id]; got != how {
 		f.t.Errorf("request %d: final answer %q, want %q", id, got, how)
@@ -206,7 +206,7 @@
 func ExampleRouter() {
 	// A front implements Actions; here one that prints.
 	r, err := New(Config{Seed: 1, Tick: ms, Classes: []Class{{Name: "lookup", Read: Any, Aim: 100 * ms, Limit: time.Second}}},
-		printer{})
+		printingActions{})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -217,19 +217,19 @@
 	// Output: send request 1 to member 42
 }
 
-type printer struct{}
+type printingActions struct{}
 
-func (printer) Send(id RequestID, to MemberID, _ time.Duration) {
+func (printingActions) Send(id RequestID, to MemberID, _ time.Duration) {
 	fmt.Printf("send request %d to member %d\n", id, to)
 }
-func (printer) Probe(MemberID)                  {}
-func (printer) Refuse(RequestID, time.Duration) {}
-func (printer) Fail(RequestID)                  {}
-func (printer) Cancel(RequestID, int)           {}
-func (printer) SetTimer(TimerID, time.Duration) {}
-func (printer) WatchList(bool)                  {}
-func (printer) FetchList()                      {}
-func (printer) SendToPeers([]peers.Fact)        {}
-func (printer) Log(string)                      {}
+func (printingActions) Probe(MemberID)                  {}
+func (printingActions) Refuse(RequestID, time.Duration) {}
+func (printingActions) Fail(RequestID)                  {}
+func (printingActions) Cancel(RequestID, int)           {}
+func (printingActions) SetTimer(TimerID, time.Duration) {}
+func (printingActions) WatchList(bool)                  {}
+func (printingActions) FetchList()                      {}
+func (printingActions) Push([]peers.Fact)               {}
+func (printingActions) Log(string)                      {}
 
 var _ Events = (*Router)(nil)
--- a/logic/health.go
+++ b/logic/health.go
@@ -9,150 +9,159 @@
 	"havenproxy/internal/subset"
 )
 
-// What a router takes over of health checks that its tier shares. Who checks what, and what a quorum concludes, is internal/healthcheck's
-// to decide; the rules on drains, the age of data, slow start and attempts stay in logic.go, and hold whatever the verdict.
+// The router's part in health checks that the tier shares. Package healthcheck decides who checks what and what a
+// quorum concludes. The rules on drains, data age, slow start and attempts are in logic.go and apply whatever the
+// verdict.
 
-// checkBudget bounds the checks that one proxy sends, as a token bucket of one second.
+// checkBudget limits the health checks that one proxy sends, as a token bucket that holds one second's checks.
 type checkBudget struct {
-	perSecond float64 // 0 = checks are not shared, and not bounded here
-	saved     float64
-	at        time.Duration
+	perSecond  float64 // 0 = checks are not shared, and not limited here
+	tokens     float64
+	refilledAt time.Duration
 }
 
-// reservedPart is the part of the bucket that checks for positions leave to the tier's checks and to answers that are owed.
-const reservedPart = 0.5
+// reservedShare is the fraction of the bucket that optional checks (for positions) leave to mandatory ones: the
+// tier's checks and those of members that owe an answer.
+const reservedShare = 0.5
 
-func (b *checkBudget) fill(now time.Duration) {
-	b.saved = min(b.saved+b.perSecond*(now-b.at).Seconds(), b.perSecond)
-	b.at = now
+func (b *checkBudget) refill(now time.Duration) {
+	b.tokens = min(b.tokens+b.perSecond*(now-b.refilledAt).Seconds(), b.perSecond)
+	b.refilledAt = now
 }
 
-// spend takes a check off, whatever it is for. Checks that are owed go out beyond the budget, and are made up for.
+// spend takes a token for a check of any kind. Mandatory checks may exceed the budget; the deficit is made up
+// later.
 func (b *checkBudget) spend(now time.Duration) {
-	b.fill(now)
-	b.saved = max(b.saved-1, -b.perSecond)
+	b.refill(now)
+	b.tokens = max(b.tokens-1, -b.perSecond)
 }
 
-// spare tells whether a check may be sent that merely helps.
-func (b *checkBudget) spare(now time.Duration) bool {
-	b.fill(now)
-	return b.saved > reservedPart*b.perSecond
+// hasSpare reports whether the budget allows an optional check.
+func (b *checkBudget) hasSpare(now time.Duration) bool {
+	b.refill(now)
+	return b.tokens > reservedShare*b.perSecond
 }
 
-// SetSharedChecks tells that the tier shares health checks, and how many a second this proxy may send; 0 = they are not shared.
+// SetSharedChecks sets the number of health checks a second that this proxy may send in a tier that shares them; 0
+// = the tier does not share them.
 func (r *Router) SetSharedChecks(now time.Duration, perSecond float64) {
-	r.checks = checkBudget{perSecond: perSecond, at: now}
-	r.pings.Shared = perSecond > 0
-	for _, m := range r.order {
-		m.restsTill, m.ejected = 0, false
+	r.checkBudget = checkBudget{perSecond: perSecond, refilledAt: now}
+	r.pingSchedule.Shared = perSecond > 0
+	for _, m := range r.memberOrder {
+		m.nextCheckAt, m.ejected = 0, false
 	}
 }
 
-// sharesChecks tells whether the tier shares health checks.
-func (r *Router) sharesChecks() bool { return r.checks.perSecond > 0 }
+// sharesChecks reports whether the tier shares health checks.
+func (r *Router) sharesChecks() bool { return r.checkBudget.perSecond > 0 }
 
-// informed tells whether others spare this proxy most pings, so that it does without one of a member's own.
-func (r *Router) informed() bool { return r.sharesChecks() || r.peers.On() }
+// pingsAreRare reports whether shared checks or peers replace most of this proxy's pings, so that a member may be
+// used without a ping time of its own.
+func (r *Router) pingsAreRare() bool { return r.sharesChecks() || r.gossip.On() }
 
-// thin tells of traffic for which pings at their periods are too many, so that they go out at need. Where checks are shared these keep
-// within the budget, save while a primary is looked for.
-func (r *Router) thin(now time.Duration, g *group) bool {
+// pingOnDemand reports whether the group's traffic is too low for periodic pings, so that requests trigger them.
+// Where checks are shared, these stay within the budget unless the group has no primary.
+func (r *Router) pingOnDemand(now time.Duration, g *group) bool {
 	if r.sharesChecks() {
-		return g.primary == nil || r.checks.spare(now)
+		return g.primary == nil || r.checkBudget.hasSpare(now)
 	}
-	return r.pings.Thin(now, len(g.members), r.rateOf(now, g))
+	return r.pingSchedule.Thin(now, len(g.members), r.requestRate(now, g))
 }
 
-// probe sends a health check, if none is out.
+// probe sends a health check unless one is in flight.
 func (r *Router) probe(now time.Duration, m *member) {
 	if r.cfg.EnableProbes && !m.probing && m.State == Ready {
 		m.probing, m.probedAt = true, now
-		r.checks.spend(now)
-		r.wake(m)
-		r.act.Probe(m.ID)
+		r.checkBudget.spend(now)
+		r.activate(m)
+		r.actions.Probe(m.ID)
 	}
 }
 
-// trustsMembers tells whether a bounded read may go to a member whose position is not known to be recent enough. Where checks are shared,
-// positions come with answers and are old in groups that get few requests; members that check for themselves answer no read from data
-// that is too old.
+// trustsMembers reports whether a bounded read may go to a member whose position is not known to be recent enough.
+// Where checks are shared, positions arrive with answers and are outdated in groups that get few requests. Members
+// that check their lag themselves answer no read from data that is too old.
 func (r *Router) trustsMembers() bool { return r.sharesChecks() && r.cfg.LagCheck != LagCheckNone }
 
-// mayQualify tells whether a member is likely to be recent enough for a bounded read: its lag was within the bound when it last told its
-// position, or it has told none yet.
+// mayQualify reports whether a member is probably recent enough for a bounded read: its lag was within the bound
+// when it last reported its position, or it has reported none yet.
 func (q *request) mayQualify(m *member) bool {
 	return q.class.Read == Bounded && m.lag <= q.class.MaxAge
 }
 
-// missed notes that a member turned a bounded read away, so that it gets no other before it has told its position anew.
-func (m *member) missed(q *request) {
+// recordMisdirected records that a member rejected a bounded read, so that it gets no other before it reports a
+// new position.
+func (m *member) recordMisdirected(q *request) {
 	if q.class.Read == Bounded {
 		m.lag = max(m.lag, q.class.MaxAge+1)
 	}
 }
 
-// SendCheck sends a health check that this proxy owes its tier. Its outcome comes as that of any other.
+// SendCheck sends a health check that this proxy owes its tier. The result arrives by Probed.
 func (r *Router) SendCheck(now time.Duration, id MemberID) {
-	r.begin(now)
+	r.ensureStarted(now)
 	if m := r.members[id]; m != nil {
 		r.probe(now, m)
 	}
 }
 
-// InUse tells whether requests have come to a group lately.
+// InUse reports whether the group has had requests recently.
 func (r *Router) InUse(now time.Duration, id GroupID) bool {
 	g := r.groups[id]
-	return g != nil && ping.InUse(now, g.rate.last)
+	return g != nil && ping.InUse(now, g.rate.updatedAt)
 }
 
-// ApplyVerdict takes what a quorum of the tier's checkers has found out about a member. A death counts as a failed health check of this
-// proxy's own. Its end does not count as an answer: a member that is used is checked first, and one that is not when it is.
-func (r *Router) ApplyVerdict(now time.Duration, id MemberID, v healthcheck.Verdict) {
-	r.begin(now)
+// ApplyVerdict applies the conclusion of a quorum of the tier's checkers on a member. An ejection counts as a
+// failed health check of this proxy. The end of an ejection does not count as an answer: the member is checked
+// first, at once if its group is in use, otherwise when it is needed.
+func (r *Router) ApplyVerdict(now time.Duration, id MemberID, verdict healthcheck.Verdict) {
+	r.ensureStarted(now)
 	m := r.members[id]
 	if m == nil || !r.sharesChecks() {
 		return
 	}
-	was := m.verdict
-	m.verdict, m.ejected = v, v.State == healthcheck.Ejected
-	if v.ColdStart && !was.ColdStart {
-		r.startedCold(now, m, v.RoleAt)
+	previous := m.verdict
+	m.verdict, m.ejected = verdict, verdict.State == healthcheck.Ejected
+	if verdict.ColdStart && !previous.ColdStart {
+		r.markColdStart(now, m, verdict.RoleAt)
 	}
 	switch {
 	case m.ejected:
 		r.eject(now, m)
-	case v.Role != subset.RoleUnknown:
-		r.believe(m, roleOf(v.Role), min(v.Position, now), min(v.RoleAt, now), now)
-		m.toldAt = max(m.toldAt, min(v.RoleAt, now))
+	case verdict.Role != subset.RoleUnknown:
+		r.applyObservation(m, roleOf(verdict.Role), min(verdict.Position, now), min(verdict.RoleAt, now), now)
+		m.peerAliveAt = max(m.peerAliveAt, min(verdict.RoleAt, now))
 	}
-	if v.Failing && !was.Failing {
-		r.failures.Note(now, &m.bench, 1)
-		r.failures.Spread(now, &m.bench, r.cfg.Proxies, r.rng.Float64())
+	if verdict.Failing && !previous.Failing {
+		r.failures.Note(now, &m.outlier, 1)
+		r.failures.Spread(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
 	}
-	if was.State == healthcheck.Ejected && !m.ejected && m.seat.Silent && ping.InUse(now, m.group.rate.last) {
+	if previous.State == healthcheck.Ejected && !m.ejected && m.handover.Silent && ping.InUse(now, m.group.rate.updatedAt) {
 		r.probe(now, m)
 	}
-	if len(r.held) > 0 {
-		r.retryHeld(now)
+	if len(r.awaitingPing) > 0 {
+		r.retryAwaitingPing(now)
 	}
 }
 
-// eject marks a member silent that is dead by the word of a quorum, as a failed check would. Peers are not told: it was not seen here.
+// eject marks a member as silent that a quorum has ejected, as a failed check would. Peers are not informed, since
+// this proxy did not observe it.
 func (r *Router) eject(now time.Duration, m *member) {
-	if m.seat.Silent {
+	if m.handover.Silent {
 		return
 	}
-	m.group.lead.Silent(now, m.seat)
-	r.follow(now, m.group)
-	r.hedge(now, m)
+	m.group.handover.Silent(now, m.handover)
+	r.updatePrimary(now, m.group)
+	r.hedgeOverdue(now, m)
 }
 
-// startedCold takes the word of a quorum that a member has just started, where nothing is known of it here. It only ever makes this proxy
-// send less: a start that is known stays as it is, and a member that is cold is never taken for a warm one.
-func (r *Router) startedCold(now time.Duration, m *member, at time.Duration) {
-	if _, sure := m.seat.Cold(now, r.cfg.ColdPeriod); sure == 0 && at > 0 {
-		m.group.lead.Born(now, m.seat, min(at, now), false)
-		r.follow(now, m.group)
+// markColdStart applies a quorum's finding that a member has just started, if nothing is known of that here. It
+// can only reduce what this proxy sends: a known start stays unchanged, and a cold member is never taken for a
+// warm one.
+func (r *Router) markColdStart(now time.Duration, m *member, startedAt time.Duration) {
+	if _, certainty := m.handover.Cold(now, r.cfg.ColdPeriod); certainty == 0 && startedAt > 0 {
+		m.group.handover.Born(now, m.handover, min(startedAt, now), false)
+		r.updatePrimary(now, m.group)
 	}
 }
 
@@ -160,5 +169,5 @@
 	return [...]Role{subset.RoleUnknown: RoleUnknown, subset.Replica: RoleReplica, subset.Primary: RolePrimary}[role]
 }
 
-// ShortID gives the number of a member in the tier's messages.
+// ShortID returns the number by which the tier's messages identify a member.
 func ShortID(id MemberID) subset.DatabaseID { return subset.DatabaseID(peers.Short(uint64(id))) }
--- a/logic/hold_test.go
+++ b/logic/hold_test.go
@@ -9,7 +9,7 @@
 )
 
 // holding is a deployment that holds writes through a switch, one attempt at a time.
-func holding() Config {
+func holdConfig() Config {
 	cfg := testConfig()
 	cfg.ParallelAttempts, cfg.Handover = false, handover.Config{Hold: true}
 	w := &cfg.Classes[clsGuarded]
@@ -18,15 +18,15 @@
 }
 
 // drain lists a member as draining.
-func (f *front) drain(m MemberID) {
-	f.r.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: m, State: Draining}}})
+func (f *testProxy) drain(m MemberID) {
+	f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: m, State: Draining}}})
 }
 
 // passAs lets time go by with another primary, or none; members in mute say nothing.
-func (f *front) passAs(primary MemberID, d time.Duration, mute ...MemberID) {
+func (f *testProxy) advanceWithPrimary(primary MemberID, d time.Duration, mute ...MemberID) {
 	for end := f.now + d; f.now < end; {
 		f.now += 10 * ms
-		f.r.Timer(f.now, tickTimer)
+		f.router.Timer(f.now, tickTimer)
 		ask := f.probes
 		f.probes = nil
 		for _, m := range ask {
@@ -37,56 +37,56 @@
 			if m == primary {
 				rep = Report{Role: RolePrimary, Position: f.now}
 			}
-			f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ms, Report: rep})
+			f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: rep})
 		}
 	}
 }
 
 func TestAWriteIsHeldThroughADrain(t *testing.T) {
-	f := settled(t, holding(), 3)
+	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
 	id := f.request(clsGuarded, 1)
-	f.passAs(0, 500*ms)
-	if f.count(id) > 0 || f.finals[id] != "" {
-		t.Fatalf("%d sends, %q", f.count(id), f.finals[id])
+	f.advanceWithPrimary(0, 500*ms)
+	if f.sendCount(id) > 0 || f.finals[id] != "" {
+		t.Fatalf("%d sends, %q", f.sendCount(id), f.finals[id])
 	}
 	before := f.now
-	for f.count(id) == 0 && f.now < before+time.Second {
-		f.passAs(2, 10*ms)
+	for f.sendCount(id) == 0 && f.now < before+time.Second {
+		f.advanceWithPrimary(2, 10*ms)
 	}
 	if s := f.mustSend(id); s.to != 2 || f.now-before > 60*ms {
 		t.Errorf("sent to %d, %v after the election: a ping's period and a way were wanted", s.to, f.now-before)
 	}
 	f.serve(id, 80*ms)
-	if n := f.r.groups[0].lead.Holds(); n != 0 {
+	if n := f.router.groups[0].handover.Holds(); n != 0 {
 		t.Errorf("%d are held", n)
 	}
 }
 
 func TestNothingIsHeldWithoutTheSetting(t *testing.T) {
-	cfg := holding()
+	cfg := holdConfig()
 	cfg.Handover.Hold = false
-	f := settled(t, cfg, 3)
+	f := newReadyProxy(t, cfg, 3)
 	f.drain(1)
 	f.wantFinal(f.request(clsGuarded, 1), "refused")
 }
 
 // A death takes longer than a write's client waits: it hears so at once, and when to come back.
 func TestADeathRefusesAtOnceUntilItsEndIsNear(t *testing.T) {
-	f := settled(t, holding(), 3)
+	f := newReadyProxy(t, holdConfig(), 3)
 	f.request(clsGuarded, 1) // it makes the member owe something
-	f.passAs(0, 600*ms, 1)
+	f.advanceWithPrimary(0, 600*ms, 1)
 	id := f.request(clsGuarded, 2)
 	f.wantFinal(id, "refused")
 	if f.hints[id] < 200*ms {
 		t.Errorf("come back after %v", f.hints[id])
 	}
-	f.passAs(0, 4500*ms, 1)
+	f.advanceWithPrimary(0, 4500*ms, 1)
 	late := f.request(clsGuarded, 3)
 	if f.finals[late] != "" {
 		t.Fatalf("%q though the election is due", f.finals[late])
 	}
-	f.passAs(2, 100*ms, 1)
+	f.advanceWithPrimary(2, 100*ms, 1)
 	if s := f.mustSend(late); s.to != 2 {
 		t.Errorf("sent to %d", s.to)
 	}
@@ -94,72 +94,72 @@
 
 // What is held and can't be served in time any more is answered at once, before its client gives up.
 func TestAHeldWriteHasItsAnswerInTime(t *testing.T) {
-	f := settled(t, holding(), 3)
+	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
 	id, at := f.request(clsGuarded, 1), f.now
-	f.passAs(0, 4*time.Second)
+	f.advanceWithPrimary(0, 4*time.Second)
 	f.wantFinal(id, "refused")
-	if f.count(id) > 0 || f.r.groups[0].lead.Holds() > 0 {
-		t.Errorf("%d sends, %d held", f.count(id), f.r.groups[0].lead.Holds())
+	if f.sendCount(id) > 0 || f.router.groups[0].handover.Holds() > 0 {
+		t.Errorf("%d sends, %d held", f.sendCount(id), f.router.groups[0].handover.Holds())
 	}
 	_ = at
 }
 
 func TestAClientThatLeavesWhileHeld(t *testing.T) {
-	f := settled(t, holding(), 3)
+	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
 	id := f.request(clsGuarded, 1)
-	f.passAs(0, 200*ms)
-	f.r.Abandoned(f.now, id)
-	f.passAs(2, 500*ms)
-	if f.count(id) > 0 || f.finals[id] != "" || f.r.groups[0].lead.Holds() > 0 || len(f.r.requests) > 0 {
-		t.Errorf("%d sends, %q, %d requests kept", f.count(id), f.finals[id], len(f.r.requests))
+	f.advanceWithPrimary(0, 200*ms)
+	f.router.Abandoned(f.now, id)
+	f.advanceWithPrimary(2, 500*ms)
+	if f.sendCount(id) > 0 || f.finals[id] != "" || f.router.groups[0].handover.Holds() > 0 || len(f.router.requests) > 0 {
+		t.Errorf("%d sends, %q, %d requests kept", f.sendCount(id), f.finals[id], len(f.router.requests))
 	}
 }
 
 // A list that drops the whole group: what is held for it has its answer at once, also where the group comes back.
 func TestAGroupThatTheListDropsAnswersWhatItHolds(t *testing.T) {
-	f := settled(t, holding(), 3)
+	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
 	id := f.request(clsGuarded, 1)
-	f.passAs(0, 50*ms)
-	f.r.Members(f.now, MemberList{Kind: ListFull})
-	f.list(ListFull, 3)
+	f.advanceWithPrimary(0, 50*ms)
+	f.router.Members(f.now, MemberList{Kind: ListFull})
+	f.listMembers(ListFull, 3)
 	f.wantFinal(id, "refused")
-	if len(f.r.requests) > 0 {
-		t.Errorf("%d requests are kept", len(f.r.requests))
+	if len(f.router.requests) > 0 {
+		t.Errorf("%d requests are kept", len(f.router.requests))
 	}
 }
 
 // The price of a group's work: nothing while its members are at ease, what its requests earn once they are full.
 func TestTheGroupsPrice(t *testing.T) {
-	f := settled(t, holding(), 3)
+	f := newReadyProxy(t, holdConfig(), 3)
 	for range 400 {
 		f.serve(f.request(clsAny, 0), ms)
 		f.now += 5 * ms
 	}
-	g := f.r.groups[0]
-	if p := g.price(); p != 0 {
+	g := f.router.groups[0]
+	if p := g.workPrice(); p != 0 {
 		t.Errorf("%v at ease", p)
 	}
 	for _, m := range g.members {
 		m.Strain = 1
 	}
-	if p, want := g.price(), g.worth/g.work; p != want || p <= 0 {
+	if p, want := g.workPrice(), g.meanWorth/g.meanWork; p != want || p <= 0 {
 		t.Errorf("%v when all are full, want %v", p, want)
 	}
 }
 
 // Those refused in a death are told different times, none beyond what clients heed: they must not return in one moment.
 func TestTheRefusedDoNotReturnTogether(t *testing.T) {
-	f := settled(t, holding(), 3)
+	f := newReadyProxy(t, holdConfig(), 3)
 	f.request(clsGuarded, 1)
-	f.passAs(0, 600*ms, 1)
+	f.advanceWithPrimary(0, 600*ms, 1)
 	seen := map[time.Duration]int{}
 	for i := range 60 {
 		id := f.request(clsGuarded, SessionID(i+2))
 		f.wantFinal(id, "refused")
-		if f.hints[id] > f.r.cfg.MaxRetryAfter || f.hints[id] < 100*ms {
+		if f.hints[id] > f.router.cfg.MaxRetryAfter || f.hints[id] < 100*ms {
 			t.Fatalf("come back after %v", f.hints[id])
 		}
 		seen[f.hints[id].Truncate(50*ms)]++
@@ -173,14 +173,14 @@
 
 // Switched off in the middle of a switch, what is held has its answer at once.
 func TestSwitchingTheHoldOff(t *testing.T) {
-	f := settled(t, holding(), 3)
+	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
 	id := f.request(clsGuarded, 1)
-	f.passAs(0, 100*ms)
-	f.r.SetHandoverConfig(handover.Config{})
-	f.passAs(0, 10*ms)
+	f.advanceWithPrimary(0, 100*ms)
+	f.router.SetHandoverConfig(handover.Config{})
+	f.advanceWithPrimary(0, 10*ms)
 	f.wantFinal(id, "refused")
-	if f.r.groups[0].lead.Holds() > 0 {
+	if f.router.groups[0].handover.Holds() > 0 {
 		t.Error("it is held still")
 	}
 }
@@ -188,49 +188,49 @@
 // A request may wait for pings and for a primary at once, where traffic is thin. Once it is sent, however it came to that, it
 // waits for neither: a place in the room that stayed taken was a request's that no longer was.
 func TestWhatWaitsForBothWaitsForNeitherOnceSent(t *testing.T) {
-	f := settled(t, holding(), 3)
+	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
 	id := f.request(clsGuarded, 1)
-	f.passAs(0, 200*ms)
-	if f.r.groups[0].lead.Holds() != 1 {
+	f.advanceWithPrimary(0, 200*ms)
+	if f.router.groups[0].handover.Holds() != 1 {
 		t.Fatal("it doesn't wait for a primary")
 	}
-	f.r.hold(f.r.requests[id]) // as inquire does
-	for end := f.now + time.Second; f.count(id) == 0 && f.now < end; {
-		f.passAs(2, 10*ms)
+	f.router.holdForPing(f.router.requests[id]) // as inquire does
+	for end := f.now + time.Second; f.sendCount(id) == 0 && f.now < end; {
+		f.advanceWithPrimary(2, 10*ms)
 	}
 	f.serve(id, 20*ms)
-	if n := f.r.groups[0].lead.Holds(); n > 0 || len(f.r.requests) > 0 {
-		t.Errorf("%d are held, %d requests kept", n, len(f.r.requests))
+	if n := f.router.groups[0].handover.Holds(); n > 0 || len(f.router.requests) > 0 {
+		t.Errorf("%d are held, %d requests kept", n, len(f.router.requests))
 	}
-	f.r.Members(f.now, MemberList{Kind: ListFull}) // what is held is answered now
+	f.router.Members(f.now, MemberList{Kind: ListFull}) // what is held is answered now
 }
 
 // A hundred held at once leave as the new primary's limit allows, and none of them is forgotten.
 func TestHeldWritesLeaveAtAPace(t *testing.T) {
-	f := settled(t, holding(), 3)
+	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
 	var ids []RequestID
 	for i := range 100 {
 		ids = append(ids, f.request(clsGuarded, SessionID(i+1)))
 	}
-	f.passAs(0, 400*ms)
-	if n := f.r.groups[0].lead.Holds(); n != 100 {
+	f.advanceWithPrimary(0, 400*ms)
+	if n := f.router.groups[0].handover.Holds(); n != 100 {
 		t.Fatalf("%d held", n)
 	}
 	most, served := 0, 0
 	for end := f.now + 3*time.Second; f.now < end; {
-		f.passAs(2, 10*ms)
-		m := f.r.members[2]
-		most = max(most, len(m.out))
-		for _, a := range slices.Clone(m.out) {
+		f.advanceWithPrimary(2, 10*ms)
+		m := f.router.members[2]
+		most = max(most, len(m.inFlight))
+		for _, a := range slices.Clone(m.inFlight) {
 			if f.now-a.sentAt >= 40*ms {
 				served++
-				f.finals[a.req.ID] = "served"
-				f.r.Outcome(f.now, Outcome{Request: a.req.ID, Attempt: a.n, Member: 2, Result: OK, Elapsed: f.now - a.sentAt,
+				f.finals[a.request.ID] = "served"
+				f.router.Outcome(f.now, Outcome{Request: a.request.ID, Attempt: a.index, Member: 2, Result: OK, Elapsed: f.now - a.sentAt,
 					Finished: true, Role: RolePrimary, Position: f.now})
-				if f.r.groups[0].lead.Holds() > 0 && m.out[len(m.out)-1].sentAt != f.now {
-					t.Fatalf("a place was freed, %d wait, and none goes", f.r.groups[0].lead.Holds())
+				if f.router.groups[0].handover.Holds() > 0 && m.inFlight[len(m.inFlight)-1].sentAt != f.now {
+					t.Fatalf("a place was freed, %d wait, and none goes", f.router.groups[0].handover.Holds())
 				}
 			}
 		}
@@ -252,24 +252,24 @@
 		back  time.Duration
 		sends int
 	}{{1500 * ms, 2}, {2900 * ms, 1}} {
-		cfg := holding()
+		cfg := holdConfig()
 		cfg.Classes[clsGuarded].Limit = 6 * time.Second // its client outlasts the window
-		f := settled(t, cfg, 3)
+		f := newReadyProxy(t, cfg, 3)
 		id := f.request(clsGuarded, 1)
 		if f.mustSend(id).to != 1 {
 			t.Fatal("not sent to the primary")
 		}
-		f.passAs(0, c.back, 1)
-		f.passAs(2, 200*ms, 1)
+		f.advanceWithPrimary(0, c.back, 1)
+		f.advanceWithPrimary(2, 200*ms, 1)
 		if f.cancels > 0 {
-			s, _ := f.last(id)
-			if s.n == 0 {
-				f.r.Outcome(f.now, Outcome{Request: id, Member: 1, Result: Cancelled, Elapsed: f.now - s.at})
+			s, _ := f.lastSend(id)
+			if s.index == 0 {
+				f.router.Outcome(f.now, Outcome{Request: id, Member: 1, Result: Cancelled, Elapsed: f.now - s.at})
 			}
 		}
-		f.passAs(2, 200*ms, 1)
-		if f.count(id) != c.sends {
-			t.Errorf("back after %v: %d sends, %d called off, want %d sends", c.back, f.count(id), f.cancels, c.sends)
+		f.advanceWithPrimary(2, 200*ms, 1)
+		if f.sendCount(id) != c.sends {
+			t.Errorf("back after %v: %d sends, %d called off, want %d sends", c.back, f.sendCount(id), f.cancels, c.sends)
 			continue
 		}
 		if c.sends == 2 {
@@ -278,7 +278,7 @@
 			}
 			continue
 		}
-		f.end(f.mustSend(id), TimedOut)
+		f.finishAttempt(f.mustSend(id), TimedOut)
 		f.wantFinal(id, "failed")
 	}
 }
@@ -286,46 +286,46 @@
 // One millisecond either side of the last moment for a repeat.
 func TestALateResendByAMillisecond(t *testing.T) {
 	for _, after := range []time.Duration{-ms, 0, ms} {
-		cfg := holding()
+		cfg := holdConfig()
 		cfg.Classes[clsGuarded].Limit = 6 * time.Second
-		f := settled(t, cfg, 3)
+		f := newReadyProxy(t, cfg, 3)
 		id := f.request(clsGuarded, 1)
 		s := f.mustSend(id)
-		q := f.r.requests[id]
-		a := q.tries[0]
-		a.ran = true // its end will be a failure
-		until := f.r.until(q, a)
-		if until >= s.at+3*time.Second-f.r.slow[clsGuarded]+ms {
+		q := f.router.requests[id]
+		a := q.attempts[0]
+		a.mayHaveRun = true // its end will be a failure
+		until := f.router.retryDeadline(q, a)
+		if until >= s.at+3*time.Second-f.router.slowTime[clsGuarded]+ms {
 			t.Fatalf("%v after the first attempt a repeat is still let out", until-s.at)
 		}
-		a.ran = false
-		f.passAs(1, until-f.r.cost[clsGuarded]-f.now-20*ms)
-		f.now = until - f.r.cost[clsGuarded] + after
-		f.end(s, Failed)
+		a.mayHaveRun = false
+		f.advanceWithPrimary(1, until-f.router.serviceTime[clsGuarded]-f.now-20*ms)
+		f.now = until - f.router.serviceTime[clsGuarded] + after
+		f.finishAttempt(s, Failed)
 		if want := 1; after < 0 {
 			want = 2
-			if f.count(id) != want {
-				t.Errorf("%v: %d sends", after, f.count(id))
+			if f.sendCount(id) != want {
+				t.Errorf("%v: %d sends", after, f.sendCount(id))
 			}
-		} else if f.count(id) != want || f.finals[id] != "failed" {
-			t.Errorf("%v: %d sends, %q", after, f.count(id), f.finals[id])
+		} else if f.sendCount(id) != want || f.finals[id] != "failed" {
+			t.Errorf("%v: %d sends, %q", after, f.sendCount(id), f.finals[id])
 		}
 	}
 }
 
 // Two requests with the same key, the first held: a client's own retry. Both have their answers, each goes out once.
 func TestAClientsOwnRetryWhileTheFirstIsHeld(t *testing.T) {
-	f := settled(t, holding(), 3)
+	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
 	first := f.request(clsGuarded, 7)
-	f.passAs(0, 300*ms)
+	f.advanceWithPrimary(0, 300*ms)
 	f.nextID++
 	again := f.nextID
-	f.r.Request(f.now, Request{ID: again, Class: clsGuarded, Session: 7, Deadline: f.now + 2*time.Second, Retry: true})
-	f.passAs(2, 300*ms)
+	f.router.Request(f.now, Request{ID: again, Class: clsGuarded, Session: 7, Deadline: f.now + 2*time.Second, Retry: true})
+	f.advanceWithPrimary(2, 300*ms)
 	for _, id := range []RequestID{first, again} {
-		if f.count(id) != 1 {
-			t.Errorf("request %d went out %d times", id, f.count(id))
+		if f.sendCount(id) != 1 {
+			t.Errorf("request %d went out %d times", id, f.sendCount(id))
 		}
 		f.serve(id, 20*ms)
 	}
@@ -334,9 +334,9 @@
 // While another primary is awaited, pings look for it, spread over the fronts.
 func TestThePrimaryIsLookedFor(t *testing.T) {
 	for fronts, least := range map[int]int{2: 15, 40: 3} {
-		cfg := holding()
+		cfg := holdConfig()
 		cfg.Proxies = fronts
-		f := settled(t, cfg, 3)
+		f := newReadyProxy(t, cfg, 3)
 		f.request(clsBounded, 0)
 		f.drain(1)
 		f.request(clsGuarded, 1)
@@ -344,10 +344,10 @@
 		for range 100 {
 			f.now += 10 * ms
 			f.probes = nil
-			f.r.Timer(f.now, tickTimer)
+			f.router.Timer(f.now, tickTimer)
 			for _, m := range f.probes {
 				n++
-				f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ms, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
+				f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
 			}
 		}
 		if n < least || n > 45 {
@@ -359,24 +359,24 @@
 // A member that answers on a connection from before its silence never stopped: it is not cold.
 func TestACutMemberIsNotCold(t *testing.T) {
 	for _, kept := range []bool{false, true} {
-		f := settled(t, holding(), 4)
+		f := newReadyProxy(t, holdConfig(), 4)
 		before := f.now
 		f.request(clsBounded, 0)
-		f.passAs(1, 3*time.Second, 3)
-		f.r.ProbeDone(f.now, ProbeResult{Member: 3, Result: TimedOut})
-		f.passAs(1, 2*time.Second)
-		m := f.r.members[3]
-		if m.seat.Silent || f.r.warmth(f.now, m) == 1 {
-			t.Fatalf("silent %v, cold %v", m.seat.Silent, f.r.warmth(f.now, m))
+		f.advanceWithPrimary(1, 3*time.Second, 3)
+		f.router.Probed(f.now, ProbeEnd{Member: 3, Result: TimedOut})
+		f.advanceWithPrimary(1, 2*time.Second)
+		m := f.router.members[3]
+		if m.handover.Silent || f.router.warmCapacity(f.now, m) == 1 {
+			t.Fatalf("silent %v, cold %v", m.handover.Silent, f.router.warmCapacity(f.now, m))
 		}
 		opened := f.now
 		if kept {
 			opened = before
 		}
-		f.r.probe(f.now, m)
-		f.r.ProbeDone(f.now, ProbeResult{Member: 3, Elapsed: ms, ConnOpenedAt: opened, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
-		if (f.r.warmth(f.now, m) < 1) == kept {
-			t.Errorf("answered on a connection from before: %v, cold: %v", kept, f.r.warmth(f.now, m))
+		f.router.probe(f.now, m)
+		f.router.Probed(f.now, ProbeEnd{Member: 3, Elapsed: ms, ConnOpenedAt: opened, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
+		if (f.router.warmCapacity(f.now, m) < 1) == kept {
+			t.Errorf("answered on a connection from before: %v, cold: %v", kept, f.router.warmCapacity(f.now, m))
 		}
 	}
 }
@@ -385,12 +385,12 @@
 // there stays within what it bears if it has.
 func TestARefusedDialOutweighsAListThatStandsStill(t *testing.T) {
 	for _, refused := range []bool{false, true} {
-		f := settled(t, holding(), 4)
-		f.passAs(1, 3*time.Second, 3)
-		f.r.ProbeDone(f.now, ProbeResult{Member: 3, Result: ConnectFailed, DialRefused: refused})
-		f.passAs(1, 8*time.Second)
-		if m := f.r.members[3]; m.seat.Silent || (f.r.warmth(f.now, m) < 1) != refused {
-			t.Errorf("refused %v: silent %v, warmth %v, doubt %v", refused, m.seat.Silent, f.r.warmth(f.now, m), m.seat.Doubt())
+		f := newReadyProxy(t, holdConfig(), 4)
+		f.advanceWithPrimary(1, 3*time.Second, 3)
+		f.router.Probed(f.now, ProbeEnd{Member: 3, Result: ConnectFailed, DialRefused: refused})
+		f.advanceWithPrimary(1, 8*time.Second)
+		if m := f.router.members[3]; m.handover.Silent || (f.router.warmCapacity(f.now, m) < 1) != refused {
+			t.Errorf("refused %v: silent %v, warmth %v, doubt %v", refused, m.handover.Silent, f.router.warmCapacity(f.now, m), m.handover.Doubt())
 		}
 	}
 }
@@ -398,10 +398,10 @@
 // A group that loses its primary is looked at as time goes by, also while nobody asks for anything: it moves on from lost to
 // electing, and its members are pinged for a new primary.
 func TestAGroupWithoutAPrimaryIsLookedAt(t *testing.T) {
-	f := settled(t, holding(), 3)
-	f.passAs(1, 200*ms)
-	f.passAs(0, 3*time.Second, 1, 2, 3) // all fall silent: no event comes but the clock's
-	if p := f.r.groups[0].lead.Status(f.now).Phase; p != handover.Electing {
+	f := newReadyProxy(t, holdConfig(), 3)
+	f.advanceWithPrimary(1, 200*ms)
+	f.advanceWithPrimary(0, 3*time.Second, 1, 2, 3) // all fall silent: no event comes but the clock's
+	if p := f.router.groups[0].handover.Status(f.now).Phase; p != handover.Electing {
 		t.Errorf("%v, 3 s behind the primary's silence", p)
 	}
 }
--- a/logic/housekeeping.go
+++ b/logic/housekeeping.go
@@ -9,87 +9,90 @@
 	"havenproxy/internal/ping"
 )
 
-// What depends on time alone: silences, checks that are due, calls for the list, and requests that were held.
+// Work that depends on time alone: silence detection, due checks, calls for the member list, and waiting requests.
 
-// evidence holds what is heard of a member back from a silence against the doubt that it has started anew.
-func (r *Router) evidence(now time.Duration, m *member, opened time.Duration) {
-	if m.seat.Kept(opened); r.calls.Well() {
-		m.seat.Unborn(now)
+// applyConnectionAge uses an answer on a connection that was opened at connOpenedAt as evidence on whether the
+// member restarted during a silence.
+func (r *Router) applyConnectionAge(now time.Duration, m *member, connOpenedAt time.Duration) {
+	if m.handover.Kept(connOpenedAt); r.listCalls.Well() {
+		m.handover.Unborn(now)
 	}
 }
 
-// ConnectionEvidence holds what became of a connection from before a silence against the doubt.
-func (r *Router) ConnectionEvidence(now time.Duration, id MemberID, what handover.Testimony, opened time.Duration) {
-	if m := r.members[id]; m != nil && what == handover.Answered {
-		r.heard(m, now)
-		r.evidence(now, m, opened)
+// ConnectionEvidence uses the fate of a connection from before a silence as evidence on whether the member
+// restarted.
+func (r *Router) ConnectionEvidence(now time.Duration, id MemberID, evidence handover.Testimony, connOpenedAt time.Duration) {
+	if m := r.members[id]; m != nil && evidence == handover.Answered {
+		r.markAlive(m, now)
+		r.applyConnectionAge(now, m, connOpenedAt)
 	} else if m != nil {
-		m.seat.Testifies(what)
+		m.handover.Testifies(evidence)
 	}
 }
 
-// begin starts the router's clockwork at its first event.
-func (r *Router) begin(now time.Duration) {
+// ensureStarted starts the router's timer and list watch at its first event.
+func (r *Router) ensureStarted(now time.Duration) {
 	if r.started {
 		return
 	}
-	r.started, r.startAt = true, now
-	r.act.SetTimer(tickTimer, now+max(housekeeping, r.cfg.Tick))
+	r.started, r.startedAt = true, now
+	r.actions.SetTimer(tickTimer, now+max(housekeepingInterval, r.cfg.Tick))
 	if r.cfg.ListOnRequest {
-		r.ask(now)
+		r.watchList(now)
 	}
 }
 
-// Timer drives all that depends on time alone.
+// Timer does all work that depends on time alone.
 func (r *Router) Timer(now time.Duration, id TimerID) {
-	r.begin(now)
+	r.ensureStarted(now)
 	if id != tickTimer {
 		return
 	}
-	r.act.SetTimer(tickTimer, now+max(housekeeping, r.cfg.Tick))
-	if r.calls.Overdue(now) {
-		r.calls.Answered(now, true, r.rng.Float64())
+	r.actions.SetTimer(tickTimer, now+max(housekeepingInterval, r.cfg.Tick))
+	if r.listCalls.Overdue(now) {
+		r.listCalls.Answered(now, true, r.rng.Float64())
 	}
-	if r.calls.Due(now) {
-		r.ask(now)
+	if r.listCalls.Due(now) {
+		r.watchList(now)
 	}
-	if r.stood(now) {
-		r.stoodAt = now
+	if r.stalled(now) {
+		r.stalledAt = now
 	} else {
-		r.lookAround(now)
+		r.checkDueMembers(now)
 	}
-	r.tickAt = now
-	r.retryHeld(now)
-	r.tell(now)
+	r.lastTickAt = now
+	r.retryAwaitingPing(now)
+	r.sendPeerFacts(now)
 }
 
-// stood tells of a batch after this front stood still: its times and silences are no fault of the members.
-func (r *Router) stood(now time.Duration) bool {
-	return now == r.stoodAt || r.tickAt > 0 && now-r.tickAt >= stoodStill
+// stalled reports whether this proxy was not running for a while until now. Silences and answer times measured
+// across such a stall are not the members' fault.
+func (r *Router) stalled(now time.Duration) bool {
+	return now == r.stalledAt || r.lastTickAt > 0 && now-r.lastTickAt >= stallThreshold
 }
 
-// look notices silence and sends the pings that are due.
-func (r *Router) look(now time.Duration, m *member) {
-	r.looks++
-	if m.probing && m.heardAt < m.probedAt && now-m.probedAt > silentAfter {
-		r.lost(m, now)
-	}
-	r.hedge(now, m)
-	owes := len(m.out) > 0 && !m.seat.Silent &&
-		now-max(m.heardAt, m.out[0].sentAt, m.probedAt) > r.patience(m, m.out[0])
+// checkMember detects silence and sends pings that are due.
+func (r *Router) checkMember(now time.Duration, m *member) {
+	r.memberChecks++
+	if m.probing && m.aliveAt < m.probedAt && now-m.probedAt > silentAfter {
+		r.markSilent(m, now)
+	}
+	r.hedgeOverdue(now, m)
+	overdue := len(m.inFlight) > 0 && !m.handover.Silent &&
+		now-max(m.aliveAt, m.inFlight[0].sentAt, m.probedAt) > r.silenceTimeout(m, m.inFlight[0])
 	g, due := m.group, false
-	due, m.restsTill = r.pings.Due(now, &ping.Member{Probed: m.probedAt, Placed: m.placedAt, Owes: owes,
-		First: m.firstAt, Known: m.toldAt > 0, Ejected: m.ejected,
-		Silent: m.seat.Silent, Primary: m.role() == RolePrimary, Headless: g.primary == nil, Asked: g.rate.last,
-		Search: g.lead.Searching(now, r.cfg.Proxies), Members: len(g.members), Rate: r.rateOf(now, g)})
+	due, m.nextCheckAt = r.pingSchedule.Due(now, &ping.Member{Probed: m.probedAt, Placed: m.positionAt, Owes: overdue,
+		First: m.firstPingAt, Known: m.peerAliveAt > 0, Ejected: m.ejected,
+		Silent: m.handover.Silent, Primary: m.role() == RolePrimary, Headless: g.primary == nil, Asked: g.rate.updatedAt,
+		Search: g.handover.Searching(now, r.cfg.Proxies), Members: len(g.members), Rate: r.requestRate(now, g)})
 	if due {
 		r.probe(now, m)
 	}
 }
 
-// ProbeDone takes the result of a ping.
-func (r *Router) ProbeDone(now time.Duration, p ProbeResult) {
-	r.begin(now)
+// Probed handles the result of a probe.
+func (r *Router) Probed(now time.Duration, p ProbeEnd) {
+	r.ensureStarted(now)
 	m := r.members[p.Member]
 	if m == nil || !m.probing {
 		return
@@ -97,74 +100,77 @@
 	m.probing = false
 	switch p.Result {
 	case OK:
-		m.ping = cmp.Or(m.ping, max(p.Elapsed, 1))
-		m.ping += time.Duration(pingWeight * float64(p.Elapsed-m.ping))
-		r.heard(m, now)
-		r.evidence(now, m, p.ConnOpenedAt)
-		// A primary stands at the present, so its position dates the report; a replica's is no later.
-		m.queue, m.queueAt = p.Report.Queue, now
-		r.learn(m, p.Report.Role, p.Report.Position, cmp.Or(p.Report.Position, now), now)
+		m.pingTime = cmp.Or(m.pingTime, max(p.Elapsed, 1))
+		m.pingTime += time.Duration(pingWeight * float64(p.Elapsed-m.pingTime))
+		r.markAlive(m, now)
+		r.applyConnectionAge(now, m, p.ConnOpenedAt)
+		// A primary is always current, so its position dates the report; a replica's position is no later than the
+		// report.
+		m.queueLength, m.queueReportedAt = p.Report.Queue, now
+		r.observe(m, p.Report.Role, p.Report.Position, cmp.Or(p.Report.Position, now), now)
 	case Rejected, Misdirected, Failed:
-		r.heard(m, now)
-	case NotSent: // it was never sent, which says nothing of the member
+		r.markAlive(m, now)
+	case NotSent: // it was never sent, so it says nothing about the member
 	default:
-		if m.heardAt <= m.probedAt {
-			r.lost(m, now)
+		if m.aliveAt <= m.probedAt {
+			r.markSilent(m, now)
 		}
 		if p.DialRefused {
-			m.seat.Refused()
+			m.handover.Refused()
 		}
 	}
-	if len(r.held) > 0 {
-		r.retryHeld(now)
-	} else if m.group.lead.Stirs() {
-		r.release(now, m.group)
+	if len(r.awaitingPing) > 0 {
+		r.retryAwaitingPing(now)
+	} else if m.group.handover.Stirs() {
+		r.releaseHeld(now, m.group)
 	}
 }
 
-// opening tells of a fresh router that the agent has yet to answer, or a member of the group a ping.
-func (r *Router) opening(now time.Duration, g *group) bool {
-	listOwed := r.cfg.ListFromAgent && !r.calls.Ended()
-	if now-r.startAt >= freshHold || !r.cfg.EnableProbes && !listOwed {
+// startingUp reports whether a new router still waits for the agent's list or for a first answer from a member of
+// the group.
+func (r *Router) startingUp(now time.Duration, g *group) bool {
+	listPending := r.cfg.ListFromAgent && !r.listCalls.Ended()
+	if now-r.startedAt >= startupHold || !r.cfg.EnableProbes && !listPending {
 		return false
 	}
-	if listOwed || len(g.members) == 0 {
+	if listPending || len(g.members) == 0 {
 		return true
 	}
-	if r.pings.OnNeed() && r.thin(now, g) { // its members are checked as the request needs them, and no others
+	if r.pingSchedule.OnNeed() && r.pingOnDemand(now, g) { // requests trigger the checks that they need
 		return false
 	}
 	return slices.ContainsFunc(g.members, func(m *member) bool {
-		return m.State == Ready && m.heardAt == 0 && m.toldAt == 0 && !m.seat.Silent
+		return m.State == Ready && m.aliveAt == 0 && m.peerAliveAt == 0 && !m.handover.Silent
 	})
 }
 
-// retryHeld releases what was held, as soon as its group is known or waiting is of no more use.
-func (r *Router) retryHeld(now time.Duration) {
-	held := r.held
-	r.held = nil
-	for _, q := range held {
-		q.held = false
-		q.group = r.askedOf(q.Group) // a list may have named it meanwhile
+// retryAwaitingPing retries the requests that wait for pings, once their group is known or further waiting is
+// useless.
+func (r *Router) retryAwaitingPing(now time.Duration) {
+	waiting := r.awaitingPing
+	r.awaitingPing = nil
+	for _, q := range waiting {
+		q.awaitingPing = false
+		q.group = r.requestedGroup(q.Group) // a list may have named it in the meantime
 		switch {
 		case q.done:
-		case r.opening(now, q.group) && now+r.cost[q.Class] < q.Deadline-2*housekeeping:
-			r.hold(q)
+		case r.startingUp(now, q.group) && now+r.serviceTime[q.Class] < q.Deadline-2*housekeepingInterval:
+			r.holdForPing(q)
 		default:
-			r.start(now, q)
+			r.tryStart(now, q)
 		}
 	}
-	list := r.stirring
-	r.stirring = nil
-	for _, g := range list {
-		if g.stirs = g.lead.Stirs(); g.stirs {
-			r.stirring = append(r.stirring, g)
-			r.release(now, g)
+	groups := r.activeGroups
+	r.activeGroups = nil
+	for _, g := range groups {
+		if g.active = g.handover.Stirs(); g.active {
+			r.activeGroups = append(r.activeGroups, g)
+			r.releaseHeld(now, g)
 		}
 	}
 }
 
-func (r *Router) ask(now time.Duration) {
-	r.calls.Called(now)
-	r.act.WatchList(true)
+func (r *Router) watchList(now time.Duration) {
+	r.listCalls.Called(now)
+	r.actions.WatchList(true)
 }
--- a/logic/large_fleet_test.go
+++ b/logic/large_fleet_test.go
@@ -9,30 +9,30 @@
 
 // large is a router of a tier of 400 proxies before many groups of four, of which it has heard nothing yet. Member 4g+1 is the primary of
 // group g.
-func large(t *testing.T, groups int) *front {
+func newLargeProxy(t *testing.T, groups int) *testProxy {
 	t.Helper()
 	cfg := testConfig()
 	cfg.Proxies, cfg.MaxPeerFacts, cfg.MaxConnections = 400, 17, 122
-	f := newFront(t, cfg)
+	f := newTestProxy(t, cfg)
 	l := MemberList{Kind: ListCached}
 	for id := range 4 * groups {
 		l.Entries = append(l.Entries, Member{ID: MemberID(id + 1), Group: GroupID(id / 4), State: Ready})
 	}
-	f.r.Members(f.now, l)
+	f.router.Members(f.now, l)
 	return f
 }
 
 // passLarge lets time go by; checks are answered, by the first member of each group as its primary. It gives how many there were.
-func (f *front) passLarge(d time.Duration) (checks int) {
+func (f *testProxy) advanceLarge(d time.Duration) (checks int) {
 	for end := f.now + d; f.now < end; {
 		f.now += 10 * ms
-		f.r.Timer(f.now, tickTimer)
-		checks += f.pongLarge()
+		f.router.Timer(f.now, tickTimer)
+		checks += f.answerLargePings()
 	}
 	return checks
 }
 
-func (f *front) pongLarge() int {
+func (f *testProxy) answerLargePings() int {
 	ask := f.probes
 	f.probes = nil
 	for _, m := range ask {
@@ -40,7 +40,7 @@
 		if (m-1)%4 == 0 {
 			report = Report{Role: RolePrimary, Position: f.now}
 		}
-		f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ms, Report: report})
+		f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: report})
 	}
 	return len(ask)
 }
@@ -48,16 +48,16 @@
 // Guards against incident 38: a check that was never sent, for want of a connection, made its member silent, told all peers so, and had
 // the member taken for a cold one later.
 func TestACheckThatWasNeverSentSaysNothingOfItsMember(t *testing.T) {
-	f := settled(t, testConfig(), 3)
-	f.pass(2 * time.Second)
+	f := newReadyProxy(t, testConfig(), 3)
+	f.advance(2 * time.Second)
 	f.now += 10 * ms
-	m := f.r.members[1]
-	f.r.probe(f.now, m)
-	f.r.ProbeDone(f.now, ProbeResult{Member: 1, Result: NotSent})
-	if m.seat.Silent || m.probing || f.r.groups[0].primary != m {
-		t.Errorf("silent %v, a check out %v, primary %v", m.seat.Silent, m.probing, f.r.groups[0].primary == m)
+	m := f.router.members[1]
+	f.router.probe(f.now, m)
+	f.router.Probed(f.now, ProbeEnd{Member: 1, Result: NotSent})
+	if m.handover.Silent || m.probing || f.router.groups[0].primary != m {
+		t.Errorf("silent %v, a check out %v, primary %v", m.handover.Silent, m.probing, f.router.groups[0].primary == m)
 	}
-	if f.now += 10 * ms; f.r.warmth(f.now, m) != 1 {
+	if f.now += 10 * ms; f.router.warmCapacity(f.now, m) != 1 {
 		t.Error("the member is taken for a cold one")
 	}
 }
@@ -65,13 +65,13 @@
 // Guards against incident 38: a new proxy checked each database of the list in its first 0.3 s, however many there were and whether or not
 // anybody asked for them.
 func TestANewRouterChecksNoGroupThatNobodyAsksFor(t *testing.T) {
-	f := large(t, 800)
-	if n := f.passLarge(5 * time.Second); n != 0 {
+	f := newLargeProxy(t, 800)
+	if n := f.advanceLarge(5 * time.Second); n != 0 {
 		t.Errorf("%d checks without a request", n)
 	}
 	f.nextID++
-	f.r.Request(f.now, Request{ID: f.nextID, Class: clsUnsafe, Group: 7, Deadline: f.now + time.Second})
-	n := f.pongLarge() + f.passLarge(100*ms)
+	f.router.Request(f.now, Request{ID: f.nextID, Class: clsUnsafe, Group: 7, Deadline: f.now + time.Second})
+	n := f.answerLargePings() + f.advanceLarge(100*ms)
 	if n == 0 || n > 4 {
 		t.Errorf("%d checks for the first request to a group of four", n)
 	}
@@ -84,16 +84,16 @@
 // looks at is what is in use.
 func TestWhatTheRouterLooksAtDoesNotGrowWithTheList(t *testing.T) {
 	looked := func(groups int) uint64 {
-		f := large(t, groups)
-		f.passLarge(2 * time.Second)
-		before := f.r.looks
+		f := newLargeProxy(t, groups)
+		f.advanceLarge(2 * time.Second)
+		before := f.router.memberChecks
 		for range 50 {
 			f.nextID++
-			f.r.Request(f.now, Request{ID: f.nextID, Class: clsAny, Group: GroupID(int(f.nextID) % 50), Deadline: f.now + 8*time.Second})
-			f.pongLarge()
-			f.passLarge(20 * ms)
+			f.router.Request(f.now, Request{ID: f.nextID, Class: clsAny, Group: GroupID(int(f.nextID) % 50), Deadline: f.now + 8*time.Second})
+			f.answerLargePings()
+			f.advanceLarge(20 * ms)
 		}
-		return f.r.looks - before
+		return f.router.memberChecks - before
 	}
 	small, large := looked(50), looked(800)
 	if large > small*14/10 {
@@ -104,18 +104,18 @@
 // Guards against incident 38's mistake in what peers tell: where a thousand databases fall silent, a proxy checked each of them on its peers' word,
 // whether or not anybody asked for it.
 func TestAPeersWordOfSilenceHasOnlyGroupsInUseChecked(t *testing.T) {
-	f := large(t, 800)
-	f.passLarge(time.Second)
+	f := newLargeProxy(t, 800)
+	f.advanceLarge(time.Second)
 	f.nextID++
-	f.r.Request(f.now, Request{ID: f.nextID, Class: clsUnsafe, Group: 7, Deadline: f.now + time.Second})
-	f.pongLarge()
-	f.passLarge(3 * time.Second)
+	f.router.Request(f.now, Request{ID: f.nextID, Class: clsUnsafe, Group: 7, Deadline: f.now + time.Second})
+	f.answerLargePings()
+	f.advanceLarge(3 * time.Second)
 	for id := range MemberID(1000) {
 		fact := peers.Fact{Database: peers.Short(uint64(id + 1)), Ails: peers.Silent, At: f.now}
-		f.r.PeerFacts(f.now, []peers.Fact{fact})
+		f.router.PeerFacts(f.now, []peers.Fact{fact})
 	}
 	for _, m := range f.probes {
-		if f.r.members[m].Group != 7 {
+		if f.router.members[m].Group != 7 {
 			t.Fatalf("%d checks, one of member %d, which nobody asks for", len(f.probes), m)
 		}
 	}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,10 +1,10 @@
-// Package logic decides where a gateway sends each read and write of replicated database groups.
+// Package logic decides which member of a replicated database group receives each read and write of a proxy.
 //
-// It follows "Driver Read Preferences": a request's class gives its read mode, the group's members are
-// filtered by role and known log position, one of those at most 15 ms slower than the quickest ping is picked
-// at random, and a session's reads stay pinned. Guards around that path act only when something fails;
-// docs/design.md lists when each does. The interface is in api.go, what a router keeps is in state.go, how a member is chosen in
-// selection.go, and what depends on time alone in housekeeping.go and rounds.go.
+// It follows the "Driver Read Preferences" specification: a request's class determines its read mode, the group's
+// members are filtered by role and known log position, one of those whose ping time is at most 15 ms above the
+// lowest is picked at random, and a session's reads stay pinned to a replica. Safeguards around that path act only
+// on failures; docs/design.md lists when each does. The interface is in api.go, the state in state.go, the choice
+// of a member in selection.go, and time-driven work in housekeeping.go and rounds.go.
 package logic
 
 import (
@@ -20,578 +20,597 @@
 )
 
 const (
-	longPart     = 3   // a read of over bound/longPart may push a replica out of the filter
-	pingWeight   = 0.2 // moving average: about the last ten pings
-	readTries    = 3   // a read's members in all: the first and up to two more
-	stoodStill   = 100 * time.Millisecond
-	housekeeping = 10 * time.Millisecond  // how finely silence, pings and held requests are looked at
-	freshHold    = 300 * time.Millisecond // a new router waits so long for pings, which take milliseconds
-
-	thinSpan  = 10 * time.Second      // over which traffic is counted
-	askWait   = 25 * time.Millisecond // a ping takes a few milliseconds; then others are asked
-	askAgain  = 100 * time.Millisecond
-	askRounds = 2
-
-	silentAfter = 80 * time.Millisecond // pings pass beside the queue: so long tells of the machine or the way
-
-	queueLong  = 1.0 // requests waiting: all that the member works on at once is taken
-	reportLife = time.Second
-	spillPart  = 0.7 // of the primary's limit that reads may fill; the rest is for writes
-
-	retryPart    = 0.2  // further attempts, of all traffic
-	retryReserve = 30.0 // for a short spell of failures
-
-	hintNoPrimary = 500 * time.Millisecond // a hand-over takes seconds
-	hintCrowded   = 150 * time.Millisecond // a crowd eases in a few service times
-
-	listRoleAge  = 5 * time.Second  // a list's role is seconds old
-	forgetSilent = 30 * time.Second // that a silent member is kept where a list doesn't bind
-
-	fallPart    = 0.5     // of the multiple of its capacity that a cold member may be sent,
-	fallDoubt   = 0.7     // and one that hardly is cold: what it would bear if it were
-	workWeight  = 0.005   // the mix of work, over the last hundreds of requests
-	aimOverCost = 4       // before any answer: aims leave room for a few times the bare work
-	costPart    = 0.3     // the quantile of a class's answer times that stands for its bare work
-	slowPart    = 0.95    // the one past which an answer is overdue
-	missWeight  = 0.02    // of one attempt in the share of answers that don't come
-	missLimit   = 0.05    // an ordinary day stays far below
-	keepEntries = 1 << 15 // pins, and commits
-	tickTimer   = TimerID(1)
+	longReadDivisor      = 3   // a read longer than the tightest staleness bound / 3 may delay a replica beyond that bound
+	pingWeight           = 0.2 // moving average over about the last ten pings
+	maxReadAttempts      = 3   // members that a read may try: the first and up to two more
+	stallThreshold       = 100 * time.Millisecond
+	housekeepingInterval = 10 * time.Millisecond  // interval at which silence, due pings and waiting requests are checked
+	startupHold          = 300 * time.Millisecond // how long a new router waits for first pings, which take milliseconds
+
+	rateWindow         = 10 * time.Second      // over which traffic is averaged
+	pingWait           = 25 * time.Millisecond // a ping takes a few milliseconds; after this wait other members are pinged
+	pingRepeatInterval = 100 * time.Millisecond
+	maxPingRounds      = 2
+
+	// Pings bypass the member's queue, so a longer wait indicates a fault of the machine or the network.
+	silentAfter = 80 * time.Millisecond
+
+	longQueue        = 1.0 // reported waiting requests at which the member is fully occupied
+	reportMaxAge     = time.Second
+	primaryReadShare = 0.7 // fraction of the primary's limit that reads may use; the rest is for writes
+
+	retryShare   = 0.2  // retries as a fraction of all requests
+	retryReserve = 30.0 // retries saved for a short burst of failures
+
+	retryAfterNoPrimary = 500 * time.Millisecond // a switch of primary takes seconds
+	retryAfterOverload  = 150 * time.Millisecond // an overload eases within a few service times
+
+	listRoleAge     = 5 * time.Second  // assumed age of a role that a list names
+	silentRetention = 30 * time.Second // how long a silent member is kept after the list dropped it, with Config.IgnoreGone
+
+	coldOverloadShare     = 0.5     // fraction of OverloadMultiple used for a member that is certainly cold,
+	doubtfulOverloadShare = 0.7     // and for one that is almost certainly not: it would bear this even if it were cold
+	workWeight            = 0.005   // averages the work per request over the last hundreds of requests
+	aimPerServiceTime     = 4       // initial service time is aim / 4: aims allow a few times the service time
+	serviceTimeQuantile   = 0.3     // quantile of a class's answer times that estimates its service time
+	slowTimeQuantile      = 0.95    // quantile of a class's answer times beyond which an answer is overdue
+	lossWeight            = 0.02    // weight of one attempt in the moving average of lost answers
+	maxLossRate           = 0.05    // in normal operation the share stays far below
+	maxSessionEntries     = 1 << 15 // of pins, and of session commits
+	tickTimer             = TimerID(1)
 )
 
-// New makes a router for one front. It sends nothing before its first event.
+// New returns a router for one proxy, or an error that names the invalid field of cfg. The router calls no action
+// before its first event.
 func New(cfg Config, actions Actions) (*Router, error) {
-	if err := check(&cfg, actions); err != nil {
+	if err := validate(&cfg, actions); err != nil {
 		return nil, err
 	}
-	r := &Router{cfg: cfg, act: actions, rng: rand.New(rand.NewPCG(cfg.Seed, 0x9e3779b97f4a7c15)),
+	r := &Router{cfg: cfg, actions: actions, rng: rand.New(rand.NewPCG(cfg.Seed, 0x9e3779b97f4a7c15)),
 		members: map[MemberID]*member{}, groups: map[GroupID]*group{}, requests: map[RequestID]*request{},
-		cost: make([]time.Duration, len(cfg.Classes)), slow: make([]time.Duration, len(cfg.Classes)),
-		retries: retryReserve, lead: handover.New(cfg.Handover),
-		pings: ping.Schedule{Proxies: cfg.Proxies, Tick: cfg.Tick, Room: cfg.MaxConnections}, calls: limit.Calls{Bound: cfg.ListMaxDelay}}
-	r.nobody = r.newGroup(-1)
-	r.pins.init(keepEntries)
-	r.commits.init(keepEntries)
+		serviceTime: make([]time.Duration, len(cfg.Classes)), slowTime: make([]time.Duration, len(cfg.Classes)),
+		retryTokens: retryReserve, handover: handover.New(cfg.Handover),
+		pingSchedule: ping.Schedule{Proxies: cfg.Proxies, Tick: cfg.Tick, Room: cfg.MaxConnections}, listCalls: limit.Calls{Bound: cfg.ListMaxDelay}}
+	r.unlistedGroup = r.newGroup(-1)
+	r.pins.init(maxSessionEntries)
+	r.sessionCommits.init(maxSessionEntries)
 	for i, c := range cfg.Classes {
-		r.cost[i], r.slow[i] = c.Aim/aimOverCost, c.Aim
+		r.serviceTime[i], r.slowTime[i] = c.Aim/aimPerServiceTime, c.Aim
 	}
-	r.pings.Tightest = tightest(cfg.Classes)
+	r.pingSchedule.Tightest = tightestBound(cfg.Classes)
 	quotas := make([]float64, len(cfg.Tenants))
 	for i, t := range cfg.Tenants {
-		quotas[i] = r.share(t.Quota)
+		quotas[i] = r.proxyShare(t.Quota)
 	}
-	r.quotas, r.peers = limit.NewQuotas(quotas), r.newPeers()
+	r.quotas, r.gossip = limit.NewQuotas(quotas), r.newGossip()
 	return r, nil
 }
 
-// ---- Views: what is known of members and groups ----
+// ---- State of members and groups ----
 
-// Members takes in news of the list.
-func (r *Router) Members(now time.Duration, l MemberList) {
-	r.begin(now)
-	if r.cfg.ListOnRequest && l.Kind != ListCached {
-		r.calls.Answered(now, l.Kind == ListFailed, r.rng.Float64())
+// Members handles an event of the member list.
+func (r *Router) Members(now time.Duration, list MemberList) {
+	r.ensureStarted(now)
+	if r.cfg.ListOnRequest && list.Kind != ListCached {
+		r.listCalls.Answered(now, list.Kind == ListFailed, r.rng.Float64())
 	}
-	if l.Kind == ListFailed {
+	if list.Kind == ListFailed {
 		return
 	}
-	if l.Kind != ListDelta {
-		for _, m := range r.order {
+	if list.Kind != ListDelta {
+		for _, m := range r.memberOrder {
 			m.listed = false
 		}
 	}
-	for _, e := range l.Entries {
-		r.entry(now, e)
+	for _, e := range list.Entries {
+		r.updateMember(now, e)
 	}
-	r.order = slices.DeleteFunc(r.order, func(m *member) bool { return !m.listed && r.leftOut(now, m) })
-	r.pings.Listed = len(r.order)
-	r.retryHeld(now)
+	r.memberOrder = slices.DeleteFunc(r.memberOrder, func(m *member) bool { return !m.listed && r.removeUnlisted(now, m) })
+	r.pingSchedule.Listed = len(r.memberOrder)
+	r.retryAwaitingPing(now)
 }
 
-func (r *Router) entry(now time.Duration, e Member) {
-	m := r.members[e.ID]
+func (r *Router) updateMember(now time.Duration, entry Member) {
+	m := r.members[entry.ID]
 	known := m != nil
 	if !known {
-		g := r.groupOf(e.Group)
-		m = &member{group: g, Limit: limit.New(r.cfg.Proxies, r.cfg.Tuning.FirstLimit), account: limit.NewAccount(),
-			firstAt: r.firstPing(now)}
-		m.seat = g.lead.Join(uint64(e.ID))
-		r.members[e.ID] = m
-		r.order = append(r.order, m)
-		r.peers.Join(uint64(e.ID))
-		g.members = append(g.members, m) // a Born above zero makes it cold, below
-	}
-	if e.StartedAt > m.StartedAt { // restarted: its role is open again, its log goes on from where it stood
-		m.group.lead.Born(now, m.seat, e.StartedAt, known)
-		m.reborn()
-	}
-	m.listed = e.State != Gone
-	if r.cfg.IgnoreGone && !m.listed { // the list is no proof of what runs: its pings and answers tell
-		e.State = m.State
-	}
-	m.Member = e
-	m.group.lead.Listed(now, m.seat, handover.Presence(e.State))
-	if e.Primary && r.cfg.ListRole != ListRoleNone {
-		m.group.lead.Told(now, m.seat, max(now-listRoleAge, e.StartedAt), r.cfg.ListRole == ListRoleLate)
-	}
-	r.follow(now, m.group)
+		g := r.listedGroup(entry.Group)
+		m = &member{group: g, Limit: limit.New(r.cfg.Proxies, r.cfg.Tuning.FirstLimit), warmUpBudget: limit.NewAccount(),
+			firstPingAt: r.firstPingTime(now)}
+		m.handover = g.handover.Join(uint64(entry.ID))
+		r.members[entry.ID] = m
+		r.memberOrder = append(r.memberOrder, m)
+		r.gossip.Join(uint64(entry.ID))
+		g.members = append(g.members, m) // a positive StartedAt makes it cold, below
+	}
+	if entry.StartedAt > m.StartedAt { // restarted: its role is unknown again; its log continues from where it was
+		m.group.handover.Born(now, m.handover, entry.StartedAt, known)
+		m.restarted()
+	}
+	m.listed = entry.State != Gone
+	if r.cfg.IgnoreGone && !m.listed { // the list does not prove that the member is gone: pings and answers decide
+		entry.State = m.State
+	}
+	m.Member = entry
+	m.group.handover.Listed(now, m.handover, handover.Presence(entry.State))
+	if entry.Primary && r.cfg.ListRole != ListRoleNone {
+		m.group.handover.Told(now, m.handover, max(now-listRoleAge, entry.StartedAt), r.cfg.ListRole == ListRoleLate)
+	}
+	r.updatePrimary(now, m.group)
 }
 
-// leftOut treats a member that the list leaves out as gone, if lists bind, and tells whether to forget it.
-func (r *Router) leftOut(now time.Duration, m *member) bool {
+// removeUnlisted treats a member that the list no longer names as gone, unless Config.IgnoreGone is set, and
+// reports whether it has forgotten the member.
+func (r *Router) removeUnlisted(now time.Duration, m *member) bool {
 	if m.State != Gone && !r.cfg.IgnoreGone {
 		m.State = Gone
-		m.group.lead.Listed(now, m.seat, handover.Gone)
-		r.follow(now, m.group)
+		m.group.handover.Listed(now, m.handover, handover.Gone)
+		r.updatePrimary(now, m.group)
 	}
-	if len(m.out) > 0 || m.probing || m.State == Ready && (!m.seat.Silent || now-m.seat.LostAt <= forgetSilent) {
+	if len(m.inFlight) > 0 || m.probing || m.State == Ready && (!m.handover.Silent || now-m.handover.LostAt <= silentRetention) {
 		return false
 	}
 	delete(r.members, m.ID)
-	r.peers.Leave(uint64(m.ID))
+	r.gossip.Leave(uint64(m.ID))
 	m.group.members = slices.DeleteFunc(m.group.members, func(x *member) bool { return x == m })
-	m.group.lead.Leave(now, m.seat)
-	r.follow(now, m.group) // the one that left may have stood before another
+	m.group.handover.Leave(now, m.handover)
+	r.updatePrimary(now, m.group) // the removed member may have taken precedence over another one
 	if len(m.group.members) == 0 {
-		for _, id := range m.group.lead.Waiting(now) { // nobody would look at them any more
-			r.finish(now, r.requests[RequestID(id)], hintNoPrimary)
+		for _, id := range m.group.handover.Waiting(now) { // the group is not visited any more
+			r.finish(now, r.requests[RequestID(id)], retryAfterNoPrimary)
 		}
 		delete(r.groups, m.Group)
-		r.listed = slices.DeleteFunc(r.listed, func(g GroupID) bool { return g == m.Group })
-		r.stirring = slices.DeleteFunc(r.stirring, func(g *group) bool { return g == m.group })
+		r.groupOrder = slices.DeleteFunc(r.groupOrder, func(g GroupID) bool { return g == m.Group })
+		r.activeGroups = slices.DeleteFunc(r.activeGroups, func(g *group) bool { return g == m.group })
 		r.leaveRounds(m.group)
 	}
 	return true
 }
 
-// follow takes over who is primary. What a silent one still owes is called off where another can take it.
-func (r *Router) follow(now time.Duration, g *group) {
-	was := g.primary
-	if g.primary = nil; g.lead.Primary() != nil {
-		g.primary = r.members[MemberID(g.lead.Primary().ID)]
+// updatePrimary takes over the primary that the handover state names. If that is a new one, it cancels attempts of
+// silent members that may be repeated at the new primary.
+func (r *Router) updatePrimary(now time.Duration, g *group) {
+	previous := g.primary
+	if g.primary = nil; g.handover.Primary() != nil {
+		g.primary = r.members[MemberID(g.handover.Primary().ID)]
 	}
-	r.stir(now, g)
-	if was != nil && g.primary == nil {
+	r.activateGroup(now, g)
+	if previous != nil && g.primary == nil {
 		r.enterRounds(now, g)
 	}
-	if p := g.primary; p == nil || p == was || !r.cfg.EnableCancel || !r.lead.Config().Hold {
+	if p := g.primary; p == nil || p == previous || !r.cfg.EnableCancel || !r.handover.Config().Hold {
 		return
 	}
 	for _, m := range g.members {
-		for _, a := range m.out {
-			q := a.req
-			if m.seat.Silent && !a.calledOff && q.class.primaryMode() && r.mayRepeat(now, q) && now < r.until(q, a) {
-				a.calledOff = true
-				r.act.Cancel(q.ID, a.n)
+		for _, a := range m.inFlight {
+			q := a.request
+			if m.handover.Silent && !a.cancelled && q.class.primaryOnly() && r.mayRetry(now, q) && now < r.retryDeadline(q, a) {
+				a.cancelled = true
+				r.actions.Cancel(q.ID, a.index)
 			}
 		}
 	}
 }
 
-// learn takes a role and a position that were true at the time at, as this front has seen.
-func (r *Router) learn(m *member, role Role, position, at, now time.Duration) {
-	r.peers.Saw(now, uint64(m.ID), peers.Role(role), at, position)
-	r.believe(m, role, position, at, now)
+// observe records a role and a position that this proxy has seen and that were true at the time at.
+func (r *Router) observe(m *member, role Role, position, at, now time.Duration) {
+	r.gossip.Saw(now, uint64(m.ID), peers.Role(role), at, position)
+	r.applyObservation(m, role, position, at, now)
 	if position > 0 {
 		m.lag = now - m.position
 	}
 }
 
-// believe takes them, whoever has seen them.
-func (r *Router) believe(m *member, role Role, position, at, now time.Duration) {
+// applyObservation applies a role and a position, whether seen by this proxy or reported by others.
+func (r *Router) applyObservation(m *member, role Role, position, at, now time.Duration) {
 	if position > 0 {
-		m.placedAt = max(m.placedAt, at)
+		m.positionAt = max(m.positionAt, at)
 		m.position = max(m.position, min(position, now))
 	}
-	m.group.lead.Says(now, m.seat, handover.Role(role), at)
-	m.seat.Placed(now, position)
-	r.follow(now, m.group)
+	m.group.handover.Says(now, m.handover, handover.Role(role), at)
+	m.handover.Placed(now, position)
+	r.updatePrimary(now, m.group)
 }
 
-// heard notes a sign of life. A member back from a long silence may have restarted: it counts as cold.
-func (r *Router) heard(m *member, now time.Duration) {
-	m.heardAt = now
-	back, doubted := m.group.lead.Heard(now, m.seat)
-	if doubted {
+// markAlive records a sign of life. A member that returns from a long silence may have restarted, so it counts as
+// cold.
+func (r *Router) markAlive(m *member, now time.Duration) {
+	m.aliveAt = now
+	returned, mayHaveRestarted := m.group.handover.Heard(now, m.handover)
+	if mayHaveRestarted {
 		m.Forget()
 	}
-	if back {
-		r.follow(now, m.group)
+	if returned {
+		r.updatePrimary(now, m.group)
 	}
 }
 
-// lost marks a member that owes answers and gives none; reads that are safe to repeat are sent elsewhere.
-func (r *Router) lost(m *member, now time.Duration) {
-	if m.seat.Silent {
+// markSilent marks a member as silent that owes answers and gives none. Reads that are safe to repeat are sent
+// elsewhere.
+func (r *Router) markSilent(m *member, now time.Duration) {
+	if m.handover.Silent {
 		return
 	}
-	m.group.lead.Silent(now, m.seat)
-	r.peers.Ailing(now, uint64(m.ID), peers.Silent)
-	r.follow(now, m.group)
-	r.hedge(now, m)
+	m.group.handover.Silent(now, m.handover)
+	r.gossip.Ailing(now, uint64(m.ID), peers.Silent)
+	r.updatePrimary(now, m.group)
+	r.hedgeOverdue(now, m)
 }
 
-// hedge sends a copy of what a silent member owes, and of what is overdue where answers get lost: missing in
-// number though those that come are in time. Elsewhere overdue means crowded, and copies would feed it. An
-// attempt past its aim counts as a failure, so that a member that answers pings only is benched.
-func (r *Router) hedge(now time.Duration, m *member) {
-	for _, a := range m.out { // a copy may be added at its end meanwhile, nothing is removed
-		q, age := a.req, now-a.sentAt
-		if !a.overdue && age > max(2*r.slow[q.Class], q.class.Aim) {
-			a.overdue, m.stuck = true, true
-			r.failures.Note(now, &m.bench, 1)
-			if m.Strain < limit.High && !m.seat.Silent {
-				r.missing += missWeight * (1 - r.missing)
+// hedgeOverdue sends copies of the attempts that a silent member owes. It also sends copies of overdue attempts if
+// answers are being lost, that is, if many are missing although those that arrive are in time; otherwise overdue
+// attempts indicate overload, which copies would worsen. An overdue attempt counts as a failure, so that a member
+// that only answers pings is found to be failing.
+func (r *Router) hedgeOverdue(now time.Duration, m *member) {
+	for _, a := range m.inFlight { // a copy may be appended during the loop; nothing is removed
+		q, age := a.request, now-a.sentAt
+		if !a.overdue && age > max(2*r.slowTime[q.Class], q.class.Aim) {
+			a.overdue, m.unresponsive = true, true
+			r.failures.Note(now, &m.outlier, 1)
+			if m.Strain < limit.High && !m.handover.Silent {
+				r.lossRate += lossWeight * (1 - r.lossRate)
 			}
 		}
-		lost := r.loses(m) && age > r.slow[q.Class] && !r.long(q)
-		if (m.seat.Silent || lost) && a == q.tries[len(q.tries)-1] && !q.held && r.mayRepeat(now, q) {
+		answersLost := r.lossy(m) && age > r.slowTime[q.Class] && !r.isLongRead(q)
+		if (m.handover.Silent || answersLost) && a == q.attempts[len(q.attempts)-1] && !q.awaitingPing && r.mayRetry(now, q) {
 			r.route(now, q)
 		}
 	}
 }
 
-func (r *Router) loses(m *member) bool { return r.missing > missLimit && m.Strain < limit.High }
+func (r *Router) lossy(m *member) bool { return r.lossRate > maxLossRate && m.Strain < limit.High }
 
 // ---- Requests, attempts and outcomes ----
 
-// Request takes a client's request: it is sent, held by a fresh router, or answered at once.
+// Request handles a client's request: it is sent, held while a new router waits for pings, or answered at once.
 func (r *Router) Request(now time.Duration, in Request) {
-	r.begin(now)
+	r.ensureStarted(now)
 	if in.Class < 0 || in.Class >= len(r.cfg.Classes) || r.requests[in.ID] != nil {
-		r.act.Fail(in.ID)
+		r.actions.Fail(in.ID)
 		return
 	}
-	g := r.askedOf(in.Group)
+	g := r.requestedGroup(in.Group)
 	if !r.admits(now, &in, g) {
 		r.shed(&in, g)
 		return
 	}
-	q := &request{Request: in, class: &r.cfg.Classes[in.Class], group: g, at: now,
-		most: r.cfg.MaxAttempts}
+	q := &request{Request: in, class: &r.cfg.Classes[in.Class], group: g, arrivedAt: now,
+		maxAttempts: r.cfg.MaxAttempts}
 	r.requests[in.ID] = q
-	q.group.rate.add(now, thinSpan)
+	q.group.rate.add(now, rateWindow)
 	r.enterRounds(now, g)
-	q.over = r.quotas.Beyond(now, in.Tenant)
-	r.retries = min(r.retries+retryPart, retryReserve)
-	q.group.mixed(r.cost[q.Class].Seconds(), q.class.Worth, r.long(q))
+	q.overQuota = r.quotas.Beyond(now, in.Tenant)
+	r.retryTokens = min(r.retryTokens+retryShare, retryReserve)
+	q.group.recordWork(r.serviceTime[q.Class].Seconds(), q.class.Worth, r.isLongRead(q))
 	if q.class.Read == Bounded {
-		r.pings.Bounded(now)
+		r.pingSchedule.Bounded(now)
 	}
-	q.token = r.tokenOf(now, &in)
-	if r.opening(now, q.group) {
-		r.hold(q)
+	q.token = r.sessionToken(now, &in)
+	if r.startingUp(now, q.group) {
+		r.holdForPing(q)
 	} else {
-		r.start(now, q)
+		r.tryStart(now, q)
 	}
 }
 
-func (r *Router) start(now time.Duration, q *request) {
-	if ok, hint := r.route(now, q); !ok && !q.held && !q.open() {
-		r.giveUp(now, q, hint, q.group.lead.Holds())
+func (r *Router) tryStart(now time.Duration, q *request) {
+	if ok, retryAfter := r.route(now, q); !ok && !q.awaitingPing && !q.hasOpenAttempt() {
+		r.holdOrFinish(now, q, retryAfter, q.group.handover.Holds())
 	}
 }
 
-// giveUp holds a request for a primary that is likely to come in time, and otherwise answers it at once.
-func (r *Router) giveUp(now time.Duration, q *request, hint time.Duration, ahead int) {
-	if !q.class.primaryMode() {
-		r.finish(now, q, hint)
+// holdOrFinish holds a request for a primary that will probably be available in time, and otherwise answers it at
+// once. ahead is the number of held requests that precede it.
+func (r *Router) holdOrFinish(now time.Duration, q *request, retryAfter time.Duration, ahead int) {
+	if !q.class.primaryOnly() {
+		r.finish(now, q, retryAfter)
 		return
 	}
-	h := q.asHeld(r.cost[q.Class], r.usual(q), ahead)
-	for _, a := range q.tries {
-		h.Until = min(h.Until, r.until(q, a))
+	held := q.heldRequest(r.serviceTime[q.Class], r.usualTime(q), ahead)
+	for _, a := range q.attempts {
+		held.Until = min(held.Until, r.retryDeadline(q, a))
 	}
-	ok, better, pushed := q.group.lead.Hold(now, h)
-	better = min(better, r.cfg.MaxRetryAfter*2/3) // behind that all would come back in one moment
-	for _, id := range pushed {
-		r.finish(now, r.requests[RequestID(id)], better)
+	ok, holdHint, displaced := q.group.handover.Hold(now, held)
+	// With jitter, a longer hint would be cut to MaxRetryAfter, and all clients would return at once.
+	holdHint = min(holdHint, r.cfg.MaxRetryAfter*2/3)
+	for _, id := range displaced {
+		r.finish(now, r.requests[RequestID(id)], holdHint)
 	}
-	r.stir(now, q.group)
-	if q.waits = ok; !ok {
-		r.finish(now, q, cmp.Or(better, hint))
+	r.activateGroup(now, q.group)
+	if q.awaitingPrimary = ok; !ok {
+		r.finish(now, q, cmp.Or(holdHint, retryAfter))
 	}
 }
 
-// release lets go what waits for a primary, as far as that bears it, and looks anew at what has to wait on.
-func (r *Router) release(now time.Duration, g *group) {
-	g.lead.Tick(now)
-	for i, id := range g.lead.Waiting(now) {
+// releaseHeld sends the requests that wait for a primary, as far as the primary can take them, and decides again
+// whether the others stay held.
+func (r *Router) releaseHeld(now time.Duration, g *group) {
+	g.handover.Tick(now)
+	for i, id := range g.handover.Waiting(now) {
 		q := r.requests[RequestID(id)]
-		if q == nil || q.done || q.held || q.open() {
+		if q == nil || q.done || q.awaitingPing || q.hasOpenAttempt() {
 			continue
 		}
-		if now+r.usual(q) < q.Deadline { // what would only just come in time may run, and fail
+		if now+r.usualTime(q) < q.Deadline { // a request with barely enough time left might be executed and still fail
 			r.route(now, q)
 		}
-		if q.waits && !q.held {
-			r.giveUp(now, q, hintCrowded, i)
+		if q.awaitingPrimary && !q.awaitingPing {
+			r.holdOrFinish(now, q, retryAfterOverload, i)
 		}
 	}
 }
 
-// until is when a repeat is too late, given an earlier attempt.
-func (r *Router) until(q *request, a *attempt) time.Duration {
-	if q.class.Effect != Guarded || !a.open && !a.ran {
+// retryDeadline returns when a retry of q is too late, given its earlier attempt a.
+func (r *Router) retryDeadline(q *request, a *attempt) time.Duration {
+	if q.class.Effect != Guarded || !a.open && !a.mayHaveRun {
 		return q.Deadline
 	}
-	return min(q.Deadline, r.lead.Config().ResendUntil(a.sentAt, q.class.DedupWindow, r.slow[q.Class]))
+	return min(q.Deadline, r.handover.Config().ResendUntil(a.sentAt, q.class.DedupWindow, r.slowTime[q.Class]))
 }
 
-func (r *Router) hold(q *request) {
-	if !q.held {
-		q.held = true
-		r.held = append(r.held, q)
+func (r *Router) holdForPing(q *request) {
+	if !q.awaitingPing {
+		q.awaitingPing = true
+		r.awaitingPing = append(r.awaitingPing, q)
 	}
 }
 
-// route makes the request's next attempt where a member can be chosen.
+// route makes the request's next attempt if a member can be chosen. Otherwise it returns false and the retry-after
+// hint.
 func (r *Router) route(now time.Duration, q *request) (bool, time.Duration) {
-	m, hint := r.choose(now, q)
-	return m != nil && r.send(now, q, m), hint
+	m, retryAfter := r.selectMember(now, q)
+	return m != nil && r.send(now, q, m), retryAfter
 }
 
-// send is the only place that sends a request; each rule is checked here last.
+// send is the only method that sends a request. It checks every rule once more.
 func (r *Router) send(now time.Duration, q *request, m *member) bool {
-	if q.Deadline-now <= r.cost[q.Class] { // it can't be served; sinking, the estimate is tried again
-		limit.Quantile(&r.cost[q.Class], 0, costPart)
+	if q.Deadline-now <= r.serviceTime[q.Class] { // too little time is left; lower the estimate so that the class is tried again
+		limit.Quantile(&r.serviceTime[q.Class], 0, serviceTimeQuantile)
 		return false
 	}
 	if q.done || m.group != q.group || m.State != Ready || !r.effectAllows(now, q, m) ||
-		q.most > 0 && len(q.tries) >= q.most {
+		q.maxAttempts > 0 && len(q.attempts) >= q.maxAttempts {
 		return false
 	}
-	until := q.Deadline
-	for _, a := range q.tries { // a repeat isn't to be under way any more when the group takes it for a new one
-		until = min(until, r.until(q, a))
+	deadline := q.Deadline
+	for _, a := range q.attempts { // a retry must not be in flight when members no longer recognize it as a repeat
+		deadline = min(deadline, r.retryDeadline(q, a))
 	}
-	if q.waits { // however it came to be sent
-		q.waits = false
-		q.group.lead.Release(uint64(q.ID))
+	if q.awaitingPrimary { // whatever caused the send
+		q.awaitingPrimary = false
+		q.group.handover.Release(uint64(q.ID))
 	}
-	if len(q.tries) > 0 {
-		r.retries--
+	if len(q.attempts) > 0 {
+		r.retryTokens--
 	}
-	a := &attempt{req: q, n: len(q.tries), to: m, sentAt: now, open: true}
-	q.tries = append(q.tries, a)
-	m.out = append(m.out, a)
-	r.wake(m)
-	m.account.Take(r.cost[q.Class].Seconds()) // of no matter unless it is cold
-	r.act.Send(q.ID, m.ID, until-now)
+	a := &attempt{request: q, index: len(q.attempts), member: m, sentAt: now, open: true}
+	q.attempts = append(q.attempts, a)
+	m.inFlight = append(m.inFlight, a)
+	r.activate(m)
+	m.warmUpBudget.Take(r.serviceTime[q.Class].Seconds()) // only matters while the member is cold
+	r.actions.Send(q.ID, m.ID, deadline-now)
 	return true
 }
 
-// effectAllows keeps effects from happening twice: attempts that are out count as may have run.
+// effectAllows prevents a request from being executed twice. An attempt in flight counts as possibly executed.
 func (r *Router) effectAllows(now time.Duration, q *request, m *member) bool {
-	if !r.cfg.ParallelAttempts && q.open() {
+	if !r.cfg.ParallelAttempts && q.hasOpenAttempt() {
 		return false
 	}
-	for _, a := range q.tries {
+	for _, a := range q.attempts {
 		switch {
-		case q.class.Effect == Idempotent || !a.open && !a.ran:
-		case q.class.Effect == SingleShot, now+r.cost[q.Class] >= r.until(q, a),
-			q.class.Scope == ScopeZone && a.to.Zone != m.Zone:
+		case q.class.Effect == Idempotent || !a.open && !a.mayHaveRun:
+		case q.class.Effect == SingleShot, now+r.serviceTime[q.Class] >= r.retryDeadline(q, a),
+			q.class.Scope == ScopeZone && a.member.Zone != m.Zone:
 			return false
 		}
 	}
 	return true
 }
 
-// finish is the only place that gives a final answer: a refusal where a repeat can do no harm, or a failure.
-func (r *Router) finish(now time.Duration, q *request, hint time.Duration) {
+// finish is the only method that gives a final answer: a refusal if a retry by the client can do no harm, a
+// failure otherwise.
+func (r *Router) finish(now time.Duration, q *request, retryAfter time.Duration) {
 	if q == nil || q.done {
 		return
 	}
 	q.done = true
-	q.group.lead.Release(uint64(q.ID))
-	if !q.ran && !q.open() || q.class.Effect == Idempotent || q.class.Effect == Guarded && q.class.Scope == ScopeAll {
-		// Jitter, so that the refused don't come back together.
-		hint = min(hint/2+time.Duration(r.rng.Int64N(int64(hint)+1)), r.cfg.MaxRetryAfter)
+	q.group.handover.Release(uint64(q.ID))
+	if !q.mayHaveRun && !q.hasOpenAttempt() || q.class.Effect == Idempotent || q.class.Effect == Guarded && q.class.Scope == ScopeAll {
+		// Jitter keeps refused clients from returning at the same time.
+		retryAfter = min(retryAfter/2+time.Duration(r.rng.Int64N(int64(retryAfter)+1)), r.cfg.MaxRetryAfter)
 		if !r.cfg.EnableRetryAfter {
-			hint = 0
+			retryAfter = 0
 		}
-		if !q.over {
+		if !q.overQuota {
 			r.quotas.Back(q.Tenant)
 		}
-		r.refusals[r.refusalReason(now, q)]++
-		if t := q.tallyOf(); q.class.primaryMode() && q.group.primary == nil {
-			t.NoPrimary++
+		r.refusalCounts[r.refusalReason(now, q)]++
+		if counts := q.classCounts(); q.class.primaryOnly() && q.group.primary == nil {
+			counts.NoPrimary++
 		} else {
-			t.Refused++
-			q.group.draws.refuse(now, q.drawKey())
+			counts.Refused++
+			q.group.demand.recordRefusal(now, q.demandKey())
 		}
-		r.act.Refuse(q.ID, hint)
+		r.actions.Refuse(q.ID, retryAfter)
 	} else {
-		q.tallyOf().Failed++
-		r.act.Fail(q.ID)
+		q.classCounts().Failed++
+		r.actions.Fail(q.ID)
 	}
-	r.drop(q)
+	r.forget(q)
 }
 
-// drop forgets a request that is done, calling off what is still out.
-func (r *Router) drop(q *request) {
-	if !q.open() {
+// forget drops a finished request, and cancels its open attempts.
+func (r *Router) forget(q *request) {
+	if !q.hasOpenAttempt() {
 		delete(r.requests, q.ID)
 		return
 	}
-	for _, a := range q.tries {
-		if a.open && r.cfg.EnableCancel && !a.calledOff {
-			a.calledOff = true
-			r.act.Cancel(q.ID, a.n)
+	for _, a := range q.attempts {
+		if a.open && r.cfg.EnableCancel && !a.cancelled {
+			a.cancelled = true
+			r.actions.Cancel(q.ID, a.index)
 		}
 	}
 }
 
-// ResponseStarted notes that a streamed answer has begun: the client has it now, and no further copy may go out.
+// ResponseStarted records that a streamed answer has begun: the client has received a part of it, so no copy may
+// be sent.
 func (r *Router) ResponseStarted(now time.Duration, id RequestID, _ int) {
-	r.begin(now)
+	r.ensureStarted(now)
 	if q := r.requests[id]; q != nil {
 		q.done = true
 	}
 }
 
-// Abandoned notes that nothing more is owed. Who had it counts as late: early leavers would hide crowds.
+// Abandoned records that the client has left. The attempt's member is charged with a late answer: clients that
+// leave early would otherwise hide an overload.
 func (r *Router) Abandoned(now time.Duration, id RequestID) {
-	r.begin(now)
+	r.ensureStarted(now)
 	if q := r.requests[id]; q != nil && !q.done {
 		q.done = true
-		q.group.lead.Release(uint64(id))
-		q.tallyOf().Late++
-		for _, a := range q.tries {
+		q.group.handover.Release(uint64(id))
+		q.classCounts().Late++
+		for _, a := range q.attempts {
 			if a.open {
-				r.strain(now, a.to, q.class.Aim, limit.Late)
+				r.recordLatency(now, a.member, q.class.Aim, limit.Late)
 			}
 		}
-		r.drop(q)
+		r.forget(q)
 	}
 }
 
-// Outcome takes the end of an attempt.
+// Outcome handles the end of an attempt.
 func (r *Router) Outcome(now time.Duration, o Outcome) {
-	r.begin(now)
+	r.ensureStarted(now)
 	q := r.requests[o.Request]
-	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.tries) || !q.tries[o.Attempt].open {
+	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].open {
 		return
 	}
-	a := q.tries[o.Attempt]
+	a := q.attempts[o.Attempt]
 	a.open = false
-	a.to.out = slices.DeleteFunc(a.to.out, func(x *attempt) bool { return x == a })
-	a.ran, q.result = !o.Result.NeverRan(), o.Result
-	q.ran = q.ran || a.ran
-	r.note(now, a, o)
+	a.member.inFlight = slices.DeleteFunc(a.member.inFlight, func(x *attempt) bool { return x == a })
+	a.mayHaveRun, q.lastResult = !o.Result.NeverRan(), o.Result
+	q.mayHaveRun = q.mayHaveRun || a.mayHaveRun
+	r.recordOutcome(now, a, o)
 	if o.Finished && !q.done {
 		q.done = true
-		q.countEnd(now, o)
+		q.countOutcome(now, o)
 	}
-	if q.group.lead.Holds() > 0 && a.to == q.group.primary {
-		defer r.release(now, q.group) // there is room
+	if q.group.handover.Holds() > 0 && a.member == q.group.primary {
+		defer r.releaseHeld(now, q.group) // the primary has room for a held request
 	}
 	if q.done {
-		r.drop(q)
+		r.forget(q)
 		return
 	}
-	ok, hint := false, hintCrowded
-	if r.mayRepeat(now, q) {
-		ok, hint = r.route(now, q)
+	ok, retryAfter := false, retryAfterOverload
+	if r.mayRetry(now, q) {
+		ok, retryAfter = r.route(now, q)
 	}
-	if !ok && !q.open() && !q.held {
-		r.giveUp(now, q, hint, q.group.lead.Holds())
+	if !ok && !q.hasOpenAttempt() && !q.awaitingPing {
+		r.holdOrFinish(now, q, retryAfter, q.group.handover.Holds())
 	}
 }
 
-// mayRepeat bounds further attempts: few a request, few of all traffic (not to feed an overload), in time.
-func (r *Router) mayRepeat(now time.Duration, q *request) bool {
-	most := readTries
-	if q.class.primaryMode() && q.result == Failed { // there is no other; one that fails often serves some
-		most = cmp.Or(q.most, readTries)
+// mayRetry limits further attempts: per request, as a share of all traffic (so that they don't worsen an
+// overload), and in time.
+func (r *Router) mayRetry(now time.Duration, q *request) bool {
+	maxAttempts := maxReadAttempts
+	// There is no alternative to the primary, and one that fails often still serves some requests.
+	if q.class.primaryOnly() && q.lastResult == Failed {
+		maxAttempts = cmp.Or(q.maxAttempts, maxReadAttempts)
 	}
-	return !q.done && len(q.tries) < most && q.repeats() && r.retries >= 1 &&
-		now+r.cost[q.Class] < q.Deadline
+	return !q.done && len(q.attempts) < maxAttempts && q.retriesAllowed() && r.retryTokens >= 1 &&
+		now+r.serviceTime[q.Class] < q.Deadline
 }
 
-// note learns from an outcome: signs of life, role, position, time, failures, commits and pins.
-func (r *Router) note(now time.Duration, a *attempt, o Outcome) {
-	q, m := a.req, a.to
+// recordOutcome updates the state from an outcome: signs of life, role, position, latency, failures, commits and
+// pins.
+func (r *Router) recordOutcome(now time.Duration, a *attempt, o Outcome) {
+	q, m := a.request, a.member
 	switch o.Result {
 	case OK, Misdirected, Failed, Rejected:
-		r.heard(m, now)
-		m.stuck = false
+		r.markAlive(m, now)
+		m.unresponsive = false
 		role, position := o.Role, o.Position
 		if q.class.Read == Write && o.Result == Misdirected && role == RoleUnknown {
 			role = RoleReplica
 		}
 		if q.class.Read == Write && o.Result == OK { // the position is the commit's, not the member's
 			if !r.cfg.SessionTokens && q.Session != 0 {
-				r.commits.add(q.Session, cmp.Or(position, now))
+				r.sessionCommits.add(q.Session, cmp.Or(position, now))
 			}
 			position = 0
-			q.group.lead.Served(now)
+			q.group.handover.Served(now)
 		}
-		r.evidence(now, m, o.ConnOpenedAt)
-		r.learn(m, role, position, now, now)
+		r.applyConnectionAge(now, m, o.ConnOpenedAt)
+		r.observe(m, role, position, now, now)
 		if o.Load.Queue >= 0 {
-			m.queue, m.queueAt = o.Load.Queue, now
+			m.queueLength, m.queueReportedAt = o.Load.Queue, now
 		}
-		r.learn(m, o.Load.Role, o.Load.Position, cmp.Or(o.Load.Position, now), now)
+		r.observe(m, o.Load.Role, o.Load.Position, cmp.Or(o.Load.Position, now), now)
 	}
 	switch o.Result {
 	case Misdirected:
-		m.missed(q)
+		m.recordMisdirected(q)
 	case OK:
-		took := now - a.sentAt
-		limit.Quantile(&r.cost[q.Class], took, costPart)
-		limit.Quantile(&r.slow[q.Class], took, slowPart)
-		r.strain(now, m, q.class.Aim, min(float64(took)/float64(q.class.Aim), limit.Late))
-		r.failures.Note(now, &m.bench, 0)
-		r.missing -= missWeight * r.missing
+		elapsed := now - a.sentAt
+		limit.Quantile(&r.serviceTime[q.Class], elapsed, serviceTimeQuantile)
+		limit.Quantile(&r.slowTime[q.Class], elapsed, slowTimeQuantile)
+		r.recordLatency(now, m, q.class.Aim, min(float64(elapsed)/float64(q.class.Aim), limit.Late))
+		r.failures.Note(now, &m.outlier, 0)
+		r.lossRate -= lossWeight * r.lossRate
 		if q.class.Read != Write && q.Session != 0 && m.role() == RoleReplica {
-			r.pins.put(q.pinKey(), pin{m, q.group.lead.Term()})
+			r.pins.put(q.pinKey(), pin{m, q.group.handover.Term()})
 		}
 	case TimedOut:
-		if !r.loses(m) {
-			r.strain(now, m, q.class.Aim, limit.Late)
+		if !r.lossy(m) {
+			r.recordLatency(now, m, q.class.Aim, limit.Late)
 		}
 	case Failed, Rejected, ConnectFailed, Reset:
-		if r.failed(now, m); o.Result == Rejected {
-			r.strain(now, m, q.class.Aim, limit.Late)
+		if r.recordFailure(now, m); o.Result == Rejected {
+			r.recordLatency(now, m, q.class.Aim, limit.Late)
 		}
 		if o.Result == ConnectFailed {
 			r.probe(now, m)
 		}
 		if o.DialRefused {
-			m.seat.Refused()
+			m.handover.Refused()
 		}
 	}
 }
 
-// ---- Guards: crowding, cold members ----
+// ---- Safeguards against overload, and for cold members ----
 
-// strain holds an answer against its aim, unless it may be this front that is late.
-func (r *Router) strain(now time.Duration, m *member, aim time.Duration, x float64) {
-	if !r.stood(now) {
-		m.Judge(now, aim, x, len(m.out))
+// recordLatency updates the member's limit with an answer time over its aim, unless the delay may be due to a
+// stall of this proxy.
+func (r *Router) recordLatency(now time.Duration, m *member, aim time.Duration, latencyRatio float64) {
+	if !r.stalled(now) {
+		m.Judge(now, aim, latencyRatio, len(m.inFlight))
 	}
 }
 
-// share is this front's part of what all fronts may do together.
-func (r *Router) share(total float64) float64 { return total / float64(max(r.cfg.Proxies, 1)) }
+// proxyShare returns this proxy's part of a total for all proxies.
+func (r *Router) proxyShare(total float64) float64 { return total / float64(max(r.cfg.Proxies, 1)) }
 
-// bears keeps a started member from being pushed over: its account of work fills with its warmth's part of
-// what this front has for each member of the group, times half the multiple that the rule allows. It starts
-// in a random debt and is never above zero, so that the sum of all fronts is bounded.
-func (r *Router) bears(now time.Duration, m *member, merit float64) bool {
-	from, sure := m.seat.Cold(now, r.cfg.ColdPeriod)
-	if sure == 0 {
+// warmUpAllows keeps a recently started member from being overloaded. The member's work budget refills at this
+// proxy's work per member of the group, times the member's present fraction of its capacity, times half of
+// Config.OverloadMultiple. It starts with a random debt and is never positive, so that the sum over all proxies is
+// bounded.
+func (r *Router) warmUpAllows(now time.Duration, m *member, share float64) bool {
+	startedAt, certainty := m.handover.Cold(now, r.cfg.ColdPeriod)
+	if certainty == 0 {
 		return true
-	} else if r.peers.On() && !r.priority.Admits(merit, r.luck) {
+	} else if r.gossip.On() && !r.coldPriority.Admits(share, r.requestDraw) {
 		return false
 	}
-	most := fallPart + (fallDoubt-fallPart)*(1-sure)
-	part := r.warmthSince(now, from) * max(r.cfg.OverloadMultiple*most, 1) / r.bearers(m.group)
-	debt := func() float64 { return r.rng.Float64() * m.group.work }
-	ok := m.account.Bears(now, from, debt, part*r.rateOf(now, m.group)*m.group.work)
-	if merit >= 1 && m.role() != RolePrimary {
-		r.priority.Note(ok)
+	overloadShare := coldOverloadShare + (doubtfulOverloadShare-coldOverloadShare)*(1-certainty)
+	budgetShare := r.warmCapacitySince(now, startedAt) * max(r.cfg.OverloadMultiple*overloadShare, 1) / r.sharingMembers(m.group)
+	initialDebt := func() float64 { return r.rng.Float64() * m.group.meanWork }
+	ok := m.warmUpBudget.Bears(now, startedAt, initialDebt, budgetShare*r.requestRate(now, m.group)*m.group.meanWork)
+	if share >= 1 && m.role() != RolePrimary {
+		r.coldPriority.Note(ok)
 	}
 	return ok
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -20,14 +20,14 @@
 	} {
 		cfg := testConfig()
 		spoil(&cfg)
-		if _, err := New(cfg, printer{}); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := New(cfg, printingActions{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("New: %v, want an error with %q", err, want)
 		}
 	}
 }
 
 func TestModesByClass(t *testing.T) {
-	f := settled(t, testConfig(), 4)
+	f := newReadyProxy(t, testConfig(), 4)
 	for i := 0; i < 40; i++ {
 		for _, c := range []int{clsBounded, clsSession, clsAny} {
 			if s := f.serve(f.request(c, 0), ms); s.to == 1 {
@@ -39,21 +39,21 @@
 				t.Fatalf("class %d went to member %d, not the primary", c, s.to)
 			}
 		}
-		f.pass(50 * ms)
+		f.advance(50 * ms)
 	}
 }
 
 func TestPingWindow(t *testing.T) {
-	f := newFront(t, testConfig())
-	f.list(ListCached, 4)
+	f := newTestProxy(t, testConfig())
+	f.listMembers(ListCached, 4)
 	f.now += 10 * ms
-	f.r.Timer(f.now, tickTimer)
+	f.router.Timer(f.now, tickTimer)
 	for m, ping := range map[MemberID]time.Duration{1: ms, 2: ms, 3: 15 * ms, 4: 40 * ms} {
 		rep := Report{Role: RoleReplica, Position: f.now}
 		if m == 1 {
 			rep.Role = RolePrimary
 		}
-		f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ping, Report: rep})
+		f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ping, Report: rep})
 	}
 	seen := map[MemberID]int{}
 	for i := 0; i < 60; i++ {
@@ -65,7 +65,7 @@
 }
 
 func TestPinsHoldUntilThePrimaryChanges(t *testing.T) {
-	f := settled(t, testConfig(), 6)
+	f := newReadyProxy(t, testConfig(), 6)
 	first := f.serve(f.request(clsSession, 5), 10*ms).to
 	for i := 0; i < 20; i++ {
 		if s := f.serve(f.request(clsSession, 5), 10*ms); s.to != first {
@@ -78,12 +78,12 @@
 		other = 3
 	}
 	f.now += 10 * ms
-	f.r.learn(f.r.members[other], RolePrimary, f.now, f.now, f.now)
+	f.router.observe(f.router.members[other], RolePrimary, f.now, f.now, f.now)
 	moved := false
 	for i := SessionID(0); i < 12; i++ {
 		moved = moved || f.serve(f.request(clsSession, 5), ms).to != first
-		f.r.groups[0].lead.Says(f.now, f.r.members[first].seat, handover.Replica, f.now)
-		f.r.groups[0].lead.Says(f.now, f.r.members[other].seat, handover.Primary, f.now)
+		f.router.groups[0].handover.Says(f.now, f.router.members[first].handover, handover.Replica, f.now)
+		f.router.groups[0].handover.Says(f.now, f.router.members[other].handover, handover.Primary, f.now)
 	}
 	if !moved {
 		t.Error("the session stayed with its old replica through twelve changes of primary")
@@ -91,41 +91,41 @@
 }
 
 func TestSessionReadNeedsItsWrites(t *testing.T) {
-	f := settled(t, testConfig(), 3)
+	f := newReadyProxy(t, testConfig(), 3)
 	w := f.mustSend(f.request(clsGuarded, 9))
 	f.now += 20 * ms
-	f.r.Outcome(f.now, Outcome{Request: w.id, Member: 1, Result: OK, Finished: true, Role: RolePrimary, Position: f.now})
+	f.router.Outcome(f.now, Outcome{Request: w.id, Member: 1, Result: OK, Finished: true, Role: RolePrimary, Position: f.now})
 	if s := f.mustSend(f.request(clsSession, 9)); s.to != 1 {
 		t.Errorf("the read went to replica %d, which is not known to hold the write", s.to)
 	}
-	f.pass(300 * ms)
+	f.advance(300 * ms)
 	f.request(clsBounded, 0) // bounded reads make pings frequent
-	f.pass(1200 * ms)
+	f.advance(1200 * ms)
 	if s := f.mustSend(f.request(clsSession, 9)); s.to == 1 {
 		t.Error("the read still goes to the primary though replicas tell later positions")
 	}
 }
 
 func TestForgottenCommitsBecomeAFloor(t *testing.T) {
-	f := settled(t, testConfig(), 2)
-	for i := 0; i <= keepEntries; i++ {
-		f.r.commits.add(SessionID(i+1), f.now+time.Duration(i))
+	f := newReadyProxy(t, testConfig(), 2)
+	for i := 0; i <= maxSessionEntries; i++ {
+		f.router.sessionCommits.add(SessionID(i+1), f.now+time.Duration(i))
 	}
-	if got := f.r.tokenOf(f.now, &Request{Session: 1}); got != f.now {
+	if got := f.router.sessionToken(f.now, &Request{Session: 1}); got != f.now {
 		t.Errorf("a dropped session's token is %v, want the newest dropped commit %v", got, f.now)
 	}
-	if n := len(f.r.commits.m); n != keepEntries {
-		t.Errorf("%d commits kept, want %d", n, keepEntries)
+	if n := len(f.router.sessionCommits.entries); n != maxSessionEntries {
+		t.Errorf("%d commits kept, want %d", n, maxSessionEntries)
 	}
 }
 
 func TestCarriedToken(t *testing.T) {
 	cfg := testConfig()
 	cfg.SessionTokens = true
-	f := settled(t, cfg, 3)
+	f := newReadyProxy(t, cfg, 3)
 	send := func(age time.Duration) MemberID {
 		f.nextID++
-		f.r.Request(f.now, Request{ID: f.nextID, Class: clsSession, Session: 4, TokenAge: age, Deadline: f.now + time.Second})
+		f.router.Request(f.now, Request{ID: f.nextID, Class: clsSession, Session: 4, TokenAge: age, Deadline: f.now + time.Second})
 		return f.mustSend(f.nextID).to
 	}
 	if to := send(5 * ms); to != 1 {
@@ -137,26 +137,26 @@
 }
 
 func TestNoKnownPrimaryRefusesUnsent(t *testing.T) {
-	f := newFront(t, testConfig())
-	f.list(ListCached, 3)
-	f.pass(20*ms, 1)
+	f := newTestProxy(t, testConfig())
+	f.listMembers(ListCached, 3)
+	f.advance(20*ms, 1)
 	f.now += 400 * ms
-	f.r.Timer(f.now, tickTimer)
+	f.router.Timer(f.now, tickTimer)
 	id := f.request(clsUnsafe, 3)
 	f.wantFinal(id, "refused")
-	if f.count(id) != 0 || f.hints[id] == 0 {
-		t.Errorf("%d sends and hint %v, want none and a hint", f.count(id), f.hints[id])
+	if f.sendCount(id) != 0 || f.hints[id] == 0 {
+		t.Errorf("%d sends and hint %v, want none and a hint", f.sendCount(id), f.hints[id])
 	}
 }
 
 func TestFreshRouterHoldsUntilPingsAnswer(t *testing.T) {
-	f := newFront(t, testConfig())
-	f.list(ListCached, 3)
+	f := newTestProxy(t, testConfig())
+	f.listMembers(ListCached, 3)
 	w, rd := f.request(clsUnsafe, 1), f.request(clsBounded, 0)
 	if len(f.sends) != 0 || len(f.finals) != 0 {
 		t.Fatalf("sends %v, finals %v before any ping was answered", f.sends, f.finals)
 	}
-	f.pass(20 * ms)
+	f.advance(20 * ms)
 	if s := f.mustSend(w); s.to != 1 {
 		t.Errorf("the held write went to %d", s.to)
 	}
@@ -164,14 +164,14 @@
 }
 
 func TestMissOnAWriteDemotesAtOnce(t *testing.T) {
-	f := settled(t, testConfig(), 3)
+	f := newReadyProxy(t, testConfig(), 3)
 	s := f.mustSend(f.request(clsUnsafe, 1))
 	f.now += 2 * ms
-	f.r.Outcome(f.now, Outcome{Request: s.id, Member: s.to, Result: Misdirected, Role: RoleReplica, Position: f.now - 10*ms})
+	f.router.Outcome(f.now, Outcome{Request: s.id, Member: s.to, Result: Misdirected, Role: RoleReplica, Position: f.now - 10*ms})
 	f.wantFinal(s.id, "refused")
 	id := f.request(clsUnsafe, 1)
 	f.wantFinal(id, "refused")
-	if f.count(id) != 0 {
+	if f.sendCount(id) != 0 {
 		t.Error("a write was sent to a member that had just turned one away as a replica")
 	}
 }
@@ -189,25 +189,25 @@
 		{clsGuarded, Failed, 8, "failed"},
 		{clsBounded, Failed, 3, "refused"},
 	} {
-		f := settled(t, testConfig(), 4)
+		f := newReadyProxy(t, testConfig(), 4)
 		id := f.request(c.class, 1)
 		for i := 0; i < 9 && f.finals[id] == ""; i++ {
 			f.now += 5 * ms
-			f.end(f.mustSend(id), c.res)
+			f.finishAttempt(f.mustSend(id), c.res)
 		}
-		if f.finals[id] != c.final || f.count(id) != c.sends {
-			t.Errorf("class %d after %d: %d sends and %q, want %d and %q", c.class, c.res, f.count(id), f.finals[id],
+		if f.finals[id] != c.final || f.sendCount(id) != c.sends {
+			t.Errorf("class %d after %d: %d sends and %q, want %d and %q", c.class, c.res, f.sendCount(id), f.finals[id],
 				c.sends, c.final)
 		}
 	}
 }
 
 func TestGuardedRepeatKeepsTheWindow(t *testing.T) {
-	f := settled(t, testConfig(), 3)
+	f := newReadyProxy(t, testConfig(), 3)
 	id := f.request(clsGuarded, 1)
-	f.pass(1195 * ms)
-	f.end(f.mustSend(id), Failed)
-	if f.count(id) != 1 {
+	f.advance(1195 * ms)
+	f.finishAttempt(f.mustSend(id), Failed)
+	if f.sendCount(id) != 1 {
 		t.Error("a keyed write was repeated after its window")
 	}
 	f.wantFinal(id, "failed")
@@ -215,7 +215,7 @@
 
 // Silence: a member that owes answers and lets a ping pass is left, and its repeatable reads move.
 func TestSilentMemberIsLeft(t *testing.T) {
-	f := settled(t, testConfig(), 4)
+	f := newReadyProxy(t, testConfig(), 4)
 	var stuck []RequestID
 	for i := 0; i < 30; i++ {
 		id := f.request(clsBounded, 0)
@@ -228,10 +228,10 @@
 	if len(stuck) == 0 {
 		t.Fatal("no read went to member 2")
 	}
-	f.pass(700*ms, 2)
+	f.advance(700*ms, 2)
 	for _, id := range stuck {
-		if f.count(id) != 2 || f.mustSend(id).to == 2 {
-			t.Errorf("read %d: %d sends, the last to %d; want a second one elsewhere", id, f.count(id), f.mustSend(id).to)
+		if f.sendCount(id) != 2 || f.mustSend(id).to == 2 {
+			t.Errorf("read %d: %d sends, the last to %d; want a second one elsewhere", id, f.sendCount(id), f.mustSend(id).to)
 		}
 	}
 	for i := 0; i < 30; i++ {
@@ -242,30 +242,30 @@
 }
 
 func TestSilentPrimaryRefusesWrites(t *testing.T) {
-	f := settled(t, testConfig(), 3)
-	f.pass(1500*ms, 1)
+	f := newReadyProxy(t, testConfig(), 3)
+	f.advance(1500*ms, 1)
 	id := f.request(clsUnsafe, 1)
 	f.wantFinal(id, "refused")
-	if f.count(id) != 0 {
+	if f.sendCount(id) != 0 {
 		t.Error("a write was sent to a silent primary")
 	}
 }
 
 // Fast failure: a member that fails quickly is benched, and gets one trial at a time.
 func TestFastFailuresAreBenched(t *testing.T) {
-	f := settled(t, testConfig(), 4)
+	f := newReadyProxy(t, testConfig(), 4)
 	hits := 0
 	for i := 0; i < 200; i++ {
 		id := f.request(clsAny, 0)
 		for f.finals[id] == "" {
 			if s := f.mustSend(id); s.to == 3 {
 				hits++
-				f.end(s, Failed)
+				f.finishAttempt(s, Failed)
 			} else {
-				f.end(s, OK)
+				f.finishAttempt(s, OK)
 			}
 		}
-		f.pass(10 * ms)
+		f.advance(10 * ms)
 	}
 	if hits > 12 {
 		t.Errorf("the failing member got %d of 200 reads", hits)
@@ -274,16 +274,16 @@
 
 // Slow though pings are quick: a member whose answers run late gets less; its peers get the rest.
 func TestSlowMemberGetsLess(t *testing.T) {
-	f := settled(t, testConfig(), 4)
+	f := newReadyProxy(t, testConfig(), 4)
 	type flight struct {
-		s   sent
+		s   sentAttempt
 		due time.Duration
 	}
 	var air []flight
 	got := map[MemberID]int{}
 	for i := 0; i < 1500; i++ {
 		id := f.request(clsBounded, 0)
-		if s, ok := f.last(id); ok {
+		if s, ok := f.lastSend(id); ok {
 			took := 60 * ms
 			if s.to == 3 {
 				took = 600 * ms
@@ -293,11 +293,11 @@
 				got[s.to]++
 			}
 		}
-		f.pass(10 * ms)
+		f.advance(10 * ms)
 		var left []flight
 		for _, a := range air {
 			if a.due <= f.now {
-				f.end(a.s, OK)
+				f.finishAttempt(a.s, OK)
 			} else {
 				left = append(left, a)
 			}
@@ -311,7 +311,7 @@
 
 // Long reads that stall applying go where bounded reads can't, from a router's first on.
 func TestLongReadsGoToTheOneBehind(t *testing.T) {
-	f := settled(t, testConfig(), 5)
+	f := newReadyProxy(t, testConfig(), 5)
 	for i := 0; i < 300; i++ { // long reads are a small part of the work
 		f.serve(f.request(clsSession, 0), 100*ms)
 	}
@@ -319,23 +319,23 @@
 	if again := f.mustSend(f.request(clsAny, 0)).to; again != first {
 		t.Errorf("the first long reads went to %d and %d: two replicas stall", first, again)
 	}
-	f.r.members[4].position = f.now - 3*time.Second
+	f.router.members[4].position = f.now - 3*time.Second
 	for i := 0; i < 2; i++ {
 		if s := f.mustSend(f.request(clsAny, 0)); s.to != 4 {
 			t.Errorf("a long read went to %d, not to the straggler", s.to)
 		}
 	}
-	f.r.members[4].Most = 0 // crowded: its peers stay in the filter all the same
+	f.router.members[4].Most = 0 // crowded: its peers stay in the filter all the same
 	id := f.request(clsAny, 0)
 	f.wantFinal(id, "refused")
 }
 
 func TestDrainStopsAtTheNews(t *testing.T) {
-	f := settled(t, testConfig(), 3)
+	f := newReadyProxy(t, testConfig(), 3)
 	for i, st := range []MemberState{Draining, Gone} {
-		e := entry(2 + i)
+		e := readyMember(2 + i)
 		e.State = st
-		f.r.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
+		f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
 		for j := 0; j < 20; j++ {
 			if s := f.serve(f.request(clsBounded, 0), 0); int(s.to) == 2+i {
 				t.Fatalf("a read went to a member in state %d", st)
@@ -346,18 +346,18 @@
 
 // A member back from its start gets little at first, and no more than its peers' mean times its warmth.
 func TestColdMemberIsEased(t *testing.T) {
-	f := settled(t, testConfig(), 5)
+	f := newReadyProxy(t, testConfig(), 5)
 	for i := 0; i < 100; i++ {
 		f.serve(f.request(clsBounded, 0), 10*ms)
-		f.pass(10 * ms)
+		f.advance(10 * ms)
 	}
-	e := entry(3)
+	e := readyMember(3)
 	e.StartedAt = f.now
-	f.r.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
+	f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
 	got := map[MemberID]int{}
 	for i := 0; i < 300; i++ {
 		got[f.serve(f.request(clsBounded, 0), 5*ms).to]++
-		f.pass(10 * ms)
+		f.advance(10 * ms)
 	}
 	if got[3]*2 > got[2] || got[3] == 0 {
 		t.Errorf("sends by member %v: want the cold one at under half of a warm one's", got)
@@ -367,41 +367,41 @@
 func TestOddButLegal(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListOnRequest = true
-	f := newFront(t, cfg)
-	f.r.Outcome(f.now, Outcome{Request: 99, Result: OK})
-	f.r.Abandoned(f.now, 99)
-	f.r.ResponseStarted(f.now, 99, 0)
-	f.r.Timer(f.now, 12345)
-	f.r.ProbeDone(f.now, ProbeResult{Member: 77})
-	f.r.Members(f.now, MemberList{Kind: ListFailed})
-	f.list(ListFull, 3)
-	f.pass(400 * ms)
+	f := newTestProxy(t, cfg)
+	f.router.Outcome(f.now, Outcome{Request: 99, Result: OK})
+	f.router.Abandoned(f.now, 99)
+	f.router.ResponseStarted(f.now, 99, 0)
+	f.router.Timer(f.now, 12345)
+	f.router.Probed(f.now, ProbeEnd{Member: 77})
+	f.router.Members(f.now, MemberList{Kind: ListFailed})
+	f.listMembers(ListFull, 3)
+	f.advance(400 * ms)
 	f.nextID++
-	f.r.Request(f.now, Request{ID: f.nextID, Class: clsAny, Group: 8, Deadline: f.now + time.Second})
+	f.router.Request(f.now, Request{ID: f.nextID, Class: clsAny, Group: 8, Deadline: f.now + time.Second})
 	f.wantFinal(f.nextID, "refused") // a group with no members
 	f.nextID++
-	f.r.Request(f.now, Request{ID: f.nextID, Class: 1000, Deadline: f.now + time.Second})
+	f.router.Request(f.now, Request{ID: f.nextID, Class: 1000, Deadline: f.now + time.Second})
 	f.wantFinal(f.nextID, "failed")
 	s := f.mustSend(f.request(clsBounded, 0))
-	f.r.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{entry(1)}}) // its member is gone
-	f.end(s, OK)
-	f.end(s, OK)
-	f.r.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{entry(1)}})
-	if len(f.r.requests) != 0 || len(f.r.order) != 1 {
-		t.Errorf("%d requests and %d members kept, want 0 and 1", len(f.r.requests), len(f.r.order))
+	f.router.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{readyMember(1)}}) // its member is gone
+	f.finishAttempt(s, OK)
+	f.finishAttempt(s, OK)
+	f.router.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{readyMember(1)}})
+	if len(f.router.requests) != 0 || len(f.router.memberOrder) != 1 {
+		t.Errorf("%d requests and %d members kept, want 0 and 1", len(f.router.requests), len(f.router.memberOrder))
 	}
 }
 
 func TestFailedListCallsAreSpaced(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListOnRequest = true
-	f := newFront(t, cfg)
+	f := newTestProxy(t, cfg)
 	for i := 0; i < 1000; i++ {
 		before := f.watches
 		f.now += 10 * ms
-		f.r.Timer(f.now, tickTimer)
+		f.router.Timer(f.now, tickTimer)
 		if f.watches > before || i == 0 {
-			f.r.Members(f.now, MemberList{Kind: ListFailed})
+			f.router.Members(f.now, MemberList{Kind: ListFailed})
 		}
 	}
 	if f.watches < 3 || f.watches > 9 {
@@ -411,27 +411,27 @@
 
 // Stuck: a member that answers pings but no requests gets no more than a trial, and its reads move.
 func TestStuckMemberIsLeftThoughItsPingsPass(t *testing.T) {
-	f := settled(t, testConfig(), 3)
+	f := newReadyProxy(t, testConfig(), 3)
 	var writes []RequestID
 	for i := 0; i < 3; i++ {
 		writes = append(writes, f.request(clsUnsafe, 1))
 		f.mustSend(writes[i])
 	}
-	f.pass(400 * ms)
-	if id := f.request(clsUnsafe, 1); f.count(id) != 1 {
+	f.advance(400 * ms)
+	if id := f.request(clsUnsafe, 1); f.sendCount(id) != 1 {
 		t.Fatal("refused before the aim had passed")
 	}
-	f.pass(700 * ms)
+	f.advance(700 * ms)
 	id := f.request(clsUnsafe, 1)
 	f.wantFinal(id, "refused")
-	if f.count(id) != 0 {
+	if f.sendCount(id) != 0 {
 		t.Error("a write was sent to a primary that has answered none for longer than its aim")
 	}
 	for _, w := range writes {
-		f.end(f.mustSend(w), OK)
+		f.finishAttempt(f.mustSend(w), OK)
 	}
-	f.pass(2 * time.Second)
-	if id := f.request(clsUnsafe, 1); f.count(id) != 1 {
+	f.advance(2 * time.Second)
+	if id := f.request(clsUnsafe, 1); f.sendCount(id) != 1 {
 		t.Error("still refused after the primary answered")
 	}
 }
@@ -440,8 +440,8 @@
 func TestLeastMeritIsShedFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[clsBounded].Worth = 0.1 // the same work as a session read's, a tenth of the worth
-	f := settled(t, cfg, 4)
-	for _, m := range f.r.order {
+	f := newReadyProxy(t, cfg, 4)
+	for _, m := range f.router.memberOrder {
 		m.Most = 10
 	}
 	shed := func(class, n int) (refused int) {
@@ -465,23 +465,23 @@
 
 // Clients that leave early: quick answers alone would show a crowded member as fine.
 func TestClientsLeavingCutTheLimit(t *testing.T) {
-	f := settled(t, testConfig(), 2)
-	m := f.r.members[2]
+	f := newReadyProxy(t, testConfig(), 2)
+	m := f.router.members[2]
 	before := m.Most
 	for i := 0; i < 40; i++ {
 		id := f.request(clsBounded, 0)
-		if f.count(id) == 0 {
+		if f.sendCount(id) == 0 {
 			continue
 		}
-		f.pass(150 * ms)
+		f.advance(150 * ms)
 		if i%3 == 0 {
-			f.end(f.mustSend(id), OK)
+			f.finishAttempt(f.mustSend(id), OK)
 		} else {
-			f.r.Abandoned(f.now, id)
+			f.router.Abandoned(f.now, id)
 			f.finals[id] = "abandoned"
-			f.end(f.mustSend(id), Cancelled)
+			f.finishAttempt(f.mustSend(id), Cancelled)
 		}
-		f.pongs()
+		f.answerPings()
 	}
 	if m.Most > before/3 {
 		t.Errorf("limit %.1f of %.1f after two thirds of the clients left", m.Most, before)
@@ -492,18 +492,18 @@
 func TestBeyondItsShareIsShedFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.OverShareWorth = []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 20}}, 0.1
-	f := settled(t, cfg, 4)
+	f := newReadyProxy(t, cfg, 4)
 	refused := map[int]int{}
 	ask := func(tenant, n int) {
 		for i := 0; i < n; i++ {
 			f.nextID++
-			f.r.Request(f.now, Request{ID: f.nextID, Class: clsSession, Tenant: tenant, Deadline: f.now + time.Second})
+			f.router.Request(f.now, Request{ID: f.nextID, Class: clsSession, Tenant: tenant, Deadline: f.now + time.Second})
 			if f.finals[f.nextID] == "refused" {
 				refused[tenant]++
 			}
 		}
 	}
-	for _, m := range f.r.order {
+	for _, m := range f.router.memberOrder {
 		m.Most = 10
 	}
 	ask(0, 40)
@@ -515,7 +515,7 @@
 
 // Failures that strike all members alike bench nobody: a fifth lost must not become all refused.
 func TestFailuresEverywhereBenchNobody(t *testing.T) {
-	f, benched := settled(t, testConfig(), 6), 0
+	f, benched := newReadyProxy(t, testConfig(), 6), 0
 	for i := 0; i < 600; i++ {
 		id := f.request(clsSession, 0)
 		for n := 0; f.finals[id] == ""; n++ {
@@ -523,11 +523,11 @@
 			if (i+n)%5 < 2 && n == 0 { // two fifths of the first attempts are reset
 				res = Reset
 			}
-			f.end(f.mustSend(id), res)
+			f.finishAttempt(f.mustSend(id), res)
 		}
-		f.pass(10 * ms)
-		for _, m := range f.r.order[1:] {
-			if i > 100 && !f.r.usable(m, f.now) {
+		f.advance(10 * ms)
+		for _, m := range f.router.memberOrder[1:] {
+			if i > 100 && !f.router.usable(m, f.now) {
 				benched++
 			}
 		}
@@ -539,16 +539,16 @@
 
 // Long reads leave room at their straggler by their merit: filled to its limit, most would time out there.
 func TestLongReadsFillOnlyTheirPartOfAStraggler(t *testing.T) {
-	f := settled(t, testConfig(), 5)
+	f := newReadyProxy(t, testConfig(), 5)
 	for i := 0; i < 300; i++ {
 		f.serve(f.request(clsSession, 0), 100*ms)
 	}
-	for _, m := range f.r.order {
+	for _, m := range f.router.memberOrder {
 		m.Most = 4
 	}
 	sent := 0
 	for i := 0; i < 5; i++ {
-		sent += f.count(f.request(clsAny, 0))
+		sent += f.sendCount(f.request(clsAny, 0))
 	}
 	if sent == 0 || sent >= 4 {
 		t.Errorf("%d long reads sent at a limit of 4, want some and room left", sent)
@@ -559,16 +559,16 @@
 func TestNewestWordOfTwoPrimariesCounts(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListRole = ListRoleLate
-	f := settled(t, cfg, 3)
-	named := entry(2)
+	f := newReadyProxy(t, cfg, 3)
+	named := readyMember(2)
 	named.Primary = true
-	f.r.members[2].seat.Role, f.r.members[2].seat.At = handover.Unknown, 0
-	f.r.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{named}})
+	f.router.members[2].handover.Role, f.router.members[2].handover.At = handover.Unknown, 0
+	f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{named}})
 	if s := f.serve(f.request(clsFresh, 0), ms); s.to != 1 {
 		t.Fatalf("a late list outranked member 1's own word: sent to %d", s.to)
 	}
 	f.now += 5 * ms
-	f.r.learn(f.r.members[2], RolePrimary, f.now, f.now, f.now)
+	f.router.observe(f.router.members[2], RolePrimary, f.now, f.now, f.now)
 	if s := f.mustSend(f.request(clsFresh, 0)); s.to != 2 {
 		t.Errorf("sent to %d, though member 2's word is the newest", s.to)
 	}
@@ -580,13 +580,13 @@
 	for _, probes := range []bool{true, false} {
 		cfg := testConfig()
 		cfg.ListOnRequest, cfg.ListFromAgent, cfg.EnableProbes = true, true, probes
-		f := settled(t, cfg, 3) // by the configuration's list; all checks have been answered
+		f := newReadyProxy(t, cfg, 3) // by the configuration's list; all checks have been answered
 		early := f.request(clsAny, 0)
-		if _, sent := f.last(early); sent {
+		if _, sent := f.lastSend(early); sent {
 			t.Fatal("sent before the agent has been heard")
 		}
-		f.r.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: 2, State: Draining}, {ID: 1, State: Draining}}})
-		f.pass(20 * ms)
+		f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: 2, State: Draining}, {ID: 1, State: Draining}}})
+		f.advance(20 * ms)
 		if s := f.mustSend(early); s.to != 3 {
 			t.Errorf("probes %v: sent to %d, which drains", probes, s.to)
 		}
@@ -597,18 +597,18 @@
 func TestAFreshRouterWaitsNoLongerThanForChecks(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListOnRequest, cfg.ListFromAgent = true, true
-	failing := settled(t, cfg, 3)
+	failing := newReadyProxy(t, cfg, 3)
 	id := failing.request(clsAny, 0)
-	failing.r.Members(failing.now, MemberList{Kind: ListFailed})
-	failing.pass(20 * ms)
+	failing.router.Members(failing.now, MemberList{Kind: ListFailed})
+	failing.advance(20 * ms)
 	failing.mustSend(id)
 
-	silent := settled(t, cfg, 3)
+	silent := newReadyProxy(t, cfg, 3)
 	id = silent.request(clsAny, 0)
-	silent.pass(freshHold)
+	silent.advance(startupHold)
 	silent.mustSend(id)
 
 	cfg.ListFromAgent = false
-	asked := settled(t, cfg, 3)
+	asked := newReadyProxy(t, cfg, 3)
 	asked.mustSend(asked.request(clsAny, 0))
 }
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -7,93 +7,99 @@
 	"havenproxy/internal/ping"
 )
 
-// What passes between a router and its peers. What is told, and what is believed, is internal/peers' to decide.
+// Communication of a router with its peers. Package peers decides what is sent and what is believed.
 
-// worthTelling is how many proxies a position may be told to at the pace of pings. Each receiver has its price: at 300 a fact of 13 bytes with
-// its share of the head costs as much as ten pings and spares eleven in the 75 ms until the next, at 80 it costs as much as three. Beyond,
-// it is told less often, down to half as often: a position older than half of the tightest bound serves few.
-const worthTelling = 150
+// fullRateProxies is the number of proxies up to which a position is sent to peers once per ping period. The cost
+// of a fact grows with the number of its receivers: with 300 proxies, a fact of 13 bytes with its share of the
+// header costs as much as ten pings and saves eleven in the 75 ms until the next; with 80 it costs as much as
+// three. With more proxies, positions are sent less often, down to half as often: a position older than half of
+// the tightest bound serves few reads.
+const fullRateProxies = 150
 
-// newPeers makes the room in which that is decided. Peers talk where that is allowed and where pings at the design's periods, from all
-// proxies, would be too many: a position is worth telling once it has grown older than those would let it.
-func (r *Router) newPeers() *peers.Gossip {
-	cfg := peers.Config{Proxies: r.cfg.Proxies, Most: r.cfg.MaxPeerFacts, Phase: float64(mix(r.cfg.Seed)>>11) / (1 << 53)}
-	if r.pings.Many() {
-		cfg.Fresh = time.Duration(min(max(float64(r.cfg.Proxies)/worthTelling, 1), 2) * float64(r.pings.Shortest()))
+// newGossip returns the state of the exchange with peers. Proxies exchange facts if the configuration allows it
+// and if periodic pings from all proxies would be too many. A position is sent once it is older than periodic
+// pings would let it become.
+func (r *Router) newGossip() *peers.Gossip {
+	cfg := peers.Config{Proxies: r.cfg.Proxies, Most: r.cfg.MaxPeerFacts, Phase: float64(splitmix64(r.cfg.Seed)>>11) / (1 << 53)}
+	if r.pingSchedule.Many() {
+		cfg.Fresh = time.Duration(min(max(float64(r.cfg.Proxies)/fullRateProxies, 1), 2) * float64(r.pingSchedule.Shortest()))
 	}
 	return peers.New(cfg)
 }
 
-// PeerFacts takes what a peer tells. It is evidence of roles and of positions, and no sign of life to this front.
+// PeerFacts handles facts from a peer. They are evidence of roles and positions, but not a sign of life to this
+// proxy.
 func (r *Router) PeerFacts(now time.Duration, facts []peers.Fact) {
-	r.begin(now)
+	r.ensureStarted(now)
 	for _, f := range facts {
-		if id, f, ok := r.peers.Believe(now, f); ok {
-			r.heardOf(now, r.members[MemberID(id)], f)
+		if id, f, ok := r.gossip.Believe(now, f); ok {
+			r.applyPeerFact(now, r.members[MemberID(id)], f)
 		}
 	}
-	if len(r.held) > 0 {
-		r.retryHeld(now)
+	if len(r.awaitingPing) > 0 {
+		r.retryAwaitingPing(now)
 	}
 }
 
-// heardOf takes one fact. A silence is a reason to ping, and a failure counts as one of this front's own; neither is a verdict.
-func (r *Router) heardOf(now time.Duration, m *member, f peers.Fact) {
-	if f.Ails != peers.Well { // a role from before, told with the time of a failure, would outlive a change of primary
+// applyPeerFact applies one fact. Reported silence is a reason to ping and a reported failure counts like one of
+// this proxy's own; neither excludes the member by itself.
+func (r *Router) applyPeerFact(now time.Duration, m *member, f peers.Fact) {
+	if f.Ails != peers.Well { // a role from before, dated with the time of the failure, would outlast a change of primary
 		f.Role = peers.Unknown
 	}
-	r.believe(m, Role(f.Role), f.Position, f.At, now)
+	r.applyObservation(m, Role(f.Role), f.Position, f.At, now)
 	switch {
 	case f.Ails == peers.Silent:
-		inUse := !r.pings.OnNeed() || m.group.inRounds
-		if inUse && m.heardAt < f.At && !m.seat.Silent && now-m.probedAt >= wordEvery {
+		inUse := !r.pingSchedule.OnNeed() || m.group.inRounds
+		if inUse && m.aliveAt < f.At && !m.handover.Silent && now-m.probedAt >= peerSilenceInterval {
 			r.probe(now, m)
 		}
 		return
 	case f.Ails == peers.Failing:
-		r.failures.Note(now, &m.bench, 1)
-		r.failures.Spread(now, &m.bench, r.cfg.Proxies, r.rng.Float64())
+		r.failures.Note(now, &m.outlier, 1)
+		r.failures.Spread(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
 	default:
-		r.failures.Note(now, &m.bench, 0)
+		r.failures.Note(now, &m.outlier, 0)
 	}
-	m.toldAt = max(m.toldAt, f.At)
+	m.peerAliveAt = max(m.peerAliveAt, f.At)
 }
 
-// failed counts a quick failure that this front has seen, and lets its peers know.
-func (r *Router) failed(now time.Duration, m *member) {
-	r.failures.Note(now, &m.bench, 1)
-	if r.peers.On() {
-		r.failures.Spread(now, &m.bench, r.cfg.Proxies, r.rng.Float64())
-		r.peers.Ailing(now, uint64(m.ID), peers.Failing)
+// recordFailure counts a quick failure that this proxy has seen, and reports it to peers.
+func (r *Router) recordFailure(now time.Duration, m *member) {
+	r.failures.Note(now, &m.outlier, 1)
+	if r.gossip.On() {
+		r.failures.Spread(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
+		r.gossip.Ailing(now, uint64(m.ID), peers.Failing)
 	}
 }
 
-// firstPing gives when a member just listed is pinged first: at once, or, where peers talk, spread over the time that a fresh front may
-// wait, for what the first of them learn spares the others theirs.
-func (r *Router) firstPing(now time.Duration) time.Duration {
-	if !r.peers.On() {
+// firstPingTime returns when a newly listed member is to be pinged first: at once, or, if peers exchange facts, at
+// a random time within the startup hold, since the results of the first pings save the other proxies theirs.
+func (r *Router) firstPingTime(now time.Duration) time.Duration {
+	if !r.gossip.On() {
 		return now
 	}
-	return now + time.Duration(r.rng.Float64()*float64(freshHold))
+	return now + time.Duration(r.rng.Float64()*float64(startupHold))
 }
 
-// patience gives how long an attempt may go without a sign of life before its member is pinged. Where most answers take long anyway, a
-// ping for each that is owed would cost more than it saves; where a peer has had an answer since, it is this front's way that is
-// doubted, which is rare.
-func (r *Router) patience(m *member, a *attempt) time.Duration {
-	wait := max(ping.Quiet, r.slow[a.req.Class]/2)
-	if m.toldAt > a.sentAt {
-		wait *= 3
+// silenceTimeout returns how long an attempt may go without a sign of life before its member is pinged. Where most
+// answers take long, a ping for each open attempt would cost more than it saves. If a peer has had an answer since
+// the attempt was sent, the fault may only be in this proxy's network path, which is rare, so the wait is longer.
+func (r *Router) silenceTimeout(m *member, a *attempt) time.Duration {
+	timeout := max(ping.Quiet, r.slowTime[a.request.Class]/2)
+	if m.peerAliveAt > a.sentAt {
+		timeout *= 3
 	}
-	return wait
+	return timeout
 }
 
-// wordEvery is how often a member is pinged on a peer's word that it is silent, at most: one that is cut off says so of all.
-const wordEvery = 2 * time.Second
+// peerSilenceInterval is the shortest interval between pings of a member because a peer reports it as silent: a
+// peer that is cut off reports so of all members.
+const peerSilenceInterval = 2 * time.Second
 
-// tell hands out what the others are to hear by now.
-func (r *Router) tell(now time.Duration) {
-	if facts := r.peers.Due(now); len(facts) > 0 {
-		r.act.SendToPeers(facts)
+// sendPeerFacts sends the facts that are due to the peers.
+func (r *Router) sendPeerFacts(now time.Duration) {
+	if facts := r.gossip.Due(now); len(facts) > 0 {
+		r.actions.Push(facts)
 	}
 }
--- a/logic/plan.go
+++ b/logic/plan.go
@@ -2,74 +2,76 @@
 
 import "time"
 
-// A plan of reduced service: what is turned away before any member is chosen. Who makes the plan, and why, is
-// not this package's business; that it is kept, and for whom, is decided here.
+// Admission plans for reduced service: which requests are refused before a member is chosen. Other packages make
+// the plans; this one applies them and selects the clients that are refused.
 
-// Admission says how a group's requests of one class are treated.
+// Admission states how a group's requests of one class are treated.
 type Admission struct {
-	Share      float64       // part that is admitted, 0 to 1
-	NoRetries  bool          // no further attempts after the first
-	RetryAfter time.Duration // hint to those that are turned away
+	Share      float64       // fraction of requests that is admitted, 0 to 1
+	NoRetries  bool          // no attempts after the first
+	RetryAfter time.Duration // hint to refused clients
 }
 
 const (
-	turnEvery = 15 * time.Second       // then the draw turns, so that nobody is cut off for the whole day
-	heavyTurn = 250 * time.Millisecond // who sends much of a group's traffic is shed by parts of its requests
+	redrawInterval      = 15 * time.Second       // interval at which each client is drawn anew, so that none is refused for a whole day
+	heavyRedrawInterval = 250 * time.Millisecond // the same for clients that send much of a group's traffic: they are admitted in part
 )
 
-// SetAdmission puts a group's plan into effect, an entry a class; an empty one admits all. It is kept by reference.
+// SetAdmission sets a group's admission plan, with one entry per class; an empty plan admits everything. The slice
+// is kept, not copied.
 func (r *Router) SetAdmission(g GroupID, plan []Admission) {
 	if group := r.groups[g]; group != nil {
-		group.plan = plan
+		group.admission = plan
 	}
 }
 
-// admits counts a request and draws whether the plan lets it in. The draw is its caller's and holds for a
-// while: who tries again at once gets the same answer, and a stricter plan sheds those of a milder one too.
+// admits counts a request and reports whether the plan admits it. The decision is made per client and holds for
+// some time: a client that retries at once gets the same result, and a stricter plan refuses all clients that a
+// milder one refuses.
 func (r *Router) admits(now time.Duration, q *Request, g *group) bool {
-	who := q.ClientKey
-	if who == 0 {
-		who = uint64(q.ID)
+	client := q.ClientKey
+	if client == 0 {
+		client = uint64(q.ID)
 	}
-	h := mix(who)
-	heavy := g.draws.note(now, h)
-	t := &g.tally[q.Class]
-	key := callerKey(q)
-	again := !heavy && g.draws.again(now, key)
-	if again {
-		t.Retries++
+	clientHash := splitmix64(client)
+	heavy := g.demand.countRequest(now, clientHash)
+	counts := &g.counts[q.Class]
+	key := demandKey(q)
+	isRepeat := !heavy && g.demand.recentlyRefused(now, key)
+	if isRepeat {
+		counts.Retries++
 	} else {
-		t.Offered++
+		counts.Offered++
 	}
-	if len(g.plan) <= q.Class || g.plan[q.Class].Share >= 1 {
+	if len(g.admission) <= q.Class || g.admission[q.Class].Share >= 1 {
 		return true
 	}
-	turn := turnEvery
+	interval := redrawInterval
 	if heavy {
-		turn = heavyTurn
+		interval = heavyRedrawInterval
 	}
-	epoch := (uint64(now) + h%uint64(turn)) / uint64(turn) // turns come at a time of each caller's own
-	if float64(mix(h^epoch)>>11)/(1<<53) < g.plan[q.Class].Share {
+	epoch := (uint64(now) + clientHash%uint64(interval)) / uint64(interval) // clients are drawn anew at different times
+	if float64(splitmix64(clientHash^epoch)>>11)/(1<<53) < g.admission[q.Class].Share {
 		return true
 	}
-	if !again {
-		t.Shed++
-		g.draws.refuse(now, key)
+	if !isRepeat {
+		counts.Shed++
+		g.demand.recordRefusal(now, key)
 	}
 	return false
 }
 
-// shed turns a request away that the plan doesn't admit, before anything is kept of it.
+// shed refuses a request that the plan does not admit, without keeping any state of it.
 func (r *Router) shed(q *Request, g *group) {
-	hint := time.Duration(0)
+	retryAfter := time.Duration(0)
 	if r.cfg.EnableRetryAfter {
-		hint = g.plan[q.Class].RetryAfter
-		hint = min(hint/2+time.Duration(mix(uint64(q.ID))%uint64(hint+1)), r.cfg.MaxRetryAfter)
+		retryAfter = g.admission[q.Class].RetryAfter
+		retryAfter = min(retryAfter/2+time.Duration(splitmix64(uint64(q.ID))%uint64(retryAfter+1)), r.cfg.MaxRetryAfter)
 	}
-	r.act.Refuse(q.ID, hint)
+	r.actions.Refuse(q.ID, retryAfter)
 }
 
-// repeats tells whether the plan allows further attempts.
-func (q *request) repeats() bool {
-	return len(q.group.plan) <= q.Class || !q.group.plan[q.Class].NoRetries
+// retriesAllowed reports whether the plan allows further attempts.
+func (q *request) retriesAllowed() bool {
+	return len(q.group.admission) <= q.Class || !q.group.admission[q.Class].NoRetries
 }
--- a/logic/recent.go
+++ b/logic/recent.go
@@ -2,54 +2,54 @@
 
 import "time"
 
-// recent is a map of at most cap entries that drops the oldest key first.
-type recent[K comparable, V any] struct {
-	m    map[K]V
-	keys []K
-	next int
+// fifoMap is a map with a fixed capacity that evicts the oldest key first.
+type fifoMap[K comparable, V any] struct {
+	entries map[K]V
+	keys    []K
+	next    int
 }
 
-func (t *recent[K, V]) init(size int) { t.m, t.keys = map[K]V{}, make([]K, 0, size) }
+func (m *fifoMap[K, V]) init(size int) { m.entries, m.keys = map[K]V{}, make([]K, 0, size) }
 
-func (t *recent[K, V]) get(k K) (V, bool) {
-	v, ok := t.m[k]
+func (m *fifoMap[K, V]) get(k K) (V, bool) {
+	v, ok := m.entries[k]
 	return v, ok
 }
 
-// put stores a value and gives the one that had to make room, if any.
-func (t *recent[K, V]) put(k K, v V) (dropped V, did bool) {
-	if _, ok := t.m[k]; ok {
-		t.m[k] = v
-		return dropped, false
+// put stores a value. If it evicts an entry for that, it returns the evicted value and true.
+func (m *fifoMap[K, V]) put(k K, v V) (evicted V, wasEvicted bool) {
+	if _, ok := m.entries[k]; ok {
+		m.entries[k] = v
+		return evicted, false
 	}
-	if len(t.keys) < cap(t.keys) {
-		t.keys = append(t.keys, k)
+	if len(m.keys) < cap(m.keys) {
+		m.keys = append(m.keys, k)
 	} else {
-		dropped, did = t.m[t.keys[t.next]], true
-		delete(t.m, t.keys[t.next])
-		t.keys[t.next] = k
-		t.next = (t.next + 1) % len(t.keys)
+		evicted, wasEvicted = m.entries[m.keys[m.next]], true
+		delete(m.entries, m.keys[m.next])
+		m.keys[m.next] = k
+		m.next = (m.next + 1) % len(m.keys)
 	}
-	t.m[k] = v
-	return dropped, did
+	m.entries[k] = v
+	return evicted, wasEvicted
 }
 
-// commits remembers each session's last commit, and of those it had to drop the newest: a floor for sessions that aren't
-// known any more.
-type commits struct {
-	recent[SessionID, time.Duration]
-	forgotten time.Duration
+// commitLog stores each session's last commit, and the newest commit among the evicted ones as a lower bound for
+// sessions that are no longer stored.
+type commitLog struct {
+	fifoMap[SessionID, time.Duration]
+	newestEvicted time.Duration
 }
 
-func (c *commits) of(s SessionID) time.Duration {
-	if at, ok := c.get(s); ok {
-		return at
+func (c *commitLog) lastCommit(session SessionID) time.Duration {
+	if commit, ok := c.get(session); ok {
+		return commit
 	}
-	return c.forgotten
+	return c.newestEvicted
 }
 
-func (c *commits) add(s SessionID, commit time.Duration) {
-	old, _ := c.get(s)
-	dropped, _ := c.put(s, max(old, commit))
-	c.forgotten = max(c.forgotten, dropped)
+func (c *commitLog) add(session SessionID, commit time.Duration) {
+	previous, _ := c.get(session)
+	evicted, _ := c.put(session, max(previous, commit))
+	c.newestEvicted = max(c.newestEvicted, evicted)
 }
--- a/logic/refusals.go
+++ b/logic/refusals.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// RefusalReason says why a request was refused.
+// RefusalReason is the reason for which a request was refused.
 type RefusalReason uint8
 
-// The reasons for refusals.
+// Reasons for refusals.
 const (
-	RefusedNoPrimary      RefusalReason = iota // its group has no primary that is known
-	RefusedNoTime                              // less time is left than its class's answers take
-	RefusedAttemptsFailed                      // attempts of it ended without an effect
-	RefusedNoAnswerYet                         // no member of its group has answered anything yet
+	RefusedNoPrimary      RefusalReason = iota // the group has no known primary
+	RefusedNoTime                              // less time is left than the class's service time
+	RefusedAttemptsFailed                      // its attempts ended without an effect
+	RefusedNoAnswerYet                         // no member of the group has answered anything yet
 	RefusedOverloaded                          // no member has room for it
-	NumRefusalReasons                          // how many there are
+	NumRefusalReasons                          // number of reasons
 )
 
-// String gives the reason as logs and metrics name it.
+// String returns the name of the reason in logs and metrics.
 func (r RefusalReason) String() string {
 	return [...]string{RefusedNoPrimary: "no_primary", RefusedNoTime: "no_time", RefusedAttemptsFailed: "tried", RefusedNoAnswerYet: "unknown",
 		RefusedOverloaded: "crowded"}[r]
 }
 
-// Refusals gives how many requests were refused for each reason, since the start.
-func (r *Router) Refusals() [NumRefusalReasons]uint64 { return r.refusals }
+// Refusals returns the number of refused requests since the start, by reason.
+func (r *Router) Refusals() [NumRefusalReasons]uint64 { return r.refusalCounts }
 
-// refusalReason tells why a request is refused now.
+// refusalReason returns the reason for refusing a request now.
 func (r *Router) refusalReason(now time.Duration, q *request) RefusalReason {
 	switch {
-	case q.class.primaryMode() && q.group.primary == nil:
+	case q.class.primaryOnly() && q.group.primary == nil:
 		return RefusedNoPrimary
-	case q.Deadline-now <= r.cost[q.Class]:
+	case q.Deadline-now <= r.serviceTime[q.Class]:
 		return RefusedNoTime
-	case len(q.tries) > 0:
+	case len(q.attempts) > 0:
 		return RefusedAttemptsFailed
-	case !q.group.known():
+	case !q.group.hasAnswered():
 		return RefusedNoAnswerYet
 	}
 	return RefusedOverloaded
 }
 
-// known tells whether any member of a group is known to have answered, this proxy or a peer.
-func (g *group) known() bool {
+// hasAnswered reports whether any member of the group is known to have answered this proxy or a peer.
+func (g *group) hasAnswered() bool {
 	for _, m := range g.members {
-		if m.heardAt > 0 || m.toldAt > 0 {
+		if m.aliveAt > 0 || m.peerAliveAt > 0 {
 			return true
 		}
 	}
--- a/logic/reload.go
+++ b/logic/reload.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// Reload puts other classes into force, and other limits on attempts and on hints. It gives the index of each class of next: one that is
-// as before keeps its own, and any other gets a new one, so that what is open goes on under the rules by which it was taken.
-func (r *Router) Reload(next []Class, maxAttempts int, mayComeBack bool, maxComeBack time.Duration) []int {
-	classes := slices.Clone(r.cfg.Classes) // open requests hold on to the old ones
-	at := make([]int, len(next))
-	for i, c := range next {
-		if at[i] = slices.Index(classes, c); at[i] >= 0 {
+// Reload replaces the classes and the limits on attempts and hints. It returns the index of each of newClasses: an
+// unchanged class keeps its index, and any other gets a new one, so that open requests continue under the rules in
+// force when they arrived.
+func (r *Router) Reload(newClasses []Class, maxAttempts int, enableRetryAfter bool, maxRetryAfter time.Duration) []int {
+	classes := slices.Clone(r.cfg.Classes) // open requests point into the old slice
+	indexes := make([]int, len(newClasses))
+	for i, c := range newClasses {
+		if indexes[i] = slices.Index(classes, c); indexes[i] >= 0 {
 			continue
 		}
-		at[i] = len(classes)
+		indexes[i] = len(classes)
 		classes = append(classes, c)
-		r.cost, r.slow = append(r.cost, c.Aim/aimOverCost), append(r.slow, c.Aim)
+		r.serviceTime, r.slowTime = append(r.serviceTime, c.Aim/aimPerServiceTime), append(r.slowTime, c.Aim)
 	}
 	r.cfg.Classes = classes
 	for _, g := range r.groups {
-		g.tally = append(g.tally, make([]ClassCounts, len(classes)-len(g.tally))...)
+		g.counts = append(g.counts, make([]ClassCounts, len(classes)-len(g.counts))...)
 	}
-	r.nobody.tally = append(r.nobody.tally, make([]ClassCounts, len(classes)-len(r.nobody.tally))...)
-	r.cfg.MaxAttempts, r.cfg.EnableRetryAfter, r.cfg.MaxRetryAfter = maxAttempts, mayComeBack, maxComeBack
-	r.pings.Tightest = tightest(next)
-	return at
+	r.unlistedGroup.counts = append(r.unlistedGroup.counts, make([]ClassCounts, len(classes)-len(r.unlistedGroup.counts))...)
+	r.cfg.MaxAttempts, r.cfg.EnableRetryAfter, r.cfg.MaxRetryAfter = maxAttempts, enableRetryAfter, maxRetryAfter
+	r.pingSchedule.Tightest = tightestBound(newClasses)
+	return indexes
 }
 
-// tightest gives the least bound on the age of data that a class has; 0 = none has one.
-func tightest(classes []Class) (least time.Duration) {
+// tightestBound returns the smallest MaxAge of the bounded classes, or 0 if there are none.
+func tightestBound(classes []Class) (tightest time.Duration) {
 	for _, c := range classes {
-		if c.Read == Bounded && (least == 0 || c.MaxAge < least) {
-			least = c.MaxAge
+		if c.Read == Bounded && (tightest == 0 || c.MaxAge < tightest) {
+			tightest = c.MaxAge
 		}
 	}
-	return least
+	return tightest
 }
--- a/logic/reload_test.go
+++ b/logic/reload_test.go
@@ -4,14 +4,14 @@
 
 // What is open goes on under the rules by which it was taken; what comes goes by the new ones.
 func TestOpenRequestsKeepTheirRules(t *testing.T) {
-	f := settled(t, testConfig(), 4)
+	f := newReadyProxy(t, testConfig(), 4)
 	old := f.request(clsGuarded, 1)
 	s := f.mustSend(old)
-	next := append([]Class(nil), f.r.cfg.Classes[:clsGuarded]...)
-	changed := f.r.cfg.Classes[clsGuarded]
+	next := append([]Class(nil), f.router.cfg.Classes[:clsGuarded]...)
+	changed := f.router.cfg.Classes[clsGuarded]
 	changed.Effect, changed.DedupWindow = SingleShot, 0
 	next = append(next, changed)
-	at := f.r.Reload(next, 1, true, 0)
+	at := f.router.Reload(next, 1, true, 0)
 	for i := range clsGuarded {
 		if at[i] != i {
 			t.Errorf("class %d, which stays as it is, moves to %d", i, at[i])
@@ -20,19 +20,19 @@
 	if at[clsGuarded] != len(testConfig().Classes) {
 		t.Fatalf("a class with another effect is class %d", at[clsGuarded])
 	}
-	f.end(s, Failed)
-	if f.count(old) != 2 {
+	f.finishAttempt(s, Failed)
+	if f.sendCount(old) != 2 {
 		t.Error("an open request that may be repeated by its rules is not")
 	}
 	id := f.request(at[clsGuarded], 1)
-	f.end(f.mustSend(id), Failed)
-	if f.count(id) != 1 {
+	f.finishAttempt(f.mustSend(id), Failed)
+	if f.sendCount(id) != 1 {
 		t.Error("a request that must not run twice is sent again")
 	}
 	id = f.request(clsBounded, 2)
-	f.end(f.mustSend(id), Failed)
+	f.finishAttempt(f.mustSend(id), Failed)
 	f.wantFinal(id, "refused")
-	if f.count(id) != 1 {
+	if f.sendCount(id) != 1 {
 		t.Error("more attempts than are allowed now")
 	}
 }
--- a/logic/rounds.go
+++ b/logic/rounds.go
@@ -7,39 +7,39 @@
 	"havenproxy/internal/ping"
 )
 
-// Which members the router looks at by time alone, for silence and for checks that are due. Those with something under way are looked at at
-// each tick, the others in rounds. Where the list is longer than what this proxy can be connected to, a round leaves out the groups that
-// nobody asks for: what is due there is due by an event.
+// Selection of the members that are checked at a tick for silence and due pings. Members with pending work are
+// checked at each tick, the others in periodic rounds. If the list is longer than the number of connections
+// allowed, rounds skip the groups without requests, whose checks are triggered by events.
 
-// rounds is what they are kept in.
+// rounds is the state of that selection.
 type rounds struct {
-	awake  []*member     // that have something under way
-	spare  []*member     // room for the next such list
-	inUse  []*group      // that were asked for lately, or have lost their primary
-	nextAt time.Duration // of the rounds
+	active      []*member     // members with pending work
+	spareActive []*member     // buffer for the next list of active members
+	inUse       []*group      // groups that had a request, or lost their primary, recently
+	nextRoundAt time.Duration // time of the next round
 }
 
-// roundsFor is how long a group stays in the rounds behind the last request to it, or the loss of its primary.
-const roundsFor = 10 * time.Second
+// roundsRetention is how long a group stays in the rounds after its last request or the loss of its primary.
+const roundsRetention = 10 * time.Second
 
-// lookAround looks at the members whose turn it is.
-func (r *Router) lookAround(now time.Duration) {
-	inRound := now >= r.rounds.nextAt
+// checkDueMembers checks the members that are due at this tick.
+func (r *Router) checkDueMembers(now time.Duration) {
+	inRound := now >= r.rounds.nextRoundAt
 	if inRound {
-		r.rounds.nextAt = now + ping.Rest
+		r.rounds.nextRoundAt = now + ping.Rest
 	}
-	awake := r.rounds.awake
-	r.rounds.awake, r.rounds.spare = r.rounds.spare[:0], awake
-	for _, m := range awake {
-		m.awake = false
+	active := r.rounds.active
+	r.rounds.active, r.rounds.spareActive = r.rounds.spareActive[:0], active
+	for _, m := range active {
+		m.active = false
 	}
-	if inRound && !r.pings.OnNeed() {
-		r.visitAll(now, r.order)
+	if inRound && !r.pingSchedule.OnNeed() {
+		r.visitAll(now, r.memberOrder)
 		return
 	}
-	r.visitAll(now, awake)
+	r.visitAll(now, active)
 	if inRound {
-		r.visitInUse(now)
+		r.visitGroupsInUse(now)
 	}
 }
 
@@ -49,10 +49,11 @@
 	}
 }
 
-// visitInUse visits the members of the groups that are in the rounds, and drops the groups whose time there is over.
-func (r *Router) visitInUse(now time.Duration) {
+// visitGroupsInUse visits the members of the groups in the rounds, and removes the groups whose retention has
+// ended.
+func (r *Router) visitGroupsInUse(now time.Duration) {
 	r.rounds.inUse = slices.DeleteFunc(r.rounds.inUse, func(g *group) bool {
-		g.inRounds = now < g.roundsTill
+		g.inRounds = now < g.roundsUntil
 		return !g.inRounds
 	})
 	for _, g := range r.rounds.inUse {
@@ -60,62 +61,63 @@
 	}
 }
 
-// visit looks at a member, once at a tick, if it is time, and keeps it awake if there is something under way.
+// visit checks a member if it is due, at most once per tick, and keeps it active if it has pending work.
 func (r *Router) visit(now time.Duration, m *member) {
 	if m.visitedAt == now {
 		return
 	}
 	m.visitedAt = now
-	if r.underWay(now, m) || now >= m.restsTill {
-		r.look(now, m)
+	if r.hasPendingWork(now, m) || now >= m.nextCheckAt {
+		r.checkMember(now, m)
 	}
-	if r.underWay(now, m) || m.restsTill < r.rounds.nextAt {
-		r.wake(m)
+	if r.hasPendingWork(now, m) || m.nextCheckAt < r.rounds.nextRoundAt {
+		r.activate(m)
 	}
 }
 
-// underWay tells of a member that owes something, or whose group looks for a primary.
-func (r *Router) underWay(now time.Duration, m *member) bool {
-	return len(m.out) > 0 || m.probing || r.seeksPrimary(now, m.group)
+// hasPendingWork reports whether a member owes something or its group seeks a primary.
+func (r *Router) hasPendingWork(now time.Duration, m *member) bool {
+	return len(m.inFlight) > 0 || m.probing || r.seeksPrimary(now, m.group)
 }
 
-// seeksPrimary tells whether a group's members are looked at for want of a primary. Where checks go out on need, a request has them checked,
-// or the wait for another primary does.
+// seeksPrimary reports whether a group's members are checked at each tick for lack of a primary. Where checks are
+// only sent on demand, requests trigger them, or the search for the next primary does.
 func (r *Router) seeksPrimary(now time.Duration, g *group) bool {
-	return g.primary == nil && (!r.pings.OnNeed() || g.lead.Searching(now, r.cfg.Proxies) > 0)
+	return g.primary == nil && (!r.pingSchedule.OnNeed() || g.handover.Searching(now, r.cfg.Proxies) > 0)
 }
 
-// wake lets a member be looked at each time.
-func (r *Router) wake(m *member) {
-	if !m.awake {
-		m.awake = true
-		r.rounds.awake = append(r.rounds.awake, m)
+// activate has a member checked at each tick.
+func (r *Router) activate(m *member) {
+	if !m.active {
+		m.active = true
+		r.rounds.active = append(r.rounds.active, m)
 	}
 }
 
-// enterRounds has a group's members looked at now and then for a time.
+// enterRounds includes a group's members in the rounds for some time.
 func (r *Router) enterRounds(now time.Duration, g *group) {
-	g.roundsTill = now + roundsFor
+	g.roundsUntil = now + roundsRetention
 	if !g.inRounds {
 		g.inRounds = true
 		r.rounds.inUse = append(r.rounds.inUse, g)
 	}
 }
 
-// leaveRounds takes a group out that is forgotten.
+// leaveRounds removes a group that is being forgotten.
 func (r *Router) leaveRounds(g *group) {
 	r.rounds.inUse = slices.DeleteFunc(r.rounds.inUse, func(x *group) bool { return x == g })
 }
 
-// stir lets a group be looked at each time while something is to be done there by time alone, and its members while it looks for a primary.
-func (r *Router) stir(now time.Duration, g *group) {
-	if !g.stirs && g.lead.Stirs() {
-		g.stirs = true
-		r.stirring = append(r.stirring, g)
+// activateGroup has a group visited at each tick while it has time-driven work, and its members while it seeks a
+// primary.
+func (r *Router) activateGroup(now time.Duration, g *group) {
+	if !g.active && g.handover.Stirs() {
+		g.active = true
+		r.activeGroups = append(r.activeGroups, g)
 	}
 	if r.seeksPrimary(now, g) {
 		for _, m := range g.members {
-			r.wake(m)
+			r.activate(m)
 		}
 	}
 }
