--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -12,78 +12,78 @@
 
 // world makes up legal event sequences and checks the rules from outside, at every action. It knows the truth
 // about each member; the router only gets what a front would be told.
-type world struct {
-	t       *testing.T
-	rng     *rand.Rand
-	cfg     Config
-	r       *Router
-	now     time.Duration
-	members []*truth
-	reqs    map[RequestID]*book
-	open    []flight
-	probes  []MemberID
-	timers  []time.Duration
-	nextID  RequestID
-	sends   int
-	written map[SessionID]time.Duration // the newest answered commit of each session
-	broken  string
-	excused time.Duration // the front stood still until then: what is late by it is not its fault
+type simulation struct {
+	t            *testing.T
+	rng          *rand.Rand
+	cfg          Config
+	r            *Router
+	now          time.Duration
+	members      []*simMember
+	requests     map[RequestID]*simRequest
+	pending      []pendingAnswer
+	probes       []MemberID
+	timers       []time.Duration
+	nextID       RequestID
+	sends        int
+	commits      map[SessionID]time.Duration // the newest answered commit of each session
+	violation    string
+	stalledUntil time.Duration // the front stood still until then: what is late by it is not its fault
 }
 
-type truth struct {
-	id       MemberID
-	group    GroupID
-	role     Role
-	position time.Duration
-	lag      time.Duration
-	state    MemberState
-	wasFirst bool // has been primary, and no answer has told otherwise
-	mute     bool
-	drained  bool // the front's list said that it drains, and has not called it ready since
+type simMember struct {
+	id           MemberID
+	group        GroupID
+	role         Role
+	position     time.Duration
+	lag          time.Duration
+	state        MemberState
+	maybePrimary bool // has been primary, and no answer has told otherwise
+	silent       bool
+	drained      bool // the front's list said that it drains, and has not called it ready since
 }
 
-type book struct {
+type simRequest struct {
 	Request
-	class  Class
-	token  time.Duration
-	tries  []try
-	ended  bool
-	finals int
+	class    Class
+	token    time.Duration
+	attempts []simAttempt
+	done     bool
+	finals   int
 }
 
-type try struct {
+type simAttempt struct {
 	sent   time.Duration
-	to     *truth
+	member *simMember
 	open   bool
 	mayRun bool
 }
 
-type flight struct {
-	q   *book
-	n   int
-	due time.Duration
+type pendingAnswer struct {
+	request *simRequest
+	attempt int
+	due     time.Duration
 }
 
-func (w *world) fail(rule string) {
-	if w.broken == "" {
-		w.broken = rule
+func (w *simulation) fail(rule string) {
+	if w.violation == "" {
+		w.violation = rule
 	}
 }
 
-func (w *world) find(id MemberID) *truth {
+func (w *simulation) memberByID(id MemberID) *simMember {
 	for _, m := range w.members {
 		if m.id == id {
 			return m
 		}
 	}
 	if id == 900 { // listed, but nothing is there
-		return &truth{id: id, group: 1, mute: true, wasFirst: true, state: Ready}
+		return &simMember{id: id, group: 1, silent: true, maybePrimary: true, state: Ready}
 	}
 	return nil
 }
 
 // settle moves the members' logs on.
-func (w *world) settle(d time.Duration) {
+func (w *simulation) advance(d time.Duration) {
 	w.now += d
 	for _, m := range w.members {
 		if m.role == RolePrimary {
@@ -94,23 +94,23 @@
 	}
 }
 
-func (w *world) Send(id RequestID, to MemberID, _ time.Duration) {
-	q, m := w.reqs[id], w.find(to)
+func (w *simulation) Send(id RequestID, to MemberID, _ time.Duration) {
+	q, m := w.requests[id], w.memberByID(to)
 	w.sends++
 	switch {
 	case q == nil || m == nil:
 		w.fail("unknown request or member")
 		return
-	case q.ended:
+	case q.done:
 		w.fail("sent after the end")
 	case m.group != q.Group:
 		w.fail("outside the group")
 	case w.cfg.IgnoreGone && m.drained, !w.cfg.IgnoreGone && m.state != Ready:
 		w.fail("drain")
-	case len(q.tries) >= w.cfg.MaxAttempts:
+	case len(q.attempts) >= w.cfg.MaxAttempts:
 		w.fail("attempts")
 	}
-	for _, a := range q.tries {
+	for _, a := range q.attempts {
 		if a.open && !w.cfg.ParallelAttempts {
 			w.fail("two at once")
 		}
@@ -121,7 +121,7 @@
 			w.fail("effect twice")
 		}
 	}
-	if !m.wasFirst && w.cfg.LagCheck == LagCheckNone {
+	if !m.maybePrimary && w.cfg.LagCheck == LagCheckNone {
 		switch q.class.Read {
 		case Bounded:
 			if m.position < w.now-q.class.MaxAge {
@@ -135,42 +135,42 @@
 			w.fail("fresh read at a replica")
 		}
 	}
-	q.tries = append(q.tries, try{w.now, m, true, false})
+	q.attempts = append(q.attempts, simAttempt{w.now, m, true, false})
 	due := min(w.now+time.Duration(w.rng.IntN(300))*ms, q.Deadline)
-	if m.mute || w.rng.IntN(12) == 0 {
+	if m.silent || w.rng.IntN(12) == 0 {
 		due = q.Deadline
 	}
-	w.open = append(w.open, flight{q, len(q.tries) - 1, due})
+	w.pending = append(w.pending, pendingAnswer{q, len(q.attempts) - 1, due})
 }
 
-func (w *world) Probe(to MemberID) { w.probes = append(w.probes, to) }
+func (w *simulation) Probe(to MemberID) { w.probes = append(w.probes, to) }
 
-func (w *world) Refuse(id RequestID, _ time.Duration) {
-	q := w.reqs[id]
-	for _, a := range q.tries {
+func (w *simulation) Refuse(id RequestID, _ time.Duration) {
+	q := w.requests[id]
+	for _, a := range q.attempts {
 		if q.class.Effect != Idempotent && (a.open || a.mayRun) {
 			w.fail("refused though it may have run")
 		}
 	}
-	w.final(q)
+	w.recordFinal(q)
 }
-func (w *world) Fail(id RequestID) { w.final(w.reqs[id]) }
-func (w *world) final(q *book) {
+func (w *simulation) Fail(id RequestID) { w.recordFinal(w.requests[id]) }
+func (w *simulation) recordFinal(q *simRequest) {
 	q.finals++
-	q.ended = true
-	if q.finals > 1 || w.now > max(q.Deadline, w.excused)+answerGrace {
+	q.done = true
+	if q.finals > 1 || w.now > max(q.Deadline, w.stalledUntil)+answerGrace {
 		w.fail("final answer late or twice")
 	}
 }
-func (w *world) Cancel(RequestID, int)                {}
-func (w *world) SetTimer(_ TimerID, at time.Duration) { w.timers = append(w.timers, at) }
-func (w *world) WatchList(bool)                       {}
-func (w *world) FetchList()                           {}
-func (w *world) SendToPeers([]peers.Fact)             {}
-func (w *world) Log(string)                           {}
+func (w *simulation) Cancel(RequestID, int)                {}
+func (w *simulation) SetTimer(_ TimerID, at time.Duration) { w.timers = append(w.timers, at) }
+func (w *simulation) WatchList(bool)                       {}
+func (w *simulation) FetchList()                           {}
+func (w *simulation) Push([]peers.Fact)                    {}
+func (w *simulation) Log(string)                           {}
 
-func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), reqs: map[RequestID]*book{}, now: 100 * time.Second}
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), requests: map[RequestID]*simRequest{}, now: 100 * time.Second}
 	w.cfg = testConfig()
 	w.cfg.Seed = seed
 	w.cfg.SessionTokens, w.cfg.ListOnRequest = w.rng.IntN(2) == 0, w.rng.IntN(2) == 0
@@ -178,23 +178,23 @@
 	w.cfg.IgnoreGone, w.cfg.Proxies = w.rng.IntN(2) == 0, []int{0, 2, 40, 200, -3}[w.rng.IntN(5)]
 	w.cfg.ListRole, w.cfg.MaxAttempts = ListRole(w.rng.IntN(3)), 1+w.rng.IntN(8)
 	for i := 0; i < 9; i++ {
-		m := &truth{id: MemberID(i + 1), group: GroupID(i / 5), role: RoleReplica, lag: 20 * ms, state: Ready}
+		m := &simMember{id: MemberID(i + 1), group: GroupID(i / 5), role: RoleReplica, lag: 20 * ms, state: Ready}
 		if i%5 == 0 {
-			m.role, m.wasFirst = RolePrimary, true
+			m.role, m.maybePrimary = RolePrimary, true
 		}
 		w.members = append(w.members, m)
 	}
-	w.settle(0)
+	w.advance(0)
 	r, err := New(w.cfg, w)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.r = r
-	w.list(ListCached)
+	w.listMembers(ListCached)
 	return w
 }
 
-func (w *world) list(kind ListKind) {
+func (w *simulation) listMembers(kind ListKind) {
 	l := MemberList{Kind: kind}
 	for _, m := range w.members {
 		e := Member{ID: m.id, Group: m.group, State: m.state}
@@ -212,7 +212,7 @@
 }
 
 // trouble changes the world: lag, silence, drains, restarts, changes of primary.
-func (w *world) trouble() {
+func (w *simulation) injectFault() {
 	m := w.members[w.rng.IntN(len(w.members))]
 	switch w.rng.IntN(8) {
 	case 6: // the list calls all gone, though nothing is; without DrainOnly that binds
@@ -220,69 +220,69 @@
 			w.r.Members(w.now, MemberList{Kind: ListFull})
 		}
 	case 7:
-		w.settle(time.Duration(300+w.rng.IntN(1700)) * ms)
-		w.excused = w.now
+		w.advance(time.Duration(300+w.rng.IntN(1700)) * ms)
+		w.stalledUntil = w.now
 	case 0:
 		m.lag = time.Duration(w.rng.IntN(3000)) * ms
 	case 1:
-		m.mute = !m.mute
+		m.silent = !m.silent
 	case 2:
 		m.state = MemberState(w.rng.IntN(3))
-		w.list(ListDelta)
+		w.listMembers(ListDelta)
 	case 3, 4:
-		m.lag, m.mute, m.state = 15*ms, false, Ready
-		w.list(ListFull)
+		m.lag, m.silent, m.state = 15*ms, false, Ready
+		w.listMembers(ListFull)
 	case 5:
 		for _, x := range w.members {
 			if x.group == m.group && x.role == RolePrimary {
 				x.role = RoleReplica
 			}
 		}
-		m.role, m.wasFirst = RolePrimary, true
+		m.role, m.maybePrimary = RolePrimary, true
 	}
 }
 
 // queue is what a member reports to be waiting, sensible or not.
-func (w *world) queue() float64 {
+func (w *simulation) reportedQueue() float64 {
 	return []float64{-1, 0, 0, 0, 3, 1e300, math.NaN(), math.Inf(1)}[w.rng.IntN(8)]
 }
 
-func (w *world) submit() {
+func (w *simulation) submit() {
 	w.nextID++
 	c := w.rng.IntN(len(w.cfg.Classes))
 	in := Request{ID: w.nextID, Class: c, Group: GroupID(w.rng.IntN(2)), Session: SessionID(1 + w.rng.IntN(6)),
 		Deadline: w.now + w.cfg.Classes[c].Limit*time.Duration(2+w.rng.IntN(99))/100}
-	q := &book{Request: in, class: w.cfg.Classes[c]}
+	q := &simRequest{Request: in, class: w.cfg.Classes[c]}
 	if q.class.Read == Session && w.cfg.SessionTokens && w.rng.IntN(3) > 0 {
 		q.TokenAge = time.Duration(1+w.rng.IntN(1500)) * ms
 		q.token = w.now - q.TokenAge
 	} else if q.class.Read == Session && !w.cfg.SessionTokens {
-		q.token = w.written[in.Session]
+		q.token = w.commits[in.Session]
 	}
-	w.reqs[q.ID] = q
+	w.requests[q.ID] = q
 	w.r.Request(w.now, q.Request)
 }
 
-func (w *world) finishFlights() {
-	var left []flight
-	due := w.open
-	w.open = nil
+func (w *simulation) finishDue() {
+	var left []pendingAnswer
+	due := w.pending
+	w.pending = nil
 	for _, f := range due {
 		if f.due > w.now {
 			left = append(left, f)
 			continue
 		}
-		w.conclude(f)
+		w.finishAttempt(f)
 	}
-	w.open = append(w.open, left...)
+	w.pending = append(w.pending, left...)
 }
 
-func (w *world) conclude(f flight) {
-	q, a := f.q, &f.q.tries[f.n]
-	m := a.to
-	o := Outcome{Request: q.ID, Attempt: f.n, Member: m.id, Elapsed: w.now - a.sent}
+func (w *simulation) finishAttempt(f pendingAnswer) {
+	q, a := f.request, &f.request.attempts[f.attempt]
+	m := a.member
+	o := Outcome{Request: q.ID, Attempt: f.attempt, Member: m.id, Elapsed: w.now - a.sent}
 	switch k := w.rng.IntN(20); {
-	case w.now >= q.Deadline || m.mute:
+	case w.now >= q.Deadline || m.silent:
 		o.Result = TimedOut
 	case q.class.Read == Write && m.role != RolePrimary:
 		o.Result = Misdirected
@@ -301,25 +301,25 @@
 	if o.Result == OK || o.Result == Misdirected || o.Result == Failed || o.Result == Rejected {
 		o.Role, o.Position = m.role, m.position.Truncate(ms)
 		if m.role != RolePrimary {
-			m.wasFirst = false
+			m.maybePrimary = false
 		}
 	}
-	if o.Result == OK && !q.ended {
-		q.ended = true
+	if o.Result == OK && !q.done {
+		q.done = true
 		q.finals++
 		if q.class.Read == Write {
 			o.Position = w.now
-			w.written[q.Session] = w.now
+			w.commits[q.Session] = w.now
 		}
 	}
-	o.Finished = q.ended
+	o.Finished = q.done
 	w.r.Outcome(w.now, o)
 }
 
-func (w *world) run(steps int) string {
-	w.written = map[SessionID]time.Duration{}
-	for i := 0; i < steps && w.broken == ""; i++ {
-		w.settle(time.Duration(1+w.rng.IntN(10)) * ms)
+func (w *simulation) run(steps int) string {
+	w.commits = map[SessionID]time.Duration{}
+	for i := 0; i < steps && w.violation == ""; i++ {
+		w.advance(time.Duration(1+w.rng.IntN(10)) * ms)
 		for len(w.timers) > 0 && w.timers[0] <= w.now {
 			w.timers = w.timers[1:]
 			w.r.Timer(w.now, tickTimer)
@@ -327,16 +327,16 @@
 		ask := w.probes
 		w.probes = nil
 		for _, id := range ask {
-			m := w.find(id)
-			p := ProbeResult{Member: id, Elapsed: ms, Report: Report{Role: m.role, Position: m.position, Queue: w.queue()}}
-			if m.mute {
-				p = ProbeResult{Member: id, Result: TimedOut, Elapsed: 250 * ms}
+			m := w.memberByID(id)
+			p := ProbeEnd{Member: id, Elapsed: ms, Report: Report{Role: m.role, Position: m.position, Queue: w.reportedQueue()}}
+			if m.silent {
+				p = ProbeEnd{Member: id, Result: TimedOut, Elapsed: 250 * ms}
 			}
-			w.r.ProbeDone(w.now, p)
+			w.r.Probed(w.now, p)
 		}
-		w.finishFlights()
+		w.finishDue()
 		if w.rng.IntN(40) == 0 {
-			w.trouble()
+			w.injectFault()
 		}
 		if w.rng.IntN(100) == 0 {
 			w.r.Members(w.now, MemberList{Kind: ListFailed})
@@ -344,24 +344,24 @@
 		for n := w.rng.IntN(3); n > 0 && i < steps-1800; n-- {
 			w.submit()
 		}
-		for _, q := range w.reqs {
-			if !q.ended && w.now > max(q.Deadline, w.excused)+answerGrace {
+		for _, q := range w.requests {
+			if !q.done && w.now > max(q.Deadline, w.stalledUntil)+answerGrace {
 				w.fail("no final answer")
 			}
-			if q.ended && w.now > q.Deadline+time.Second {
-				delete(w.reqs, q.ID)
+			if q.done && w.now > q.Deadline+time.Second {
+				delete(w.requests, q.ID)
 			}
 		}
 	}
-	if w.broken == "" && len(w.r.requests) != 0 {
+	if w.violation == "" && len(w.r.requests) != 0 {
 		w.fail("requests kept after all have ended")
 	}
-	return w.broken
+	return w.violation
 }
 
 func TestRulesHoldOnRandomDays(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
-		w := newWorld(t, seed)
+		w := newSimulation(t, seed)
 		if broken := w.run(4000); broken != "" {
 			t.Errorf("seed %d: %s at %v", seed, broken, w.now)
 		}
@@ -374,7 +374,7 @@
 func FuzzRules(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if broken := newWorld(t, seed).run(3000); broken != "" {
+		if broken := newSimulation(t, seed).run(3000); broken != "" {
 			t.Errorf("seed %d: %s", seed, broken)
 		}
 	})
@@ -382,41 +382,41 @@
 
 // The checker itself must see a broken rule.
 func TestCheckerSeesBrokenRules(t *testing.T) {
-	for want, act := range map[string]func(w *world, q *book){
-		"sent after the end": func(w *world, q *book) { q.ended = true; w.Send(q.ID, 1, 0) },
-		"drain":              func(w *world, q *book) { w.members[1].state = Draining; w.Send(q.ID, 2, 0) },
-		"outside the group":  func(w *world, q *book) { w.Send(q.ID, 9, 0) },
-		"effect twice": func(w *world, q *book) {
+	for want, act := range map[string]func(w *simulation, q *simRequest){
+		"sent after the end": func(w *simulation, q *simRequest) { q.done = true; w.Send(q.ID, 1, 0) },
+		"drain":              func(w *simulation, q *simRequest) { w.members[1].state = Draining; w.Send(q.ID, 2, 0) },
+		"outside the group":  func(w *simulation, q *simRequest) { w.Send(q.ID, 9, 0) },
+		"effect twice": func(w *simulation, q *simRequest) {
 			q.class.Effect = SingleShot
 			w.cfg.ParallelAttempts = true
 			w.Send(q.ID, 1, 0)
 			w.Send(q.ID, 1, 0)
 		},
-		"stale bounded read": func(w *world, q *book) {
+		"stale bounded read": func(w *simulation, q *simRequest) {
 			w.members[1].position = w.now - time.Hour
 			q.class.Read, q.class.MaxAge = Bounded, time.Second
 			w.Send(q.ID, 2, 0)
 		},
-		"stale session read": func(w *world, q *book) {
+		"stale session read": func(w *simulation, q *simRequest) {
 			q.class.Read, q.token = Session, w.now
 			w.Send(q.ID, 2, 0)
 		},
-		"final answer late or twice":     func(w *world, q *book) { w.Fail(q.ID); w.Fail(q.ID) },
-		"refused though it may have run": func(w *world, q *book) { q.class.Effect = Guarded; w.Send(q.ID, 1, 0); w.Refuse(q.ID, 0) },
+		"final answer late or twice":     func(w *simulation, q *simRequest) { w.Fail(q.ID); w.Fail(q.ID) },
+		"refused though it may have run": func(w *simulation, q *simRequest) { q.class.Effect = Guarded; w.Send(q.ID, 1, 0); w.Refuse(q.ID, 0) },
 	} {
-		w := newWorld(t, 3)
-		q := &book{Request: Request{ID: 1, Group: 0, Deadline: w.now + time.Second}, class: Class{Read: Any, Limit: time.Second}}
-		w.reqs[1] = q
+		w := newSimulation(t, 3)
+		q := &simRequest{Request: Request{ID: 1, Group: 0, Deadline: w.now + time.Second}, class: Class{Read: Any, Limit: time.Second}}
+		w.requests[1] = q
 		w.cfg.MaxAttempts = 8
-		if act(w, q); w.broken != want {
-			t.Errorf("the checker says %q, want %q", w.broken, want)
+		if act(w, q); w.violation != want {
+			t.Errorf("the checker says %q, want %q", w.violation, want)
 		}
 	}
 }
 
 // State must not grow with the length of a run: sessions, requests and replaced members all end.
 func BenchmarkRequest(b *testing.B) {
-	r, _ := New(testConfig(), printerless{})
+	r, _ := New(testConfig(), silentActions{})
 	now := 100 * time.Second
 	l := MemberList{Kind: ListFull}
 	for i := 1; i <= 12; i++ {
@@ -431,11 +431,11 @@
 		r.Request(now, Request{ID: id, Class: clsAny, Session: SessionID(i), Deadline: now + time.Second})
 		r.Outcome(now, Outcome{Request: id, Member: 1, Result: OK, Finished: true, Role: RoleReplica, Position: now})
 	}
-	if len(r.requests) > 0 || len(r.pins.m) > keepEntries {
-		b.Fatalf("%d requests, %d pins kept", len(r.requests), len(r.pins.m))
+	if len(r.requests) > 0 || len(r.pins.entries) > maxSessionEntries {
+		b.Fatalf("%d requests, %d pins kept", len(r.requests), len(r.pins.entries))
 	}
 }
 
-type printerless struct{ printer }
+type silentActions struct{ printingActions }
 
-func (printerless) Send(RequestID, MemberID, time.Duration) {}
+func (silentActions) Send(RequestID, MemberID, time.Duration) {}
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -9,12 +9,13 @@
 	"havenproxy/internal/ping"
 )
 
-// How a request's member is chosen: by mode, role, known log position, ping window and pin.
+// Choice of a request's member by read mode, role, known log position, ping time and pin.
 
-// primaryMode tells whether the class goes to the primary alone; all others are secondary-preferred.
-func (c *Class) primaryMode() bool { return c.Read == Write || c.Read == Fresh }
+// primaryOnly reports whether only the primary may serve the class. All other classes prefer replicas.
+func (c *Class) primaryOnly() bool { return c.Read == Write || c.Read == Fresh }
 
-// qualifies is the filter on log positions. The known position is a lower bound, so its age is an upper one.
+// qualifies reports whether the member's log position suffices. The known position is a lower bound, so the age
+// computed from it is an upper bound.
 func (q *request) qualifies(m *member, now time.Duration) bool {
 	switch q.class.Read {
 	case Any:
@@ -27,175 +28,181 @@
 	return false
 }
 
-// usable tells whether anything may be sent to the member at all: ready, not silent, not benched.
+// usable reports whether anything may be sent to the member: it is ready, not silent, and not set aside for
+// failing.
 func (r *Router) usable(m *member, now time.Duration) bool {
-	if m.State != Ready || m.seat.Silent {
+	if m.State != Ready || m.handover.Silent {
 		return false
 	}
-	if r.failures.More(&m.bench) { // one trial at a time; a primary that fails often is all there is
-		trial := m.bench.Trial(now) && len(m.out) == 0
-		return trial && !m.bench.Rests(now) || m.role() == RolePrimary && (trial || !m.stuck)
+	if r.failures.More(&m.outlier) { // one trial at a time; a primary that fails often cannot be replaced
+		trial := m.outlier.Trial(now) && len(m.inFlight) == 0
+		return trial && !m.outlier.Rests(now) || m.role() == RolePrimary && (trial || !m.unresponsive)
 	}
 	return true
 }
 
-// crowded tells whether the member has no room for a read: it is filled, or its last report shows requests
-// that wait, the one sign of what other fronts send. Answers in time since then outrank a report.
-func (r *Router) crowded(now time.Duration, m *member, part float64) bool {
-	waits := m.queue >= queueLong && now-m.queueAt < reportLife
-	return waits && (m.Judged <= m.queueAt || m.Strain >= limit.High) || m.Filled(now, len(m.out), part, r.luck)
+// overloaded reports whether the member has no room for a read: its limit is reached, or its last report shows
+// waiting requests, the only evidence of what other proxies send. Later answers in time take precedence over a
+// report.
+func (r *Router) overloaded(now time.Duration, m *member, share float64) bool {
+	queued := m.queueLength >= longQueue && now-m.queueReportedAt < reportMaxAge
+	return queued && (m.Judged <= m.queueReportedAt || m.Strain >= limit.High) || m.Filled(now, len(m.inFlight), share, r.requestDraw)
 }
 
-// merit gives the part of a member's limit that the request may fill.
-func (r *Router) merit(q *request) float64 {
-	all := make([]float64, len(r.cfg.Classes))
-	for i := range all {
-		all[i] = r.cfg.Classes[i].Worth / max(r.cost[i].Seconds(), 1e-6)
+// limitShare returns the fraction of a member's limit that the request may fill.
+func (r *Router) limitShare(q *request) float64 {
+	merits := make([]float64, len(r.cfg.Classes))
+	for i := range merits {
+		merits[i] = r.cfg.Classes[i].Worth / max(r.serviceTime[i].Seconds(), 1e-6)
 	}
-	own := all[q.Class]
-	if q.over {
-		own *= r.cfg.OverShareWorth
+	merit := merits[q.Class]
+	if q.overQuota {
+		merit *= r.cfg.OverShareWorth
 	}
-	return limit.Merit(own, all)
+	return limit.Merit(merit, merits)
 }
 
-// choose gives the member for the request's next attempt, or nil and the hint for a refusal.
-func (r *Router) choose(now time.Duration, q *request) (*member, time.Duration) {
-	p, part := q.group.primary, r.merit(q)
-	r.luck = r.rng.Float64() // one draw for all members: where each is half full, half of all requests are shed
-	if q.class.primaryMode() {
-		if p == nil || !r.usable(p, now) {
-			r.inquire(now, q, len(q.group.members), func(*member) bool { return true })
-			return nil, hintNoPrimary
+// selectMember returns the member for the request's next attempt, or nil and the retry-after hint of a refusal.
+func (r *Router) selectMember(now time.Duration, q *request) (*member, time.Duration) {
+	primary, share := q.group.primary, r.limitShare(q)
+	r.requestDraw = r.rng.Float64() // one draw for all members: if each is half full, half of all requests are shed
+	if q.class.primaryOnly() {
+		if primary == nil || !r.usable(primary, now) {
+			r.pingAndHold(now, q, len(q.group.members), func(*member) bool { return true })
+			return nil, retryAfterNoPrimary
 		}
-		if p.Filled(now, len(p.out), part, r.luck) || !r.bears(now, p, 1) {
-			return nil, hintCrowded
+		if primary.Filled(now, len(primary.inFlight), share, r.requestDraw) || !r.warmUpAllows(now, primary, 1) {
+			return nil, retryAfterOverload
 		}
-		return p, 0
+		return primary, 0
 	}
-	if at, ok := r.pins.get(q.pinKey()); ok && q.Session != 0 && at.term == q.group.lead.Term() &&
-		r.eligible(now, q, at.to) && q.qualifies(at.to, now) && !r.crowded(now, at.to, part) {
-		return at.to, 0
+	if pinned, ok := r.pins.get(q.pinKey()); ok && q.Session != 0 && pinned.term == q.group.handover.Term() &&
+		r.eligible(now, q, pinned.member) && q.qualifies(pinned.member, now) && !r.overloaded(now, pinned.member, share) {
+		return pinned.member, 0
 	}
-	if r.long(q) {
-		if list := r.stragglers(now, q); len(list) > 0 {
-			if i := slices.IndexFunc(list, func(m *member) bool { return !r.crowded(now, m, part) }); i >= 0 {
+	if r.isLongRead(q) {
+		if list := r.longReadReplicas(now, q); len(list) > 0 {
+			if i := slices.IndexFunc(list, func(m *member) bool { return !r.overloaded(now, m, share) }); i >= 0 {
 				return list[i], 0
 			}
-			return nil, hintCrowded
+			return nil, retryAfterOverload
 		}
 	}
-	if m := r.pick(now, q, part, func(m *member) bool { return q.qualifies(m, now) }); m != nil {
+	if m := r.pickReplica(now, q, share, func(m *member) bool { return q.qualifies(m, now) }); m != nil {
 		return m, 0
 	}
 	if r.trustsMembers() {
-		if m := r.pick(now, q, part, q.mayQualify); m != nil {
+		if m := r.pickReplica(now, q, share, q.mayQualify); m != nil {
 			return m, 0
 		}
 	}
-	if r.inquire(now, q, 1, func(m *member) bool { // a ping makes no room, where peers tell the rest
-		if !r.informed() {
-			return r.eligible(now, q, m) || m == p && q.asked > 0
+	// A ping frees no capacity: where peers or checkers report positions, it only helps for a member that lacks one.
+	if r.pingAndHold(now, q, 1, func(m *member) bool {
+		if !r.pingsAreRare() {
+			return r.eligible(now, q, m) || m == primary && q.pingRounds > 0
 		}
-		return r.eligible(now, q, m) && !q.qualifies(m, now) && !r.crowded(now, m, part)
+		return r.eligible(now, q, m) && !q.qualifies(m, now) && !r.overloaded(now, m, share)
 	}) {
-		return nil, hintCrowded
+		return nil, retryAfterOverload
 	}
-	if p != nil && r.usable(p, now) && !q.tried(p) && !r.crowded(now, p, spillPart*part) &&
-		r.bears(now, p, part) {
-		return p, 0
+	if primary != nil && r.usable(primary, now) && !q.tried(primary) && !r.overloaded(now, primary, primaryReadShare*share) &&
+		r.warmUpAllows(now, primary, share) {
+		return primary, 0
 	}
-	// Where members check for themselves, a send can't go stale: one that is too far behind turns it away.
+	// Where members check their lag, a read cannot return stale data: a member too far behind rejects it.
 	if r.cfg.LagCheck != LagCheckNone {
-		if m := r.pick(now, q, part, func(*member) bool { return true }); m != nil {
+		if m := r.pickReplica(now, q, share, func(*member) bool { return true }); m != nil {
 			return m, 0
 		}
 	}
-	return nil, hintCrowded
+	return nil, retryAfterOverload
 }
 
-// eligible tells whether a replica may be sent the request at all, its position and crowding aside.
+// eligible reports whether a replica may get the request, regardless of its position and load.
 func (r *Router) eligible(now time.Duration, q *request, m *member) bool {
 	return m.role() != RolePrimary && r.usable(m, now) && !q.tried(m)
 }
 
-// pick draws from the replicas that pass the filter, within the ping window of the quickest.
-func (r *Router) pick(now time.Duration, q *request, part float64, filter func(*member) bool) *member {
-	var near []*member
+// pickReplica picks a random replica among those that pass the filter and are within the ping window.
+func (r *Router) pickReplica(now time.Duration, q *request, share float64, filter func(*member) bool) *member {
+	var candidates []*member
 	for _, m := range q.group.members {
-		if r.eligible(now, q, m) && filter(m) && !r.crowded(now, m, part) {
-			near = append(near, m)
+		if r.eligible(now, q, m) && filter(m) && !r.overloaded(now, m, share) {
+			candidates = append(candidates, m)
 		}
 	}
-	near = r.nearest(near)
-	for len(near) > 0 {
-		m := r.draw(near)
-		if r.bears(now, m, part) {
+	candidates = r.nearest(candidates)
+	for len(candidates) > 0 {
+		m := r.pickRandom(candidates)
+		if r.warmUpAllows(now, m, share) {
 			return m
 		}
-		near = slices.DeleteFunc(near, func(x *member) bool { return x == m })
+		candidates = slices.DeleteFunc(candidates, func(x *member) bool { return x == m })
 	}
 	return nil
 }
 
-// inquire holds what known positions and roles don't serve while it pings members drawn at random, where
-// traffic is too thin to ping all the time. It tells whether the request is to wait.
-func (r *Router) inquire(now time.Duration, q *request, n int, filter func(*member) bool) bool {
-	if !r.cfg.EnableProbes || !r.thin(now, q.group) || now+askWait+r.cost[q.Class] >= q.Deadline {
+// pingAndHold holds a request that cannot be placed by the known positions and roles, and pings up to count members,
+// more in later rounds, drawn at random. It only does so where traffic is too low for periodic pings. It reports
+// whether the request is held.
+func (r *Router) pingAndHold(now time.Duration, q *request, count int, filter func(*member) bool) bool {
+	if !r.cfg.EnableProbes || !r.pingOnDemand(now, q.group) || now+pingWait+r.serviceTime[q.Class] >= q.Deadline {
 		return false
 	}
-	waits := func(m *member) bool { return m.probing && filter(m) }
-	if q.asked > 0 && now-q.askedAt < askWait && slices.ContainsFunc(q.group.members, waits) {
-		r.hold(q)
+	pinged := func(m *member) bool { return m.probing && filter(m) }
+	if q.pingRounds > 0 && now-q.pingedAt < pingWait && slices.ContainsFunc(q.group.members, pinged) {
+		r.holdForPing(q)
 		return true
 	}
-	more := q.asked == 0 || q.asked < askRounds && q.group.primary != nil // without one all logs stand still
-	var list []*member
+	anotherRound := q.pingRounds == 0 || q.pingRounds < maxPingRounds && q.group.primary != nil // without a primary no log advances
+	var candidates []*member
 	for _, m := range q.group.members {
-		if more && m.State == Ready && !m.probing && now-m.probedAt >= askAgain &&
-			(!m.seat.Silent || q.asked == 0 && n > 1) && filter(m) {
-			list = append(list, m)
+		if anotherRound && m.State == Ready && !m.probing && now-m.probedAt >= pingRepeatInterval &&
+			(!m.handover.Silent || q.pingRounds == 0 && count > 1) && filter(m) {
+			candidates = append(candidates, m)
 		}
 	}
-	if len(list) == 0 {
+	if len(candidates) == 0 {
 		return false
 	}
-	r.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	if at, ok := r.pins.get(q.pinKey()); ok && slices.Contains(list, at.to) {
-		list[0] = at.to
-	} else if i := slices.Index(list, q.group.primary); i > 0 { // next in line
-		list[0], list[i] = list[i], list[0]
+	r.rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	if pinned, ok := r.pins.get(q.pinKey()); ok && slices.Contains(candidates, pinned.member) {
+		candidates[0] = pinned.member
+	} else if i := slices.Index(candidates, q.group.primary); i > 0 { // otherwise the primary is pinged first
+		candidates[0], candidates[i] = candidates[i], candidates[0]
 	}
-	for _, m := range list[:min(n+q.asked, len(list))] {
+	for _, m := range candidates[:min(count+q.pingRounds, len(candidates))] {
 		r.probe(now, m)
 	}
-	q.asked, q.askedAt = q.asked+1, now
-	r.hold(q)
+	q.pingRounds, q.pingedAt = q.pingRounds+1, now
+	r.holdForPing(q)
 	return true
 }
 
-// nearest keeps those within the ping window of the quickest.
+// nearest returns the members within the ping window of the lowest ping time.
 func (r *Router) nearest(list []*member) []*member {
-	pingOf := func(m *member) time.Duration { return m.ping }
-	return ping.Nearest(list, r.cfg.Tuning.PingWindow, r.informed(), pingOf)
+	pingTime := func(m *member) time.Duration { return m.pingTime }
+	return ping.Nearest(list, r.cfg.Tuning.PingWindow, r.pingsAreRare(), pingTime)
 }
 
-// long tells of reads that may stall applying: spread at random they push each replica out of the filter.
-func (r *Router) long(q *request) bool {
-	return q.class.Read == Any && r.pings.Tightest > 0 && r.cost[q.Class] > r.pings.Tightest/longPart
+// isLongRead reports whether the request is a read that may stall replication at its replica. Spread at random,
+// such reads would make every replica too old for bounded reads.
+func (r *Router) isLongRead(q *request) bool {
+	return q.class.Read == Any && r.pingSchedule.Tightest > 0 && r.serviceTime[q.Class] > r.pingSchedule.Tightest/longReadDivisor
 }
 
-// stragglers gives where long reads go: to the replicas furthest behind, as many as their part of the work
-// asks for. When those are crowded, long reads are refused: one more stalled costs more than they are worth.
-func (r *Router) stragglers(now time.Duration, q *request) []*member {
-	var all []*member
+// longReadReplicas returns the replicas for long reads: those furthest behind, in proportion to the long reads'
+// part of the work. If these are overloaded, long reads are refused, because one more stalled replica costs more
+// than they are worth.
+func (r *Router) longReadReplicas(now time.Duration, q *request) []*member {
+	var candidates []*member
 	for _, m := range q.group.members {
-		if r.eligible(now, q, m) && q.qualifies(m, now) && r.warmth(now, m) == 1 {
-			all = append(all, m)
+		if r.eligible(now, q, m) && q.qualifies(m, now) && r.warmCapacity(now, m) == 1 {
+			candidates = append(candidates, m)
 		}
 	}
-	all = r.nearest(all)
-	slices.SortStableFunc(all, func(a, b *member) int { return cmp.Compare(a.position, b.position) })
-	n := int(q.group.longWork/max(q.group.work, 1e-9)*float64(len(all)) + 0.5)
-	return all[:min(max(n, 1), len(all))]
+	candidates = r.nearest(candidates)
+	slices.SortStableFunc(candidates, func(a, b *member) int { return cmp.Compare(a.position, b.position) })
+	count := int(q.group.meanLongWork/max(q.group.meanWork, 1e-9)*float64(len(candidates)) + 0.5)
+	return candidates[:min(max(count, 1), len(candidates))]
 }
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -7,61 +7,61 @@
 
 // Tests for fronts among many, each of which sees little. Every one names the failure it stands for.
 
-func manyFronts() Config {
+func manyProxies() Config {
 	cfg := testConfig()
 	cfg.Proxies = 170
 	return cfg
 }
 
 // countProbes lets a second pass at a time and counts the pings, which are answered.
-func (f *front) countProbes(d time.Duration, each func()) (n int) {
+func (f *testProxy) countProbes(d time.Duration, each func()) (n int) {
 	for end := f.now + d; f.now < end; {
 		for i := 0; i < 50; i++ {
 			f.now += 10 * ms
-			f.r.Timer(f.now, tickTimer)
+			f.router.Timer(f.now, tickTimer)
 			n += len(f.probes)
-			f.pongs()
+			f.answerPings()
 		}
 		each()
 		n += len(f.probes)
-		f.pongs()
+		f.answerPings()
 	}
 	return n
 }
 
 // Pings of 170 fronts at the design's periods came to 7 to 11 for each request. With two fronts the periods stay.
 func TestPingsFollowNeedWhereTrafficIsThin(t *testing.T) {
-	f := settled(t, manyFronts(), 6)
+	f := newReadyProxy(t, manyProxies(), 6)
 	requests := 0
 	pings := f.countProbes(30*time.Second, func() {
 		requests++
-		if s := f.serve(f.askAndPong(clsBounded), 5*ms); s.to == 1 {
+		if s := f.serve(f.requestAndAnswerPings(clsBounded), 5*ms); s.to == 1 {
 			t.Error("a bounded read went to the primary though a ping would show a recent replica")
 		}
 	})
 	if pings > 2*requests {
 		t.Errorf("%d pings for %d requests at one of many fronts", pings, requests)
 	}
-	few := settled(t, testConfig(), 6)
-	pings = few.countProbes(30*time.Second, func() { few.serve(few.askAndPong(clsBounded), 5*ms) })
+	few := newReadyProxy(t, testConfig(), 6)
+	pings = few.countProbes(30*time.Second, func() { few.serve(few.requestAndAnswerPings(clsBounded), 5*ms) })
 	if want := 30 * 4 * 5; pings < want { // five replicas, each quarter of 800 ms or a little later
 		t.Errorf("%d pings at one of two fronts, want at least %d", pings, want)
 	}
 }
 
 // askAndPong sends a request in and answers the pings that it causes.
-func (f *front) askAndPong(class int) RequestID {
+func (f *testProxy) requestAndAnswerPings(class int) RequestID {
 	id := f.request(class, 0)
-	f.pongs()
+	f.answerPings()
 	return id
 }
 
 // A read that waits for a ping must not wait for long where none of the asked members answers.
 func TestReadAskedForMovesOnWhenMembersAreSilent(t *testing.T) {
-	f := settled(t, manyFronts(), 3)
-	f.pass(2 * time.Second)
+	f := newReadyProxy(t, manyProxies(), 3)
+	f.advance(2 * time.Second)
 	id := f.request(clsBounded, 0)
-	f.pass(100*ms, 2, 3)
+	f.advance(100*ms, 2, 3)
 	if s := f.mustSend(id); s.to != 1 || s.at > f.now-20*ms {
 		t.Errorf("sent to %d at %v before now; want the primary within two short waits", s.to, f.now-s.at)
 	}
@@ -72,15 +72,15 @@
 	for _, fronts := range []int{0, 1, 2, 40, 200, 100000} {
 		cfg := testConfig()
 		cfg.Proxies = fronts
-		f := settled(t, cfg, 6)
+		f := newReadyProxy(t, cfg, 6)
 		for i := 0; i < 400; i++ {
-			f.pass(100 * ms)
+			f.advance(100 * ms)
 			class := i % len(cfg.Classes)
 			id := f.request(class, SessionID(i%7))
-			f.pongs()
-			f.pass(10 * ms)
-			if f.count(id) != 1 {
-				t.Fatalf("%d fronts: class %d sent %d times, end %q", fronts, class, f.count(id), f.finals[id])
+			f.answerPings()
+			f.advance(10 * ms)
+			if f.sendCount(id) != 1 {
+				t.Fatalf("%d fronts: class %d sent %d times, end %q", fronts, class, f.sendCount(id), f.finals[id])
 			}
 			f.serve(id, cfg.Classes[class].Aim/8)
 		}
@@ -91,17 +91,17 @@
 // routers send in any three seconds must stay within what the member can bear.
 func TestColdMemberIsSentItsShareByAllFronts(t *testing.T) {
 	const fronts, members, perSecond = 150, 6, 300 // all fronts; each warm replica gets about 60 reads a second
-	cfg := manyFronts()
+	cfg := manyProxies()
 	cfg.Proxies = fronts
 	sent, warm := 0, 0
 	for i := 0; i < fronts; i++ {
 		cfg.Seed = uint64(i)
-		f := settled(t, cfg, members)
+		f := newReadyProxy(t, cfg, members)
 		turns := func(n int) {
 			for k := 0; k < n; k++ {
-				f.pass(10 * ms)
+				f.advance(10 * ms)
 				if (k+i)%(fronts*100/perSecond) == 0 {
-					if s, ok := f.last(f.askAndPong(clsSession)); ok {
+					if s, ok := f.lastSend(f.requestAndAnswerPings(clsSession)); ok {
 						f.serve(s.id, 5*ms)
 					}
 				}
@@ -109,7 +109,7 @@
 		}
 		turns(1500)
 		f.sends = nil
-		f.r.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: f.now}}})
+		f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: f.now}}})
 		turns(300)
 		for _, s := range f.sends {
 			switch s.to {
@@ -135,22 +135,22 @@
 	for _, only := range []bool{true, false} {
 		cfg := testConfig()
 		cfg.IgnoreGone = only
-		f := settled(t, cfg, 4)
+		f := newReadyProxy(t, cfg, 4)
 		for _, l := range []MemberList{{Kind: ListFull}, {Entries: gone}} {
-			f.r.Members(f.now, l)
-			f.pass(500 * ms)
-			if id := f.request(clsAny, 0); (f.count(id) == 1) != only {
-				t.Errorf("drain alone binds %v: %d sends after the list named nobody", only, f.count(id))
+			f.router.Members(f.now, l)
+			f.advance(500 * ms)
+			if id := f.request(clsAny, 0); (f.sendCount(id) == 1) != only {
+				t.Errorf("drain alone binds %v: %d sends after the list named nobody", only, f.sendCount(id))
 			}
 		}
 	}
 	cfg := testConfig()
 	cfg.IgnoreGone = true
-	f := settled(t, cfg, 2)
-	f.r.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Draining}}})
-	f.r.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Gone}}})
+	f := newReadyProxy(t, cfg, 2)
+	f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Draining}}})
+	f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Gone}}})
 	for i := 0; i < 20; i++ {
-		if s, ok := f.last(f.request(clsAny, 0)); ok && s.to == 2 {
+		if s, ok := f.lastSend(f.request(clsAny, 0)); ok && s.to == 2 {
 			t.Fatal("sent to a member that had been listed as draining")
 		}
 	}
@@ -160,17 +160,17 @@
 func TestSilentMembersLeftOutAreForgotten(t *testing.T) {
 	cfg := testConfig()
 	cfg.IgnoreGone = true
-	f := settled(t, cfg, 4)
-	f.list(ListFull, 3)
+	f := newReadyProxy(t, cfg, 4)
+	f.listMembers(ListFull, 3)
 	for i := 0; i < 300; i++ {
-		f.pass(200*ms, 4)
+		f.advance(200*ms, 4)
 		for _, id := range []MemberID{4} { // its pings time out
-			f.r.ProbeDone(f.now, ProbeResult{Member: id, Result: TimedOut})
+			f.router.Probed(f.now, ProbeEnd{Member: id, Result: TimedOut})
 		}
-		f.list(ListFull, 3)
+		f.listMembers(ListFull, 3)
 	}
-	if len(f.r.order) != 3 || len(f.r.groups[0].members) != 3 || len(f.r.members) != 3 {
-		t.Errorf("%d members kept, want 3", len(f.r.order))
+	if len(f.router.memberOrder) != 3 || len(f.router.groups[0].members) != 3 || len(f.router.members) != 3 {
+		t.Errorf("%d members kept, want 3", len(f.router.memberOrder))
 	}
 }
 
@@ -178,29 +178,29 @@
 // slow answers now and then, there are no copies; nor where answers come late.
 func TestLostAnswersGetCopies(t *testing.T) {
 	copies := func(took func(i int) time.Duration) (n, refused int) {
-		f := settled(t, testConfig(), 5)
+		f := newReadyProxy(t, testConfig(), 5)
 		for i := 0; i < 600; i++ {
 			id := f.request(clsSession, 0)
-			s, ok := f.last(id)
+			s, ok := f.lastSend(id)
 			if !ok {
 				refused++
 				continue
 			}
 			if d := took(i); d > 0 {
-				f.pass(d)
-				f.end(f.mustSend(id), OK)
+				f.advance(d)
+				f.finishAttempt(f.mustSend(id), OK)
 			} else {
-				f.pass(700 * ms)
-				if f.count(id) > 1 {
-					f.end(f.mustSend(id), OK)
-					f.r.Outcome(f.now, Outcome{Request: id, Attempt: s.n, Member: s.to, Result: Cancelled, Finished: true})
+				f.advance(700 * ms)
+				if f.sendCount(id) > 1 {
+					f.finishAttempt(f.mustSend(id), OK)
+					f.router.Outcome(f.now, Outcome{Request: id, Attempt: s.index, Member: s.to, Result: Cancelled, Finished: true})
 				} else {
-					f.pass(300 * ms)
-					f.end(s, TimedOut)
+					f.advance(300 * ms)
+					f.finishAttempt(s, TimedOut)
 				}
 			}
 			if i >= 300 {
-				n += f.count(id) - 1
+				n += f.sendCount(id) - 1
 			}
 		}
 		return n, refused
@@ -231,10 +231,10 @@
 // Slowed replicas fell behind, and every front spilled to primaries whose queues it could have seen. Answers of
 // its own that come in time outrank the report.
 func TestReportedQueueGuards(t *testing.T) {
-	f := settled(t, testConfig(), 3)
+	f := newReadyProxy(t, testConfig(), 3)
 	report := func(m MemberID, queue float64) {
-		f.r.members[m].probing = true
-		f.r.ProbeDone(f.now, ProbeResult{Member: m, Elapsed: ms, Report: Report{Role: RoleReplica, Position: f.now, Queue: queue}})
+		f.router.members[m].probing = true
+		f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: Report{Role: RoleReplica, Position: f.now, Queue: queue}})
 	}
 	report(2, 5)
 	for i := 0; i < 30; i++ {
@@ -243,7 +243,7 @@
 		}
 	}
 	f.now += ms
-	f.r.strain(f.now, f.r.members[2], 500*ms, 0.1)
+	f.router.recordLatency(f.now, f.router.members[2], 500*ms, 0.1)
 	used := false
 	for i := 0; i < 30; i++ {
 		used = used || f.serve(f.request(clsAny, 0), 0).to == 2
@@ -253,47 +253,47 @@
 	}
 	report(2, 5)
 	report(3, 5)
-	f.r.members[1].queue, f.r.members[1].queueAt = 5, f.now
-	if id := f.request(clsAny, 0); f.count(id) != 0 {
+	f.router.members[1].queueLength, f.router.members[1].queueReportedAt = 5, f.now
+	if id := f.request(clsAny, 0); f.sendCount(id) != 0 {
 		t.Error("a read was sent though every member reports requests waiting")
 	}
 	f.now += 2 * time.Second
-	if f.r.crowded(f.now, f.r.members[2], 1) {
+	if f.router.overloaded(f.now, f.router.members[2], 1) {
 		t.Error("a report of two seconds ago still counts")
 	}
 }
 
 // A front that stood still found its own timer before the pongs that had come meanwhile.
 func TestStandingStillIsNotTheMembersSilence(t *testing.T) {
-	f := settled(t, testConfig(), 3)
+	f := newReadyProxy(t, testConfig(), 3)
 	for len(f.probes) == 0 {
 		f.now += 10 * ms
-		f.r.Timer(f.now, tickTimer)
+		f.router.Timer(f.now, tickTimer)
 	}
 	f.now += 900 * ms
-	f.r.Timer(f.now, tickTimer)
-	for _, m := range f.r.order {
-		if m.seat.Silent {
+	f.router.Timer(f.now, tickTimer)
+	for _, m := range f.router.memberOrder {
+		if m.handover.Silent {
 			t.Fatalf("member %d counts as silent for a second in which nobody listened", m.ID)
 		}
 	}
-	f.pass(20 * ms)
-	if id := f.request(clsUnsafe, 1); f.count(id) != 1 {
+	f.advance(20 * ms)
+	if id := f.request(clsUnsafe, 1); f.sendCount(id) != 1 {
 		t.Error("a write was not sent after standing still")
 	}
 }
 
 // A primary that was silent for a moment and returned unchanged voided all pins of its group.
 func TestPinsOutliveASilentPrimary(t *testing.T) {
-	f := settled(t, testConfig(), 6)
+	f := newReadyProxy(t, testConfig(), 6)
 	pinned := f.serve(f.request(clsSession, 5), 10*ms).to
-	f.pass(1500*ms, 1)
-	if f.r.groups[0].primary != nil {
+	f.advance(1500*ms, 1)
+	if f.router.groups[0].primary != nil {
 		t.Fatal("the primary is not missed")
 	}
-	f.r.members[1].probing = false
-	f.pass(1200 * ms)
-	if f.r.groups[0].primary == nil {
+	f.router.members[1].probing = false
+	f.advance(1200 * ms)
+	if f.router.groups[0].primary == nil {
 		t.Fatal("the primary is not found again")
 	}
 	for i := 0; i < 10; i++ {
@@ -305,33 +305,33 @@
 
 // Retry tokens were spent also where no member could be chosen.
 func TestRetryTokensAreSpentBySendsOnly(t *testing.T) {
-	f := settled(t, testConfig(), 1) // the primary alone: no second member
-	before := f.r.retries
+	f := newReadyProxy(t, testConfig(), 1) // the primary alone: no second member
+	before := f.router.retryTokens
 	for i := 0; i < 20; i++ {
-		f.end(f.mustSend(f.request(clsAny, 0)), Reset)
+		f.finishAttempt(f.mustSend(f.request(clsAny, 0)), Reset)
 		f.now += time.Second
-		f.pass(2 * time.Second)
+		f.advance(2 * time.Second)
 	}
-	if f.r.retries < before {
-		t.Errorf("%v tokens left of %v without a second attempt", f.r.retries, before)
+	if f.router.retryTokens < before {
+		t.Errorf("%v tokens left of %v without a second attempt", f.router.retryTokens, before)
 	}
 }
 
 // Clients with little time left got attempts that could not end in time. The estimate of the bare time must not
 // shut out a class whose clients always come so: it sinks until one is tried.
 func TestTooLittleTimeIsAnsweredAtOnceAndTriedAgain(t *testing.T) {
-	f := settled(t, testConfig(), 3)
+	f := newReadyProxy(t, testConfig(), 3)
 	short := func() RequestID {
 		f.nextID++
-		f.r.Request(f.now, Request{ID: f.nextID, Class: clsSession, Deadline: f.now + 30*ms})
+		f.router.Request(f.now, Request{ID: f.nextID, Class: clsSession, Deadline: f.now + 30*ms})
 		return f.nextID
 	}
 	id := short() // the aim is 400 ms; nothing is known of the true time yet
 	f.wantFinal(id, "refused")
-	if f.count(id) != 0 {
+	if f.sendCount(id) != 0 {
 		t.Error("sent with 30 ms left to a class expected to take 100 ms")
 	}
-	for i := 0; f.count(id) == 0; i++ {
+	for i := 0; f.sendCount(id) == 0; i++ {
 		if i > 100 {
 			t.Fatal("a class whose clients come with little time is never tried again")
 		}
@@ -343,19 +343,19 @@
 
 // After a stall the answers that had waited with this front looked late, and cut the limits of all members.
 func TestStandingStillMovesNoLimit(t *testing.T) {
-	f := settled(t, testConfig(), 3)
-	before := f.r.members[1].Most
+	f := newReadyProxy(t, testConfig(), 3)
+	before := f.router.members[1].Most
 	ids := []RequestID{f.request(clsUnsafe, 1), f.request(clsUnsafe, 2), f.request(clsUnsafe, 3)}
 	f.now += 900 * ms
-	f.end(f.mustSend(ids[0]), OK)
-	f.r.Timer(f.now, tickTimer)
-	f.end(f.mustSend(ids[1]), OK)
-	if m := f.r.members[1]; m.Most != before || m.Strain != 0 {
+	f.finishAttempt(f.mustSend(ids[0]), OK)
+	f.router.Timer(f.now, tickTimer)
+	f.finishAttempt(f.mustSend(ids[1]), OK)
+	if m := f.router.members[1]; m.Most != before || m.Strain != 0 {
 		t.Errorf("limit %v of %v and strain %v after answers that waited with this front", m.Most, before, m.Strain)
 	}
-	f.pass(600 * ms)
-	f.end(f.mustSend(ids[2]), OK)
-	if f.r.members[1].Strain == 0 {
+	f.advance(600 * ms)
+	f.finishAttempt(f.mustSend(ids[2]), OK)
+	if f.router.members[1].Strain == 0 {
 		t.Error("a late answer no longer counts")
 	}
 }
@@ -363,16 +363,16 @@
 // Many members, each half full for this front, let nearly every request in: with a chance of its own for each of
 // them, one always accepts. At size that kept everything late.
 func TestHalfFullMembersShedHalf(t *testing.T) {
-	f := settled(t, manyFronts(), 9)
+	f := newReadyProxy(t, manyProxies(), 9)
 	sent := 0
 	for i := 0; i < 200; i++ {
-		for _, m := range f.r.order {
+		for _, m := range f.router.memberOrder {
 			m.Most, m.Eased = 0.5, f.now
 		}
 		id := f.request(clsAny, 0)
-		if s, ok := f.last(id); ok {
+		if s, ok := f.lastSend(id); ok {
 			sent++
-			f.end(s, OK)
+			f.finishAttempt(s, OK)
 		}
 	}
 	if sent < 50 || sent > 130 {
@@ -389,14 +389,14 @@
 		for _, two := range []bool{false, true} {
 			cfg := testConfig()
 			cfg.Seed, cfg.Proxies = seed, 1
-			fronts := []*front{settled(t, cfg, 4)}
+			fronts := []*testProxy{newReadyProxy(t, cfg, 4)}
 			turns := func(n int) {
 				for k := range n {
 					for i, f := range fronts {
-						f.pass(10 * ms)
+						f.advance(10 * ms)
 						if k%every == 0 && k/every%len(fronts) == i {
-							if s, ok := f.last(f.askAndPong(clsAny)); ok {
-								f.end(s, OK)
+							if s, ok := f.lastSend(f.requestAndAnswerPings(clsAny)); ok {
+								f.finishAttempt(s, OK)
 							}
 						}
 					}
@@ -406,16 +406,16 @@
 			old := fronts[0]
 			if two {
 				cfg.Seed += 1000
-				f := newFront(t, cfg)
+				f := newTestProxy(t, cfg)
 				f.now = old.now
-				f.list(ListCached, 4)
-				f.pass(20 * ms)
-				old.pass(20 * ms)
+				f.listMembers(ListCached, 4)
+				f.advance(20 * ms)
+				old.advance(20 * ms)
 				fronts = append(fronts, f)
 			}
 			for _, f := range fronts {
 				f.sends = nil
-				f.r.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: old.now}}})
+				f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: old.now}}})
 			}
 			turns(300)
 			for _, f := range fronts {
--- a/logic/state.go
+++ b/logic/state.go
@@ -13,126 +13,126 @@
 	"havenproxy/internal/ping"
 )
 
-// What a router keeps; what is done with it is in logic.go.
+// State of a router; the methods that change it are in logic.go.
 
-// Router decides for one front. It is not safe for concurrent use; calls come one at a time.
+// Router makes the routing decisions of one proxy. It is not safe for concurrent use.
 type Router struct {
-	cfg Config
-	act Actions
-	rng *rand.Rand
-
-	started  bool
-	luck     float64 // of the request in hand, against the broken part of limits
-	startAt  time.Duration
-	tickAt   time.Duration        // the last housekeeping
-	stoodAt  time.Duration        // when housekeeping was late: this front had stood still
-	members  map[MemberID]*member // looked up only, never ranged over
-	groups   map[GroupID]*group   // likewise; those that a list has named
-	listed   []GroupID            // their order
-	rounds   rounds               // which members are looked at, and when
-	stirring []*group             // where something is to be done by time alone
-	nobody   *group               // stands for groups that no list has named
-	order    []*member            // all members, in the order in which they were first listed
-	requests map[RequestID]*request
-	held     []*request
-	lead     *handover.Handover
-	pins     recent[pinKey, pin]
-	commits  commits
-
-	cost     []time.Duration // per class, the bare answer time
-	slow     []time.Duration // and the time past which an answer is overdue
-	quotas   limit.Quotas    // what tenants have asked for
-	missing  float64         // share of answers that don't come though their members answer in time, moving average
-	failures limit.Failures  // quick ones, at all members
-	retries  float64         // further attempts that may still be made
-
-	calls    limit.Calls // of the list
-	pings    ping.Schedule
-	priority limit.Priority // among classes, at cold members
-	peers    *peers.Gossip  // what the other proxies have seen
-	refusals [NumRefusalReasons]uint64
-	looks    uint64      // at members, by time alone
-	checks   checkBudget // where the tier shares them
+	cfg     Config
+	actions Actions
+	rng     *rand.Rand
+
+	started        bool
+	requestDraw    float64 // random number of the current request, compared with the fractional part of limits
+	startedAt      time.Duration
+	lastTickAt     time.Duration        // last run of the housekeeping timer
+	stalledAt      time.Duration        // when housekeeping last ran late because this proxy had not been running
+	members        map[MemberID]*member // only for lookups, never iterated
+	groups         map[GroupID]*group   // groups that a list has named; never iterated
+	groupOrder     []GroupID            // keys of groups in order of first listing
+	rounds         rounds               // members that are due for a check
+	activeGroups   []*group             // groups with time-driven work
+	unlistedGroup  *group               // stands for every group that no list has named
+	memberOrder    []*member            // all members in order of first listing
+	requests       map[RequestID]*request
+	awaitingPing   []*request
+	handover       *handover.Handover
+	pins           fifoMap[pinKey, pin]
+	sessionCommits commitLog
+
+	serviceTime []time.Duration // by class: estimated answer time without queueing
+	slowTime    []time.Duration // by class: answer time beyond which an answer is overdue
+	quotas      limit.Quotas    // recent requests by tenant
+	lossRate    float64         // share of answers that are lost though their members answer in time, moving average
+	failures    limit.Failures  // quick failures, over all members
+	retryTokens float64         // retries that may still be made
+
+	listCalls     limit.Calls // calls for the member list
+	pingSchedule  ping.Schedule
+	coldPriority  limit.Priority // among classes, at cold members
+	gossip        *peers.Gossip  // exchange of facts with the other proxies
+	refusalCounts [NumRefusalReasons]uint64
+	memberChecks  uint64      // number of time-driven checks of members
+	checkBudget   checkBudget // where the tier shares health checks
 }
 
-// member is this front's view of one process.
+// member is this proxy's view of one process.
 type member struct {
 	Member
 	listed   bool
 	group    *group
-	seat     *handover.Seat // its role, and the doubt whether it has started anew
-	position time.Duration  // it has applied all commits up to then; a lower bound that only grows
-
-	ping      time.Duration // moving average; 0 = never answered
-	probing   bool
-	probedAt  time.Duration       // the last probe sent
-	heardAt   time.Duration       // the last sign of life
-	stuck     bool                // it has an attempt overdue, and has answered none since
-	toldAt    time.Duration       // when a peer last had an answer from it, as told
-	verdict   healthcheck.Verdict // of the tier's checkers, the last
-	ejected   bool                // by it
-	inSubset  bool                // this proxy keeps connections to it
-	firstAt   time.Duration       // when it is to be pinged first
-	placedAt  time.Duration       // the last news of its position
-	lag       time.Duration       // of its position behind the time at which it last told one itself; 0 = it has not
-	restsTill time.Duration       // it need not be looked at before, unless something happens
-	awake     bool                // it is in the list of those that are looked at each time
-	visitedAt time.Duration       // the last tick at which it was visited
-
-	out []*attempt // this front's attempts there, oldest first
+	handover *handover.Seat // its role, and the probability that it restarted
+	position time.Duration  // it has applied all commits up to this time; a lower bound that never decreases
+
+	pingTime     time.Duration // moving average; 0 = never answered
+	probing      bool
+	probedAt     time.Duration       // when the last probe was sent
+	aliveAt      time.Duration       // last sign of life
+	unresponsive bool                // an attempt is overdue, and the member has answered none since
+	peerAliveAt  time.Duration       // when it last answered a peer, as the peer reported
+	verdict      healthcheck.Verdict // latest verdict of the tier's checkers
+	ejected      bool                // by the verdict
+	inSubset     bool                // this proxy keeps connections to it
+	firstPingAt  time.Duration       // when its first ping is due
+	positionAt   time.Duration       // when its position was last reported
+	lag          time.Duration       // of its position at the time of its own last report; 0 = no report yet
+	nextCheckAt  time.Duration       // no check is needed before, unless an event occurs
+	active       bool                // it is in rounds.active
+	visitedAt    time.Duration       // tick at which it was last visited
+
+	inFlight []*attempt // this proxy's attempts, oldest first
 	limit.Limit
-	account limit.Account // while cold
-	queue   float64       // requests that it last reported to be waiting
-	queueAt time.Duration
-	bench   limit.Bench // where it fails more than the others
+	warmUpBudget    limit.Account // limits its work while it is cold
+	queueLength     float64       // waiting requests according to its last report
+	queueReportedAt time.Duration
+	outlier         limit.Bench // tracks whether it fails more often than the others
 }
 
 type group struct {
-	members []*member
-	lead    *handover.Group // who is primary, and what waits for one
-	primary *member         // as lead says, here for quick use
-	stirs   bool            // it is in the list of those that stir
-
-	inRounds   bool // it is in the rounds,
-	roundsTill time.Duration
-	work       float64 // what arrives, moving average of bare work a request
-	longWork   float64 // the part of it that is long
-	worth      float64 // moving average of a request's worth
-	rate       decaying
-
-	plan  []Admission   // of reduced service, by class; empty = all is admitted
-	tally []ClassCounts // by class
-	draws draws
+	members  []*member
+	handover *handover.Group // the primary, and the requests held for one
+	primary  *member         // cached from handover
+	active   bool            // it is in Router.activeGroups
+
+	inRounds     bool // it is in rounds.inUse,
+	roundsUntil  time.Duration
+	meanWork     float64 // service time per request, moving average
+	meanLongWork float64 // the part of it due to long reads
+	meanWorth    float64 // worth per request, moving average
+	rate         decayingCount
+
+	admission []Admission   // by class; empty = everything is admitted
+	counts    []ClassCounts // by class
+	demand    demandTracker
 }
 
 type request struct {
 	Request
-	class  *Class
-	group  *group
-	token  time.Duration // session reads: the commit that must be covered
-	tries  []*attempt
-	most   int           // attempts that it may have, as when it came; 0 = no limit
-	ran    bool          // some attempt may have run
-	result Result        // how the last attempt ended
-	at     time.Duration // when it came
-	done   bool
-	over   bool // beyond its tenant's share
-	held   bool // it waits for pings
-	waits  bool // it waits for a primary
-
-	asked   int           // how many rounds of pings were sent for it
-	askedAt time.Duration // the last
+	class           *Class
+	group           *group
+	token           time.Duration // session reads: the commit that the data must include
+	attempts        []*attempt
+	maxAttempts     int    // Config.MaxAttempts when it arrived; 0 = unlimited
+	mayHaveRun      bool   // some attempt may have been executed
+	lastResult      Result // of the last attempt that ended
+	arrivedAt       time.Duration
+	done            bool
+	overQuota       bool // it exceeds its tenant's quota
+	awaitingPing    bool // it is in Router.awaitingPing
+	awaitingPrimary bool // it is held for a primary
+
+	pingRounds int           // rounds of pings sent for it
+	pingedAt   time.Duration // when the last round was sent
 }
 
 type attempt struct {
-	req       *request
-	n         int
-	to        *member
-	sentAt    time.Duration
-	open      bool
-	ran       bool // it may have run
-	calledOff bool
-	overdue   bool // counted as a failure: it takes longer than its class usually does
+	request    *request
+	index      int
+	member     *member
+	sentAt     time.Duration
+	open       bool
+	mayHaveRun bool
+	cancelled  bool
+	overdue    bool // it took longer than usual for its class and was counted as a failure
 }
 
 type pinKey struct {
@@ -142,125 +142,129 @@
 }
 
 type pin struct {
-	to   *member
-	term int
+	member *member
+	term   int
 }
 
-// decaying is a count that shrinks evenly with the time since it last grew.
-type decaying struct {
-	sum  float64
-	last time.Duration
+// decayingCount is a count that decays exponentially with time.
+type decayingCount struct {
+	sum       float64
+	updatedAt time.Duration
 }
 
-func (d *decaying) at(now, span time.Duration) float64 {
-	return d.sum * math.Exp(-float64(now-d.last)/float64(max(span, 1)))
+func (d *decayingCount) value(now, span time.Duration) float64 {
+	return d.sum * math.Exp(-float64(now-d.updatedAt)/float64(max(span, 1)))
 }
 
-func (d *decaying) add(now, span time.Duration) {
-	d.sum, d.last = d.at(now, span)+1, now
+func (d *decayingCount) add(now, span time.Duration) {
+	d.sum, d.updatedAt = d.value(now, span)+1, now
 }
 
 func (r *Router) newGroup(id GroupID) *group {
-	return &group{tally: make([]ClassCounts, len(r.cfg.Classes)), lead: r.lead.Group(int(id))}
+	return &group{counts: make([]ClassCounts, len(r.cfg.Classes)), handover: r.handover.Group(int(id))}
 }
 
-// groupOf finds the group that a list names, or makes it.
-func (r *Router) groupOf(id GroupID) *group {
+// listedGroup returns the group with an ID from the list, and creates it if needed.
+func (r *Router) listedGroup(id GroupID) *group {
 	if r.groups[id] == nil {
 		r.groups[id] = r.newGroup(id)
-		r.listed = append(r.listed, id)
+		r.groupOrder = append(r.groupOrder, id)
 	}
 	return r.groups[id]
 }
 
-// askedOf finds the group that a request names. One that no list has named is not kept: clients could name millions.
-func (r *Router) askedOf(id GroupID) *group {
+// requestedGroup returns the group that a request names. A group that no list has named is not created, since
+// clients could name millions.
+func (r *Router) requestedGroup(id GroupID) *group {
 	if g := r.groups[id]; g != nil {
 		return g
 	}
-	return r.nobody
+	return r.unlistedGroup
 }
 
-// asHeld is the request as far as holding it is concerned.
-func (q *request) asHeld(cost, slow time.Duration, ahead int) handover.Held {
-	width := 0
-	price := q.group.price()
+// heldRequest returns the request in the form that the handover state takes.
+func (q *request) heldRequest(serviceTime, usualTime time.Duration, ahead int) handover.Held {
+	concurrency := 0
+	price := q.group.workPrice()
 	if p := q.group.primary; p != nil {
-		width = int(p.Most / 2) // of what may be out there, a part waits
+		concurrency = int(p.Most / 2) // of the attempts that may be in flight there, a part queues
 	}
-	return handover.Held{ID: uint64(q.ID), At: q.at, Until: q.Deadline, Cost: cost, Slow: slow, Aim: q.class.Aim, Late: q.class.Late,
-		Worth: q.class.Worth, Price: price, Size: q.Size, Ran: q.ran, Was: q.waits, Ahead: ahead, Width: width}
+	return handover.Held{ID: uint64(q.ID), At: q.arrivedAt, Until: q.Deadline, Cost: serviceTime, Slow: usualTime, Aim: q.class.Aim, Late: q.class.Late,
+		Worth: q.class.Worth, Price: price, Size: q.Size, Ran: q.mayHaveRun, Was: q.awaitingPrimary, Ahead: ahead, Width: concurrency}
 }
 
-// usual is what an answer takes that is slow for its class, but not late.
-func (r *Router) usual(q *request) time.Duration { return min(r.slow[q.Class], q.class.Aim) }
+// usualTime returns the time of an answer that is slow for its class but not late.
+func (r *Router) usualTime(q *request) time.Duration { return min(r.slowTime[q.Class], q.class.Aim) }
 
-// mixed notes a request in the group's mix of work.
-func (g *group) mixed(cost, worth float64, long bool) {
-	g.work += workWeight * (cost - g.work)
-	g.worth += workWeight * (worth - g.worth)
+// recordWork adds a request to the group's averages of work and worth.
+func (g *group) recordWork(work, worth float64, long bool) {
+	g.meanWork += workWeight * (work - g.meanWork)
+	g.meanWorth += workWeight * (worth - g.meanWorth)
 	if !long {
-		cost = 0
+		work = 0
 	}
-	g.longWork += workWeight * (cost - g.longWork)
+	g.meanLongWork += workWeight * (work - g.meanLongWork)
 }
 
-// Between these strains of its members a group's work gets its price: the lower is that of members at ease.
-const strainFree, strainFull = 0.3, limit.High
+// The price of a group's work rises from zero to its full value between these latency ratios of its members.
+const idleLatencyRatio, fullLatencyRatio = 0.3, limit.High
 
-// price is what a second of the group's work earns, as far as there is none to spare: what a held request takes there,
-// others don't get.
-func (g *group) price() float64 {
-	sum, n := 0.0, 0
+// workPrice returns the worth that a second of the group's work earns, in proportion to how loaded its members
+// are. A held request takes that much away from other requests.
+func (g *group) workPrice() float64 {
+	load, members := 0.0, 0
 	for _, m := range g.members {
-		if m.State == Ready && !m.seat.Silent {
-			sum += min(max((m.Strain-strainFree)/(strainFull-strainFree), 0), 1)
-			n++
+		if m.State == Ready && !m.handover.Silent {
+			load += min(max((m.Strain-idleLatencyRatio)/(fullLatencyRatio-idleLatencyRatio), 0), 1)
+			members++
 		}
 	}
-	if n == 0 || g.work <= 0 {
+	if members == 0 || g.meanWork <= 0 {
 		return 0
 	}
-	return sum / float64(n) * g.worth / g.work
+	return load / float64(members) * g.meanWorth / g.meanWork
 }
 
-// reborn forgets what only held of the process before: its failures, and what it had waiting. Its log it goes on with.
-func (m *member) reborn() { m.bench, m.queue, m.stuck = limit.Bench{}, 0, false }
+// restarted clears what only applied to the member's previous process: its failures and its queue. Its log
+// continues.
+func (m *member) restarted() { m.outlier, m.queueLength, m.unresponsive = limit.Bench{}, 0, false }
 
-// role is what the member was when it last spoke.
-func (m *member) role() Role { return Role(m.seat.Role) }
+// role returns the role that the member last reported.
+func (m *member) role() Role { return Role(m.handover.Role) }
 
 func (q *request) pinKey() pinKey { return pinKey{q.Session, q.Class, q.Group} }
 
 func (q *request) tried(m *member) bool {
-	return slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.to == m })
+	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.member == m })
 }
 
-func (q *request) open() bool {
-	return slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.open })
+func (q *request) hasOpenAttempt() bool {
+	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.open })
 }
 
-// rateOf gives how many requests a second come to a group, by this front.
-func (r *Router) rateOf(now time.Duration, g *group) float64 {
-	return g.rate.at(now, thinSpan) / min(thinSpan, now-r.startAt+time.Second).Seconds()
+// requestRate returns the group's requests per second at this proxy.
+func (r *Router) requestRate(now time.Duration, g *group) float64 {
+	return g.rate.value(now, rateWindow) / min(rateWindow, now-r.startedAt+time.Second).Seconds()
 }
 
-// tokenOf gives the commit that a session read must see; if unknown here, the newest one forgotten.
-func (r *Router) tokenOf(now time.Duration, in *Request) time.Duration {
+// sessionToken returns the commit that a session read must include. For a session unknown here it is the newest
+// commit that was evicted.
+func (r *Router) sessionToken(now time.Duration, in *Request) time.Duration {
 	if r.cfg.SessionTokens {
 		if in.TokenAge > 0 {
 			return now - in.TokenAge
 		}
 		return 0
 	}
-	return r.commits.of(in.Session)
+	return r.sessionCommits.lastCommit(in.Session)
 }
 
-// bearers gives among how many members a group's work is shared. Where many fronts talk, those that are being replaced don't count: the
-// replacements are listed beside them, and each would be given half of its part.
-func (r *Router) bearers(g *group) float64 {
+// sharingMembers returns the number of members that share a group's work. If proxies exchange facts, members that
+// are being replaced do not count: their replacements are listed at the same time, and each would get half of its
+// part.
+func (r *Router) sharingMembers(g *group) float64 {
 	n := len(g.members)
-	if r.peers.On() {
+	if r.gossip.On() {
 		n = 0
 		for _, m := range g.members {
 			if m.State == Ready {
--- a/logic/subset.go
+++ b/logic/subset.go
@@ -1,12 +1,12 @@
 package logic
 
-// The subset of databases that this proxy keeps connections to, where its tier shares health checks. Which they are is internal/subset's to
-// say. It only narrows the choice among members that would do alike: those of the ping window that pass every other filter. Where none of
-// the subset can take a read, any other may.
+// The subset of databases to which this proxy keeps connections, where its tier shares health checks. Package
+// subset selects it. It only narrows the choice among members that are otherwise equal: those within the ping
+// window that pass every other filter. If no member of the subset can take a read, any other may.
 
-// SetSubset tells which members belong to the subset. It replaces what was told before; none = there is no subset.
+// SetSubset replaces the subset with the given members; without any there is no subset.
 func (r *Router) SetSubset(ids []MemberID) {
-	for _, m := range r.order {
+	for _, m := range r.memberOrder {
 		m.inSubset = false
 	}
 	for _, id := range ids {
@@ -16,8 +16,8 @@
 	}
 }
 
-// draw picks one of several members at random, of the subset if any of them belongs to it.
-func (r *Router) draw(list []*member) *member {
+// pickRandom picks a random member of the list, from the subset if it contains any of them.
+func (r *Router) pickRandom(list []*member) *member {
 	if r.sharesChecks() {
 		var subset []*member
 		for _, m := range list {
--- a/logic/validate.go
+++ b/logic/validate.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// check tells which field of a configuration makes no sense.
-func check(cfg *Config, actions Actions) error {
+// validate applies the defaults to cfg.Tuning and returns an error that names the first invalid field.
+func validate(cfg *Config, actions Actions) error {
 	cfg.Tuning = cfg.Tuning.WithDefaults()
 	switch {
 	case actions == nil:
