--- a/internal/net/health_test.go
+++ b/internal/net/health_test.go
@@ -97,7 +97,7 @@
 // runPlanner runs the one planner of a tier until the test ends.
 func runPlanner(t *testing.T) (address string) {
 	p, err := planner.Open(planner.Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "127.0.0.1:0"},
-		File: filepath.Join(t.TempDir(), "log"), Rollout: rollout.Config{Lease: 2 * time.Second}})
+		LogFile: filepath.Join(t.TempDir(), "log"), Rollout: rollout.Config{Lease: 2 * time.Second}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 		now := s.clock.Now()
 		for _, victim := range s.list[1:] {
 			from := subset.ProxyID(victim.tier.health.member)
-			forged := healthcheck.Report{Origin: from, Epoch: math.MaxUint32, Database: numberOf("db-1"), Status: healthcheck.Dead, At: now}
+			forged := healthcheck.Report{Origin: from, Epoch: math.MaxUint32, Database: numberOf("db-1"), Status: healthcheck.Dead, ObservedAt: now}
 			s.list[0].tier.SendReports(wire.AppendMessage(nil, wire.Clock{Unix: s.clock.Unix(), Now: now},
 				healthcheck.Message{From: from, Epoch: math.MaxUint32, Reports: []healthcheck.Report{forged}}))
 		}
--- a/internal/state/peers.go
+++ b/internal/state/peers.go
@@ -12,7 +12,7 @@
 func (f *Front) Peers(t Teller) { f.teller = t }
 
 // Push implements logic.Actions.
-func (f *Front) Push(facts []peers.Fact) {
+func (f *Front) Push(facts []peers.Report) {
 	if f.teller == nil {
 		return
 	}
--- a/logic/api.go
+++ b/logic/api.go
@@ -282,8 +282,8 @@
 	Timer(now time.Duration, id TimerID)
 	// ConnectionEvidence reports what became of a connection that was opened before the member fell silent.
 	ConnectionEvidence(now time.Duration, id MemberID, evidence handover.Testimony, connOpenedAt time.Duration)
-	PeerFacts(now time.Duration, facts []peers.Fact) // facts received from a peer, only valid during the call
-	Abandoned(now time.Duration, id RequestID)       // the client has left; it needs no answer
+	PeerFacts(now time.Duration, facts []peers.Report) // facts received from a peer, only valid during the call
+	Abandoned(now time.Duration, id RequestID)         // the client has left; it needs no answer
 }
 
 // Actions are the calls that a router makes to its proxy while it handles an event.
@@ -294,8 +294,8 @@
 	Fail(id RequestID)                             // final answer: the request may have been executed
 	Cancel(id RequestID, attempt int)
 	SetTimer(id TimerID, at time.Duration)
-	WatchList(on bool) // request changes of the list from now on
-	FetchList()        // request the whole list once
-	Push([]peers.Fact) // send facts to all peers in one message; the slice is only valid during the call
+	WatchList(on bool)   // request changes of the list from now on
+	FetchList()          // request the whole list once
+	Push([]peers.Report) // send facts to all peers in one message; the slice is only valid during the call
 	Log(text string)
 }
--- a/logic/front_test.go
+++ b/logic/front_test.go
@@ -57,7 +57,7 @@
 func (f *testProxy) SetTimer(_ TimerID, at time.Duration) { f.timers = append(f.timers, at) }
 func (f *testProxy) WatchList(bool)                       { f.watches++ }
 func (f *testProxy) FetchList()                           {}
-func (f *testProxy) Push([]peers.Fact)                    {}
+func (f *testProxy) Push([]peers.Report)                  {}
 func (f *testProxy) Log(string)                           {}
 
 // The classes of the tests' configuration.
@@ -229,7 +229,7 @@
 func (printingActions) SetTimer(TimerID, time.Duration) {}
 func (printingActions) WatchList(bool)                  {}
 func (printingActions) FetchList()                      {}
-func (printingActions) Push([]peers.Fact)               {}
+func (printingActions) Push([]peers.Report)             {}
 func (printingActions) Log(string)                      {}
 
 var _ Events = (*Router)(nil)
--- a/logic/health.go
+++ b/logic/health.go
@@ -57,7 +57,7 @@
 
 // pingsAreRare reports whether shared checks or peers replace most of this proxy's pings, so that a member may be
 // used without a ping time of its own.
-func (r *Router) pingsAreRare() bool { return r.sharesChecks() || r.gossip.On() }
+func (r *Router) pingsAreRare() bool { return r.sharesChecks() || r.gossip.Enabled() }
 
 // pingOnDemand reports whether the group's traffic is too low for periodic pings, so that requests trigger them.
 // Where checks are shared, these stay within the budget unless the group has no primary.
@@ -123,14 +123,14 @@
 	previous := m.verdict
 	m.verdict, m.ejected = verdict, verdict.State == healthcheck.Ejected
 	if verdict.ColdStart && !previous.ColdStart {
-		r.markColdStart(now, m, verdict.RoleAt)
+		r.markColdStart(now, m, verdict.RoleObservedAt)
 	}
 	switch {
 	case m.ejected:
 		r.eject(now, m)
 	case verdict.Role != subset.RoleUnknown:
-		r.applyObservation(m, roleOf(verdict.Role), min(verdict.Position, now), min(verdict.RoleAt, now), now)
-		m.peerAliveAt = max(m.peerAliveAt, min(verdict.RoleAt, now))
+		r.applyObservation(m, roleOf(verdict.Role), min(verdict.Position, now), min(verdict.RoleObservedAt, now), now)
+		m.peerAliveAt = max(m.peerAliveAt, min(verdict.RoleObservedAt, now))
 	}
 	if verdict.Failing && !previous.Failing {
 		r.failures.Note(now, &m.outlier, 1)
@@ -170,4 +170,4 @@
 }
 
 // ShortID returns the number by which the tier's messages identify a member.
-func ShortID(id MemberID) subset.DatabaseID { return subset.DatabaseID(peers.Short(uint64(id))) }
+func ShortID(id MemberID) subset.DatabaseID { return subset.DatabaseID(peers.ShortID(uint64(id))) }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -120,7 +120,7 @@
 		m.handover = g.handover.Join(uint64(entry.ID))
 		r.members[entry.ID] = m
 		r.memberOrder = append(r.memberOrder, m)
-		r.gossip.Join(uint64(entry.ID))
+		r.gossip.Add(uint64(entry.ID))
 		g.members = append(g.members, m) // a positive StartedAt makes it cold, below
 	}
 	if entry.StartedAt > m.StartedAt { // restarted: its role is unknown again; its log continues from where it was
@@ -151,7 +151,7 @@
 		return false
 	}
 	delete(r.members, m.ID)
-	r.gossip.Leave(uint64(m.ID))
+	r.gossip.Remove(uint64(m.ID))
 	m.group.members = slices.DeleteFunc(m.group.members, func(x *member) bool { return x == m })
 	m.group.handover.Leave(now, m.handover)
 	r.updatePrimary(now, m.group) // the removed member may have taken precedence over another one
@@ -194,7 +194,7 @@
 
 // observe records a role and a position that this proxy has seen and that were true at the time at.
 func (r *Router) observe(m *member, role Role, position, at, now time.Duration) {
-	r.gossip.Saw(now, uint64(m.ID), peers.Role(role), at, position)
+	r.gossip.Observe(now, uint64(m.ID), peers.Role(role), at, position)
 	r.applyObservation(m, role, position, at, now)
 	if position > 0 {
 		m.lag = now - m.position
@@ -232,7 +232,7 @@
 		return
 	}
 	m.group.handover.Silent(now, m.handover)
-	r.gossip.Ailing(now, uint64(m.ID), peers.Silent)
+	r.gossip.ObserveFailure(now, uint64(m.ID), peers.Silent)
 	r.updatePrimary(now, m.group)
 	r.hedgeOverdue(now, m)
 }
@@ -602,7 +602,7 @@
 	startedAt, certainty := m.handover.Cold(now, r.cfg.ColdPeriod)
 	if certainty == 0 {
 		return true
-	} else if r.gossip.On() && !r.coldPriority.Admits(share, r.requestDraw) {
+	} else if r.gossip.Enabled() && !r.coldPriority.Admits(share, r.requestDraw) {
 		return false
 	}
 	overloadShare := coldOverloadShare + (doubtfulOverloadShare-coldOverloadShare)*(1-certainty)
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -20,19 +20,19 @@
 // and if periodic pings from all proxies would be too many. A position is sent once it is older than periodic
 // pings would let it become.
 func (r *Router) newGossip() *peers.Gossip {
-	cfg := peers.Config{Proxies: r.cfg.Proxies, Most: r.cfg.MaxPeerFacts, Phase: float64(splitmix64(r.cfg.Seed)>>11) / (1 << 53)}
+	cfg := peers.Config{Proxies: r.cfg.Proxies, MaxBatch: r.cfg.MaxPeerFacts, Phase: float64(splitmix64(r.cfg.Seed)>>11) / (1 << 53)}
 	if r.pingSchedule.Many() {
-		cfg.Fresh = time.Duration(min(max(float64(r.cfg.Proxies)/fullRateProxies, 1), 2) * float64(r.pingSchedule.Shortest()))
+		cfg.Interval = time.Duration(min(max(float64(r.cfg.Proxies)/fullRateProxies, 1), 2) * float64(r.pingSchedule.Shortest()))
 	}
 	return peers.New(cfg)
 }
 
 // PeerFacts handles facts from a peer. They are evidence of roles and positions, but not a sign of life to this
 // proxy.
-func (r *Router) PeerFacts(now time.Duration, facts []peers.Fact) {
+func (r *Router) PeerFacts(now time.Duration, facts []peers.Report) {
 	r.ensureStarted(now)
 	for _, f := range facts {
-		if id, f, ok := r.gossip.Believe(now, f); ok {
+		if id, f, ok := r.gossip.Accept(now, f); ok {
 			r.applyPeerFact(now, r.members[MemberID(id)], f)
 		}
 	}
@@ -43,19 +43,19 @@
 
 // applyPeerFact applies one fact. Reported silence is a reason to ping and a reported failure counts like one of
 // this proxy's own; neither excludes the member by itself.
-func (r *Router) applyPeerFact(now time.Duration, m *member, f peers.Fact) {
-	if f.Ails != peers.Well { // a role from before, dated with the time of the failure, would outlast a change of primary
+func (r *Router) applyPeerFact(now time.Duration, m *member, f peers.Report) {
+	if f.Status != peers.Healthy { // a role from before, dated with the time of the failure, would outlast a change of primary
 		f.Role = peers.Unknown
 	}
 	r.applyObservation(m, Role(f.Role), f.Position, f.At, now)
 	switch {
-	case f.Ails == peers.Silent:
+	case f.Status == peers.Silent:
 		inUse := !r.pingSchedule.OnNeed() || m.group.inRounds
 		if inUse && m.aliveAt < f.At && !m.handover.Silent && now-m.probedAt >= peerSilenceInterval {
 			r.probe(now, m)
 		}
 		return
-	case f.Ails == peers.Failing:
+	case f.Status == peers.Failing:
 		r.failures.Note(now, &m.outlier, 1)
 		r.failures.Spread(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
 	default:
@@ -67,16 +67,16 @@
 // recordFailure counts a quick failure that this proxy has seen, and reports it to peers.
 func (r *Router) recordFailure(now time.Duration, m *member) {
 	r.failures.Note(now, &m.outlier, 1)
-	if r.gossip.On() {
+	if r.gossip.Enabled() {
 		r.failures.Spread(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
-		r.gossip.Ailing(now, uint64(m.ID), peers.Failing)
+		r.gossip.ObserveFailure(now, uint64(m.ID), peers.Failing)
 	}
 }
 
 // firstPingTime returns when a newly listed member is to be pinged first: at once, or, if peers exchange facts, at
 // a random time within the startup hold, since the results of the first pings save the other proxies theirs.
 func (r *Router) firstPingTime(now time.Duration) time.Duration {
-	if !r.gossip.On() {
+	if !r.gossip.Enabled() {
 		return now
 	}
 	return now + time.Duration(r.rng.Float64()*float64(startupHold))
@@ -99,7 +99,7 @@
 
 // sendPeerFacts sends the facts that are due to the peers.
 func (r *Router) sendPeerFacts(now time.Duration) {
-	if facts := r.gossip.Due(now); len(facts) > 0 {
+	if facts := r.gossip.NextMessage(now); len(facts) > 0 {
 		r.actions.Push(facts)
 	}
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -166,7 +166,7 @@
 func (w *simulation) SetTimer(_ TimerID, at time.Duration) { w.timers = append(w.timers, at) }
 func (w *simulation) WatchList(bool)                       {}
 func (w *simulation) FetchList()                           {}
-func (w *simulation) Push([]peers.Fact)                    {}
+func (w *simulation) Push([]peers.Report)                  {}
 func (w *simulation) Log(string)                           {}
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
--- a/logic/state.go
+++ b/logic/state.go
@@ -264,7 +264,7 @@
 // part.
 func (r *Router) sharingMembers(g *group) float64 {
 	n := len(g.members)
-	if r.gossip.On() {
+	if r.gossip.Enabled() {
 		n = 0
 		for _, m := range g.members {
 			if m.State == Ready {
