--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -94,7 +94,7 @@
 		r.Probed(now, e.Probed)
 	case sim.Datagram:
 		if facts, err := peers.Parse(nil, e.Message, now, now); err == nil {
-			r.PeerFacts(now, facts)
+			r.PeerReports(now, facts)
 		}
 	case sim.Timer:
 		r.Timer(now, e.Timer)
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -293,7 +293,7 @@
 	cfg := &w.cfg
 	decide := LogicConfig(cfg.Fleet, cfg.ProxySeed+uint64(n.i)<<32+uint64(n.life)<<52)
 	decide.Handover, decide.Tuning, decide.Proxies = cfg.Handover, cfg.Tuning, max(cfg.Proxies, 1)
-	decide.MaxPeerFacts = cfg.Tier.Peers
+	decide.MaxPeerReports = cfg.Tier.Peers
 	if len(cfg.Tier.Splits) > 0 || cfg.Tier.Uneven > 0 || cfg.Observer != nil {
 		decide.Zone = n.zone
 	}
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -60,7 +60,7 @@
 	count(friend, message[:7], 1, 2)
 	loop.Post(func() {
 		front.Peers(p)
-		front.Push([]peers.Report{{Database: 1, Role: peers.Replica, At: clock.Now()}})
+		front.SendToPeers([]peers.Report{{Database: 1, Role: peers.Replica, At: clock.Now()}})
 	})
 	buf := make([]byte, 512)
 	friend.SetReadDeadline(time.Now().Add(patience))
--- a/internal/run/endpoints_test.go
+++ b/internal/run/endpoints_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	cfg.Admin, cfg.PeerListen, cfg.PeersAll = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:1"
-	cfg.Settings.Config.MaxPeerFacts = 1
+	cfg.Settings.Config.MaxPeerReports = 1
 	p, err := start(cfg)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -266,7 +266,7 @@
 			return nil, fmt.Errorf("admin: %w", err)
 		}
 	}
-	if cfg.PeerListen != "" && cfg.PeersAll != "" && s.Config.MaxPeerFacts > 0 {
+	if cfg.PeerListen != "" && cfg.PeersAll != "" && s.Config.MaxPeerReports > 0 {
 		peers, err := net.ListenPeers(p.loop, p.front, cfg.PeerListen, cfg.Peers, cfg.PeersAll)
 		if errors.Is(err, net.ErrPeers) {
 			return nil, err
--- a/internal/state/peers.go
+++ b/internal/state/peers.go
@@ -11,8 +11,8 @@
 // Peers sets what carries messages to the other proxies; without, what there is to tell is dropped.
 func (f *Front) Peers(t Teller) { f.teller = t }
 
-// Push implements logic.Actions.
-func (f *Front) Push(facts []peers.Report) {
+// SendToPeers implements logic.Actions.
+func (f *Front) SendToPeers(facts []peers.Report) {
 	if f.teller == nil {
 		return
 	}
@@ -30,6 +30,6 @@
 		return err
 	}
 	f.Counters.PeersHeard++
-	f.tell(func() { f.router.PeerFacts(f.clock.Now(), f.facts) })
+	f.tell(func() { f.router.PeerReports(f.clock.Now(), f.facts) })
 	return nil
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -61,7 +61,7 @@
 func (b *bench) ConnectionEvidence(_ time.Duration, _ logic.MemberID, what handover.Testimony, opened time.Duration) {
 	b.note("%s %v", [...]string{"answered", "ended", "mute"}[what], opened-clockBase)
 }
-func (b *bench) PeerFacts(_ time.Duration, facts []peers.Report) {
+func (b *bench) PeerReports(_ time.Duration, facts []peers.Report) {
 	b.facts = append([]peers.Report(nil), facts...)
 }
 func (b *bench) Watch(bool)   {}
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -129,7 +129,7 @@
 	}
 	cfg.ListMaxDelay = listBound(pull, micros(s.AskWithin), micros(s.Drain))
 	if l.Peers {
-		cfg.MaxPeerFacts = peers.MaxFacts
+		cfg.MaxPeerReports = peers.MaxFacts
 	}
 	for i, c := range j.Classes {
 		class, err := parseClass(c, d.Freshness[i])
--- a/internal/wire/sim/frames.go
+++ b/internal/wire/sim/frames.go
@@ -432,8 +432,8 @@
 	}
 }
 
-// Push implements logic.Actions.
-func (e *Encoder) Push(facts []peers.Report) {
+// SendToPeers implements logic.Actions.
+func (e *Encoder) SendToPeers(facts []peers.Report) {
 	if e.message = wirepeers.Append(e.message[:0], e.Now, e.Now, facts); len(e.message) > 0 {
 		e.Share(everyone, string(e.message))
 	}
--- a/logic/api.go
+++ b/logic/api.go
@@ -135,7 +135,7 @@
 	MaxConnections   int // to members, that this proxy may have open at once; 0 = unlimited
 	EnableCancel     bool
 	ParallelAttempts bool // two attempts of one request may be in flight at once
-	MaxPeerFacts     int  // number of facts in a message to all peers; 0 = proxies exchange no facts
+	MaxPeerReports   int  // number of reports in a message to all peers; 0 = proxies exchange no reports
 	EnableRetryAfter bool // refusals carry a retry-after hint
 	MaxAttempts      int
 	MaxRetryAfter    time.Duration // longest hint that clients respect
@@ -282,8 +282,8 @@
 	Timer(now time.Duration, id TimerID)
 	// ConnectionEvidence reports what became of a connection that was opened before the member fell silent.
 	ConnectionEvidence(now time.Duration, id MemberID, evidence handover.Testimony, connOpenedAt time.Duration)
-	PeerFacts(now time.Duration, facts []peers.Report) // facts received from a peer, only valid during the call
-	Abandoned(now time.Duration, id RequestID)         // the client has left; it needs no answer
+	PeerReports(now time.Duration, reports []peers.Report) // reports received from a peer, only valid during the call
+	Abandoned(now time.Duration, id RequestID)             // the client has left; it needs no answer
 }
 
 // Actions are the calls that a router makes to its proxy while it handles an event.
@@ -294,8 +294,8 @@
 	Fail(id RequestID)                             // final answer: the request may have been executed
 	Cancel(id RequestID, attempt int)
 	SetTimer(id TimerID, at time.Duration)
-	WatchList(on bool)   // request changes of the list from now on
-	FetchList()          // request the whole list once
-	Push([]peers.Report) // send facts to all peers in one message; the slice is only valid during the call
+	WatchList(on bool)          // request changes of the list from now on
+	FetchList()                 // request the whole list once
+	SendToPeers([]peers.Report) // send reports to all peers in one message; the slice is only valid during the call
 	Log(text string)
 }
--- a/logic/front_test.go
+++ b/logic/front_test.go
@@ -47,27 +47,27 @@
 	f.hints[id] = comeBack
 }
 func (f *testProxy) Fail(id RequestID) { f.recordFinal(id, "failed") }
-func (f *testProxy) recordFinal(id RequestID, how string) {
-	if was := f.finals[id]; was != "" {
-		f.t.Errorf("request %d: %s after %s", id, how, was)
+func (f *testProxy) recordFinal(id RequestID, answer string) {
+	if previous := f.finals[id]; previous != "" {
+		f.t.Errorf("request %d: %s after %s", id, answer, previous)
 	}
-	f.finals[id] = how
+	f.finals[id] = answer
 }
 func (f *testProxy) Cancel(RequestID, int)                { f.cancels++ }
 func (f *testProxy) SetTimer(_ TimerID, at time.Duration) { f.timers = append(f.timers, at) }
 func (f *testProxy) WatchList(bool)                       { f.watches++ }
 func (f *testProxy) FetchList()                           {}
-func (f *testProxy) Push([]peers.Report)                  {}
+func (f *testProxy) SendToPeers([]peers.Report)           {}
 func (f *testProxy) Log(string)                           {}
 
 // The classes of the tests' configuration.
 const (
-	clsBounded = iota
-	clsSession
-	clsAny
-	clsGuarded
-	clsUnsafe
-	clsFresh
+	classBounded = iota
+	classSession
+	classAny
+	classGuarded
+	classUnsafe
+	classFresh
 )
 
 func testConfig() Config {
@@ -107,35 +107,35 @@
 func readyMember(id int) Member { return Member{ID: MemberID(id), Group: 0, State: Ready} }
 
 func (f *testProxy) listMembers(kind ListKind, n int) {
-	var l MemberList
-	l.Kind = kind
+	var list MemberList
+	list.Kind = kind
 	for i := 1; i <= n; i++ {
-		l.Entries = append(l.Entries, readyMember(i))
+		list.Entries = append(list.Entries, readyMember(i))
 	}
-	f.router.Members(f.now, l)
+	f.router.Members(f.now, list)
 }
 
 // pass lets time go by; pings are answered, by 1 as the primary and by the others as replicas 10 ms behind.
-func (f *testProxy) advance(d time.Duration, mute ...MemberID) {
+func (f *testProxy) advance(d time.Duration, silent ...MemberID) {
 	for end := f.now + d; f.now < end; {
 		f.now += 10 * ms
 		f.router.Timer(f.now, tickTimer)
-		f.answerPings(mute...)
+		f.answerPings(silent...)
 	}
 }
 
-func (f *testProxy) answerPings(mute ...MemberID) {
-	ask := f.probes
+func (f *testProxy) answerPings(silent ...MemberID) {
+	probed := f.probes
 	f.probes = nil
-	for _, m := range ask {
-		if slices.Contains(mute, m) {
+	for _, m := range probed {
+		if slices.Contains(silent, m) {
 			continue
 		}
-		rep := Report{Role: RoleReplica, Position: f.now - 10*ms}
+		report := Report{Role: RoleReplica, Position: f.now - 10*ms}
 		if m == 1 {
-			rep = Report{Role: RolePrimary, Position: f.now}
+			report = Report{Role: RolePrimary, Position: f.now}
 		}
-		f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: rep})
+		f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: report})
 	}
 }
 
@@ -174,15 +174,15 @@
 }
 
 // end reports the end of an attempt, with the role and position that the member would tell.
-func (f *testProxy) finishAttempt(s sentAttempt, res Result) {
-	o := Outcome{Request: s.id, Attempt: s.index, Member: s.to, Result: res, Elapsed: f.now - s.at, Finished: res == OK}
-	if res == OK || res == Misdirected || res == Failed || res == Rejected {
+func (f *testProxy) finishAttempt(s sentAttempt, result Result) {
+	o := Outcome{Request: s.id, Attempt: s.index, Member: s.to, Result: result, Elapsed: f.now - s.at, Finished: result == OK}
+	if result == OK || result == Misdirected || result == Failed || result == Rejected {
 		o.Role, o.Position = RoleReplica, f.now-10*ms
 		if s.to == 1 {
 			o.Role, o.Position = RolePrimary, f.now
 		}
 	}
-	if res == OK {
+	if result == OK {
 		f.finals[s.id] = "served"
 	}
 	f.router.Outcome(f.now, o)
@@ -196,10 +196,10 @@
 	return s
 }
 
-func (f *testProxy) wantFinal(id RequestID, how string) {
+func (f *testProxy) wantFinal(id RequestID, answer string) {
 	f.t.Helper()
-	if got := f.finals[id]; got != how {
-		f.t.Errorf("request %d: final answer %q, want %q", id, got, how)
+	if got := f.finals[id]; got != answer {
+		f.t.Errorf("request %d: final answer %q, want %q", id, got, answer)
 	}
 }
 
@@ -229,7 +229,7 @@
 func (printingActions) SetTimer(TimerID, time.Duration) {}
 func (printingActions) WatchList(bool)                  {}
 func (printingActions) FetchList()                      {}
-func (printingActions) Push([]peers.Report)             {}
+func (printingActions) SendToPeers([]peers.Report)      {}
 func (printingActions) Log(string)                      {}
 
 var _ Events = (*Router)(nil)
--- a/logic/health_test.go
+++ b/logic/health_test.go
@@ -17,7 +17,7 @@
 	return f
 }
 
-func TestOnlyAQuorumsDeathEjects(t *testing.T) {
+func TestOnlyAQuorumEjects(t *testing.T) {
 	f := newSharingProxy(t)
 	f.router.ApplyVerdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Serving, Votes: 1, Quorum: 2})
 	f.router.ApplyVerdict(f.now, 3, healthcheck.Verdict{State: healthcheck.Suspect, Votes: 2, Quorum: 2})
@@ -35,7 +35,7 @@
 }
 
 // A verdict is no answer: whoever was ejected is used once it has answered this proxy itself, and is asked when it is to be used.
-func TestTheEndOfAnEjectionIsCheckedFirst(t *testing.T) {
+func TestMemberIsCheckedAfterAnEjectionEnds(t *testing.T) {
 	f := newSharingProxy(t)
 	f.router.ApplyVerdict(f.now, 2, healthcheck.Verdict{State: healthcheck.Ejected})
 	f.advance(6 * time.Second)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestPositionsAreBelievedAsHeard(t *testing.T) {
+func TestPositionsInVerdicts(t *testing.T) {
 	f := newSharingProxy(t)
 	m := f.router.members[3]
 	heard := f.now - 30*ms
@@ -73,7 +73,7 @@
 }
 
 // What others say of a start can make a member cold here, and never warm.
-func TestHearsayNeverLoosensAColdBudget(t *testing.T) {
+func TestVerdictNeverRaisesAColdBudget(t *testing.T) {
 	f := newSharingProxy(t)
 	m := f.router.members[2]
 	f.router.updateMember(f.now, Member{ID: 2, Group: m.Group, State: Ready, Size: 1, StartedAt: f.now - time.Second})
@@ -128,7 +128,7 @@
 // Each bounded read of a thin group went to the primary once checks were shared, and crowded its writes out.
 func TestBoundedReadsStayOnReplicasWhereChecksAreShared(t *testing.T) {
 	f := newThinSharingProxy(t, LagCheckWait)
-	s := f.mustSend(f.request(clsBounded, 1))
+	s := f.mustSend(f.request(classBounded, 1))
 	if s.to == 1 || len(f.probes) > 0 {
 		t.Errorf("sent to %d with %d checks, though the replicas' lag was small when last told", s.to, len(f.probes))
 	}
@@ -137,14 +137,14 @@
 		f.router.members[id].lag = 900 * ms
 	}
 	f.now += time.Second
-	if s := f.mustSend(f.request(clsBounded, 2)); s.to != 1 {
+	if s := f.mustSend(f.request(classBounded, 2)); s.to != 1 {
 		t.Errorf("sent to %d, which was behind when it was last heard of", s.to)
 	}
 }
 
-func TestAReplicaThatTurnsABoundedReadAwayGetsNoOther(t *testing.T) {
+func TestReplicaThatRejectsABoundedReadGetsNoOther(t *testing.T) {
 	f := newThinSharingProxy(t, LagCheckRefuse)
-	id := f.request(clsBounded, 0)
+	id := f.request(classBounded, 0)
 	first := f.mustSend(id)
 	f.finishAttempt(first, Misdirected)
 	f.router.members[first.to].position = 0 // the answer told none
@@ -152,7 +152,7 @@
 	for range 20 {
 		f.now += time.Second // behind which no position is recent
 		f.router.checkBudget.tokens = 0
-		id := f.request(clsBounded, 0)
+		id := f.request(classBounded, 0)
 		if s := f.mustSend(id); s.to == first.to {
 			t.Fatalf("sent to %d, which has turned one away and told no position since", s.to)
 		}
@@ -160,15 +160,15 @@
 	}
 	f.router.members[first.to].probing = true
 	f.router.Probed(f.now, ProbeEnd{Member: first.to, Result: OK, Elapsed: ms, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
-	if q := (&request{class: &f.router.cfg.Classes[clsBounded]}); !q.mayQualify(f.router.members[first.to]) {
+	if q := (&request{class: &f.router.cfg.Classes[classBounded]}); !q.mayQualify(f.router.members[first.to]) {
 		t.Error("it has told a recent position")
 	}
 }
 
 // Where members answer from whatever they have, the position filter alone keeps a read from data that is too old.
-func TestNoBoundedReadOnTrustWhereMembersDontCheck(t *testing.T) {
+func TestBoundedReadNeedsAPositionWithoutLagCheck(t *testing.T) {
 	f := newThinSharingProxy(t, LagCheckNone)
-	if s := f.mustSend(f.request(clsBounded, 1)); s.to != 1 {
+	if s := f.mustSend(f.request(classBounded, 1)); s.to != 1 {
 		t.Errorf("sent to %d, whose position is %v old", s.to, f.now-f.router.members[s.to].position)
 	}
 }
--- a/logic/hold_test.go
+++ b/logic/hold_test.go
@@ -12,7 +12,7 @@
 func holdConfig() Config {
 	cfg := testConfig()
 	cfg.ParallelAttempts, cfg.Handover = false, handover.Config{Hold: true}
-	w := &cfg.Classes[clsGuarded]
+	w := &cfg.Classes[classGuarded]
 	w.Aim, w.Limit, w.DedupWindow, w.Late = 600*ms, 3*time.Second, 3*time.Second, 0.3
 	return cfg
 }
@@ -23,21 +23,21 @@
 }
 
 // passAs lets time go by with another primary, or none; members in mute say nothing.
-func (f *testProxy) advanceWithPrimary(primary MemberID, d time.Duration, mute ...MemberID) {
+func (f *testProxy) advanceWithPrimary(primary MemberID, d time.Duration, silent ...MemberID) {
 	for end := f.now + d; f.now < end; {
 		f.now += 10 * ms
 		f.router.Timer(f.now, tickTimer)
-		ask := f.probes
+		probed := f.probes
 		f.probes = nil
-		for _, m := range ask {
-			if slices.Contains(mute, m) {
+		for _, m := range probed {
+			if slices.Contains(silent, m) {
 				continue
 			}
-			rep := Report{Role: RoleReplica, Position: f.now - 10*ms}
+			report := Report{Role: RoleReplica, Position: f.now - 10*ms}
 			if m == primary {
-				rep = Report{Role: RolePrimary, Position: f.now}
+				report = Report{Role: RolePrimary, Position: f.now}
 			}
-			f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: rep})
+			f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: report})
 		}
 	}
 }
@@ -45,7 +45,7 @@
 func TestAWriteIsHeldThroughADrain(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
-	id := f.request(clsGuarded, 1)
+	id := f.request(classGuarded, 1)
 	f.advanceWithPrimary(0, 500*ms)
 	if f.sendCount(id) > 0 || f.finals[id] != "" {
 		t.Fatalf("%d sends, %q", f.sendCount(id), f.finals[id])
@@ -68,21 +68,21 @@
 	cfg.Handover.Hold = false
 	f := newReadyProxy(t, cfg, 3)
 	f.drain(1)
-	f.wantFinal(f.request(clsGuarded, 1), "refused")
+	f.wantFinal(f.request(classGuarded, 1), "refused")
 }
 
 // A death takes longer than a write's client waits: it hears so at once, and when to come back.
-func TestADeathRefusesAtOnceUntilItsEndIsNear(t *testing.T) {
+func TestPrimaryFailureRefusesWritesUntilElectionIsDue(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
-	f.request(clsGuarded, 1) // it makes the member owe something
+	f.request(classGuarded, 1) // it makes the member owe something
 	f.advanceWithPrimary(0, 600*ms, 1)
-	id := f.request(clsGuarded, 2)
+	id := f.request(classGuarded, 2)
 	f.wantFinal(id, "refused")
 	if f.hints[id] < 200*ms {
 		t.Errorf("come back after %v", f.hints[id])
 	}
 	f.advanceWithPrimary(0, 4500*ms, 1)
-	late := f.request(clsGuarded, 3)
+	late := f.request(classGuarded, 3)
 	if f.finals[late] != "" {
 		t.Fatalf("%q though the election is due", f.finals[late])
 	}
@@ -93,10 +93,10 @@
 }
 
 // What is held and can't be served in time any more is answered at once, before its client gives up.
-func TestAHeldWriteHasItsAnswerInTime(t *testing.T) {
+func TestHeldWriteIsAnsweredBeforeItsDeadline(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
-	id, at := f.request(clsGuarded, 1), f.now
+	id, at := f.request(classGuarded, 1), f.now
 	f.advanceWithPrimary(0, 4*time.Second)
 	f.wantFinal(id, "refused")
 	if f.sendCount(id) > 0 || f.router.groups[0].handover.Holds() > 0 {
@@ -105,10 +105,10 @@
 	_ = at
 }
 
-func TestAClientThatLeavesWhileHeld(t *testing.T) {
+func TestAbandonedHeldRequest(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
-	id := f.request(clsGuarded, 1)
+	id := f.request(classGuarded, 1)
 	f.advanceWithPrimary(0, 200*ms)
 	f.router.Abandoned(f.now, id)
 	f.advanceWithPrimary(2, 500*ms)
@@ -118,10 +118,10 @@
 }
 
 // A list that drops the whole group: what is held for it has its answer at once, also where the group comes back.
-func TestAGroupThatTheListDropsAnswersWhatItHolds(t *testing.T) {
+func TestDroppedGroupAnswersHeldRequests(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
-	id := f.request(clsGuarded, 1)
+	id := f.request(classGuarded, 1)
 	f.advanceWithPrimary(0, 50*ms)
 	f.router.Members(f.now, MemberList{Kind: ListFull})
 	f.listMembers(ListFull, 3)
@@ -132,10 +132,10 @@
 }
 
 // The price of a group's work: nothing while its members are at ease, what its requests earn once they are full.
-func TestTheGroupsPrice(t *testing.T) {
+func TestWorkPrice(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	for range 400 {
-		f.serve(f.request(clsAny, 0), ms)
+		f.serve(f.request(classAny, 0), ms)
 		f.now += 5 * ms
 	}
 	g := f.router.groups[0]
@@ -153,11 +153,11 @@
 // Those refused in a death are told different times, none beyond what clients heed: they must not return in one moment.
 func TestTheRefusedDoNotReturnTogether(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
-	f.request(clsGuarded, 1)
+	f.request(classGuarded, 1)
 	f.advanceWithPrimary(0, 600*ms, 1)
 	seen := map[time.Duration]int{}
 	for i := range 60 {
-		id := f.request(clsGuarded, SessionID(i+2))
+		id := f.request(classGuarded, SessionID(i+2))
 		f.wantFinal(id, "refused")
 		if f.hints[id] > f.router.cfg.MaxRetryAfter || f.hints[id] < 100*ms {
 			t.Fatalf("come back after %v", f.hints[id])
@@ -172,10 +172,10 @@
 }
 
 // Switched off in the middle of a switch, what is held has its answer at once.
-func TestSwitchingTheHoldOff(t *testing.T) {
+func TestDisablingHoldAnswersHeldRequests(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
-	id := f.request(clsGuarded, 1)
+	id := f.request(classGuarded, 1)
 	f.advanceWithPrimary(0, 100*ms)
 	f.router.SetHandoverConfig(handover.Config{})
 	f.advanceWithPrimary(0, 10*ms)
@@ -187,10 +187,10 @@
 
 // A request may wait for pings and for a primary at once, where traffic is thin. Once it is sent, however it came to that, it
 // waits for neither: a place in the room that stayed taken was a request's that no longer was.
-func TestWhatWaitsForBothWaitsForNeitherOnceSent(t *testing.T) {
+func TestRequestAwaitingPingAndPrimaryIsReleasedOnce(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
-	id := f.request(clsGuarded, 1)
+	id := f.request(classGuarded, 1)
 	f.advanceWithPrimary(0, 200*ms)
 	if f.router.groups[0].handover.Holds() != 1 {
 		t.Fatal("it doesn't wait for a primary")
@@ -207,12 +207,12 @@
 }
 
 // A hundred held at once leave as the new primary's limit allows, and none of them is forgotten.
-func TestHeldWritesLeaveAtAPace(t *testing.T) {
+func TestHeldWritesAreReleasedGradually(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
 	var ids []RequestID
 	for i := range 100 {
-		ids = append(ids, f.request(clsGuarded, SessionID(i+1)))
+		ids = append(ids, f.request(classGuarded, SessionID(i+1)))
 	}
 	f.advanceWithPrimary(0, 400*ms)
 	if n := f.router.groups[0].handover.Holds(); n != 100 {
@@ -247,19 +247,19 @@
 
 // A write that a primary took before it fell silent may have run. It goes to the new one with its key while that drops a
 // repeat, and fails, never 'refused', once that is no longer sure.
-func TestAWriteThatMayHaveRunFollowsItsGroup(t *testing.T) {
-	for _, c := range []struct {
+func TestPossiblyExecutedWriteIsRetriedWithinDedupWindow(t *testing.T) {
+	for _, test := range []struct {
 		back  time.Duration
 		sends int
 	}{{1500 * ms, 2}, {2900 * ms, 1}} {
 		cfg := holdConfig()
-		cfg.Classes[clsGuarded].Limit = 6 * time.Second // its client outlasts the window
+		cfg.Classes[classGuarded].Limit = 6 * time.Second // its client outlasts the window
 		f := newReadyProxy(t, cfg, 3)
-		id := f.request(clsGuarded, 1)
+		id := f.request(classGuarded, 1)
 		if f.mustSend(id).to != 1 {
 			t.Fatal("not sent to the primary")
 		}
-		f.advanceWithPrimary(0, c.back, 1)
+		f.advanceWithPrimary(0, test.back, 1)
 		f.advanceWithPrimary(2, 200*ms, 1)
 		if f.cancels > 0 {
 			s, _ := f.lastSend(id)
@@ -268,11 +268,11 @@
 			}
 		}
 		f.advanceWithPrimary(2, 200*ms, 1)
-		if f.sendCount(id) != c.sends {
-			t.Errorf("back after %v: %d sends, %d called off, want %d sends", c.back, f.sendCount(id), f.cancels, c.sends)
+		if f.sendCount(id) != test.sends {
+			t.Errorf("back after %v: %d sends, %d called off, want %d sends", test.back, f.sendCount(id), f.cancels, test.sends)
 			continue
 		}
-		if c.sends == 2 {
+		if test.sends == 2 {
 			if s := f.serve(id, 80*ms); s.to != 2 {
 				t.Errorf("the repeat went to %d", s.to)
 			}
@@ -287,20 +287,20 @@
 func TestALateResendByAMillisecond(t *testing.T) {
 	for _, after := range []time.Duration{-ms, 0, ms} {
 		cfg := holdConfig()
-		cfg.Classes[clsGuarded].Limit = 6 * time.Second
+		cfg.Classes[classGuarded].Limit = 6 * time.Second
 		f := newReadyProxy(t, cfg, 3)
-		id := f.request(clsGuarded, 1)
+		id := f.request(classGuarded, 1)
 		s := f.mustSend(id)
 		q := f.router.requests[id]
 		a := q.attempts[0]
 		a.mayHaveRun = true // its end will be a failure
 		until := f.router.retryDeadline(q, a)
-		if until >= s.at+3*time.Second-f.router.slowTime[clsGuarded]+ms {
+		if until >= s.at+3*time.Second-f.router.slowTime[classGuarded]+ms {
 			t.Fatalf("%v after the first attempt a repeat is still let out", until-s.at)
 		}
 		a.mayHaveRun = false
-		f.advanceWithPrimary(1, until-f.router.serviceTime[clsGuarded]-f.now-20*ms)
-		f.now = until - f.router.serviceTime[clsGuarded] + after
+		f.advanceWithPrimary(1, until-f.router.serviceTime[classGuarded]-f.now-20*ms)
+		f.now = until - f.router.serviceTime[classGuarded] + after
 		f.finishAttempt(s, Failed)
 		if want := 1; after < 0 {
 			want = 2
@@ -314,14 +314,14 @@
 }
 
 // Two requests with the same key, the first held: a client's own retry. Both have their answers, each goes out once.
-func TestAClientsOwnRetryWhileTheFirstIsHeld(t *testing.T) {
+func TestClientRetryWhileTheFirstTryIsHeld(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
-	first := f.request(clsGuarded, 7)
+	first := f.request(classGuarded, 7)
 	f.advanceWithPrimary(0, 300*ms)
 	f.nextID++
 	again := f.nextID
-	f.router.Request(f.now, Request{ID: again, Class: clsGuarded, Session: 7, Deadline: f.now + 2*time.Second, Retry: true})
+	f.router.Request(f.now, Request{ID: again, Class: classGuarded, Session: 7, Deadline: f.now + 2*time.Second, Retry: true})
 	f.advanceWithPrimary(2, 300*ms)
 	for _, id := range []RequestID{first, again} {
 		if f.sendCount(id) != 1 {
@@ -337,9 +337,9 @@
 		cfg := holdConfig()
 		cfg.Proxies = fronts
 		f := newReadyProxy(t, cfg, 3)
-		f.request(clsBounded, 0)
+		f.request(classBounded, 0)
 		f.drain(1)
-		f.request(clsGuarded, 1)
+		f.request(classGuarded, 1)
 		n := 0
 		for range 100 {
 			f.now += 10 * ms
@@ -361,7 +361,7 @@
 	for _, kept := range []bool{false, true} {
 		f := newReadyProxy(t, holdConfig(), 4)
 		before := f.now
-		f.request(clsBounded, 0)
+		f.request(classBounded, 0)
 		f.advanceWithPrimary(1, 3*time.Second, 3)
 		f.router.Probed(f.now, ProbeEnd{Member: 3, Result: TimedOut})
 		f.advanceWithPrimary(1, 2*time.Second)
@@ -383,7 +383,7 @@
 
 // A refused dial is evidence: such a member counts as started anew even where the list names no start for long, and what goes
 // there stays within what it bears if it has.
-func TestARefusedDialOutweighsAListThatStandsStill(t *testing.T) {
+func TestRefusedDialOutweighsAnUnchangedList(t *testing.T) {
 	for _, refused := range []bool{false, true} {
 		f := newReadyProxy(t, holdConfig(), 4)
 		f.advanceWithPrimary(1, 3*time.Second, 3)
--- a/logic/housekeeping.go
+++ b/logic/housekeeping.go
@@ -62,7 +62,7 @@
 	}
 	r.lastTickAt = now
 	r.retryAwaitingPing(now)
-	r.sendPeerFacts(now)
+	r.sendPeerReports(now)
 }
 
 // stalled reports whether this proxy was not running for a while until now. Silences and answer times measured
--- a/logic/large_fleet_test.go
+++ b/logic/large_fleet_test.go
@@ -12,7 +12,7 @@
 func newLargeProxy(t *testing.T, groups int) *testProxy {
 	t.Helper()
 	cfg := testConfig()
-	cfg.Proxies, cfg.MaxPeerFacts, cfg.MaxConnections = 400, 17, 122
+	cfg.Proxies, cfg.MaxPeerReports, cfg.MaxConnections = 400, 17, 122
 	f := newTestProxy(t, cfg)
 	l := MemberList{Kind: ListCached}
 	for id := range 4 * groups {
@@ -33,16 +33,16 @@
 }
 
 func (f *testProxy) answerLargePings() int {
-	ask := f.probes
+	probed := f.probes
 	f.probes = nil
-	for _, m := range ask {
+	for _, m := range probed {
 		report := Report{Role: RoleReplica, Position: f.now - 10*ms}
 		if (m-1)%4 == 0 {
 			report = Report{Role: RolePrimary, Position: f.now}
 		}
 		f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: report})
 	}
-	return len(ask)
+	return len(probed)
 }
 
 // Guards against incident 38: a check that was never sent, for want of a connection, made its member silent, told all peers so, and had
@@ -70,7 +70,7 @@
 		t.Errorf("%d checks without a request", n)
 	}
 	f.nextID++
-	f.router.Request(f.now, Request{ID: f.nextID, Class: clsUnsafe, Group: 7, Deadline: f.now + time.Second})
+	f.router.Request(f.now, Request{ID: f.nextID, Class: classUnsafe, Group: 7, Deadline: f.now + time.Second})
 	n := f.answerLargePings() + f.advanceLarge(100*ms)
 	if n == 0 || n > 4 {
 		t.Errorf("%d checks for the first request to a group of four", n)
@@ -89,7 +89,7 @@
 		before := f.router.memberChecks
 		for range 50 {
 			f.nextID++
-			f.router.Request(f.now, Request{ID: f.nextID, Class: clsAny, Group: GroupID(int(f.nextID) % 50), Deadline: f.now + 8*time.Second})
+			f.router.Request(f.now, Request{ID: f.nextID, Class: classAny, Group: GroupID(int(f.nextID) % 50), Deadline: f.now + 8*time.Second})
 			f.answerLargePings()
 			f.advanceLarge(20 * ms)
 		}
@@ -107,12 +107,12 @@
 	f := newLargeProxy(t, 800)
 	f.advanceLarge(time.Second)
 	f.nextID++
-	f.router.Request(f.now, Request{ID: f.nextID, Class: clsUnsafe, Group: 7, Deadline: f.now + time.Second})
+	f.router.Request(f.now, Request{ID: f.nextID, Class: classUnsafe, Group: 7, Deadline: f.now + time.Second})
 	f.answerLargePings()
 	f.advanceLarge(3 * time.Second)
 	for id := range MemberID(1000) {
-		fact := peers.Report{Database: peers.ShortID(uint64(id + 1)), Status: peers.Silent, At: f.now}
-		f.router.PeerFacts(f.now, []peers.Report{fact})
+		report := peers.Report{Database: peers.ShortID(uint64(id + 1)), Status: peers.Silent, At: f.now}
+		f.router.PeerReports(f.now, []peers.Report{report})
 	}
 	for _, m := range f.probes {
 		if f.router.members[m].Group != 7 {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -8,8 +8,8 @@
 	"havenproxy/internal/handover"
 )
 
-func TestNewNamesTheBadField(t *testing.T) {
-	for want, spoil := range map[string]func(*Config){
+func TestNewReportsTheInvalidField(t *testing.T) {
+	for want, corrupt := range map[string]func(*Config){
 		"Config.Classes is empty": func(c *Config) { c.Classes = nil },
 		"Config.Tick":             func(c *Config) { c.Tick = 0 },
 		"Config.ColdShare":        func(c *Config) { c.ColdShare = 2 },
@@ -19,7 +19,7 @@
 		"unknown Read or Effect":  func(c *Config) { c.Classes[2].Read = 99 },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
+		corrupt(&cfg)
 		if _, err := New(cfg, printingActions{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("New: %v, want an error with %q", err, want)
 		}
@@ -29,12 +29,12 @@
 func TestModesByClass(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	for i := 0; i < 40; i++ {
-		for _, c := range []int{clsBounded, clsSession, clsAny} {
+		for _, c := range []int{classBounded, classSession, classAny} {
 			if s := f.serve(f.request(c, 0), ms); s.to == 1 {
 				t.Fatalf("class %d went to the primary though replicas qualify", c)
 			}
 		}
-		for _, c := range []int{clsGuarded, clsUnsafe, clsFresh} {
+		for _, c := range []int{classGuarded, classUnsafe, classFresh} {
 			if s := f.serve(f.request(c, 0), ms); s.to != 1 {
 				t.Fatalf("class %d went to member %d, not the primary", c, s.to)
 			}
@@ -57,7 +57,7 @@
 	}
 	seen := map[MemberID]int{}
 	for i := 0; i < 60; i++ {
-		seen[f.serve(f.request(clsSession, 0), 0).to]++
+		seen[f.serve(f.request(classSession, 0), 0).to]++
 	}
 	if seen[4] != 0 || seen[2] < 15 || seen[3] < 15 {
 		t.Errorf("sends by member %v: want 2 and 3 alike, 4 outside the window", seen)
@@ -66,9 +66,9 @@
 
 func TestPinsHoldUntilThePrimaryChanges(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 6)
-	first := f.serve(f.request(clsSession, 5), 10*ms).to
+	first := f.serve(f.request(classSession, 5), 10*ms).to
 	for i := 0; i < 20; i++ {
-		if s := f.serve(f.request(clsSession, 5), 10*ms); s.to != first {
+		if s := f.serve(f.request(classSession, 5), 10*ms); s.to != first {
 			t.Fatalf("read %d went to %d, pinned to %d", i, s.to, first)
 		}
 	}
@@ -81,7 +81,7 @@
 	f.router.observe(f.router.members[other], RolePrimary, f.now, f.now, f.now)
 	moved := false
 	for i := SessionID(0); i < 12; i++ {
-		moved = moved || f.serve(f.request(clsSession, 5), ms).to != first
+		moved = moved || f.serve(f.request(classSession, 5), ms).to != first
 		f.router.groups[0].handover.Says(f.now, f.router.members[first].handover, handover.Replica, f.now)
 		f.router.groups[0].handover.Says(f.now, f.router.members[other].handover, handover.Primary, f.now)
 	}
@@ -92,21 +92,21 @@
 
 func TestSessionReadNeedsItsWrites(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
-	w := f.mustSend(f.request(clsGuarded, 9))
+	w := f.mustSend(f.request(classGuarded, 9))
 	f.now += 20 * ms
 	f.router.Outcome(f.now, Outcome{Request: w.id, Member: 1, Result: OK, Finished: true, Role: RolePrimary, Position: f.now})
-	if s := f.mustSend(f.request(clsSession, 9)); s.to != 1 {
+	if s := f.mustSend(f.request(classSession, 9)); s.to != 1 {
 		t.Errorf("the read went to replica %d, which is not known to hold the write", s.to)
 	}
 	f.advance(300 * ms)
-	f.request(clsBounded, 0) // bounded reads make pings frequent
+	f.request(classBounded, 0) // bounded reads make pings frequent
 	f.advance(1200 * ms)
-	if s := f.mustSend(f.request(clsSession, 9)); s.to == 1 {
+	if s := f.mustSend(f.request(classSession, 9)); s.to == 1 {
 		t.Error("the read still goes to the primary though replicas tell later positions")
 	}
 }
 
-func TestForgottenCommitsBecomeAFloor(t *testing.T) {
+func TestEvictedCommitsBoundUnknownSessions(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 2)
 	for i := 0; i <= maxSessionEntries; i++ {
 		f.router.sessionCommits.add(SessionID(i+1), f.now+time.Duration(i))
@@ -119,13 +119,13 @@
 	}
 }
 
-func TestCarriedToken(t *testing.T) {
+func TestSessionTokenInRequest(t *testing.T) {
 	cfg := testConfig()
 	cfg.SessionTokens = true
 	f := newReadyProxy(t, cfg, 3)
 	send := func(age time.Duration) MemberID {
 		f.nextID++
-		f.router.Request(f.now, Request{ID: f.nextID, Class: clsSession, Session: 4, TokenAge: age, Deadline: f.now + time.Second})
+		f.router.Request(f.now, Request{ID: f.nextID, Class: classSession, Session: 4, TokenAge: age, Deadline: f.now + time.Second})
 		return f.mustSend(f.nextID).to
 	}
 	if to := send(5 * ms); to != 1 {
@@ -136,23 +136,23 @@
 	}
 }
 
-func TestNoKnownPrimaryRefusesUnsent(t *testing.T) {
+func TestWriteWithoutPrimaryIsRefusedUnsent(t *testing.T) {
 	f := newTestProxy(t, testConfig())
 	f.listMembers(ListCached, 3)
 	f.advance(20*ms, 1)
 	f.now += 400 * ms
 	f.router.Timer(f.now, tickTimer)
-	id := f.request(clsUnsafe, 3)
+	id := f.request(classUnsafe, 3)
 	f.wantFinal(id, "refused")
 	if f.sendCount(id) != 0 || f.hints[id] == 0 {
 		t.Errorf("%d sends and hint %v, want none and a hint", f.sendCount(id), f.hints[id])
 	}
 }
 
-func TestFreshRouterHoldsUntilPingsAnswer(t *testing.T) {
+func TestNewRouterHoldsRequestsUntilFirstPings(t *testing.T) {
 	f := newTestProxy(t, testConfig())
 	f.listMembers(ListCached, 3)
-	w, rd := f.request(clsUnsafe, 1), f.request(clsBounded, 0)
+	w, rd := f.request(classUnsafe, 1), f.request(classBounded, 0)
 	if len(f.sends) != 0 || len(f.finals) != 0 {
 		t.Fatalf("sends %v, finals %v before any ping was answered", f.sends, f.finals)
 	}
@@ -163,31 +163,31 @@
 	f.mustSend(rd)
 }
 
-func TestMissOnAWriteDemotesAtOnce(t *testing.T) {
+func TestMisdirectedWriteDemotesThePrimary(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
-	s := f.mustSend(f.request(clsUnsafe, 1))
+	s := f.mustSend(f.request(classUnsafe, 1))
 	f.now += 2 * ms
 	f.router.Outcome(f.now, Outcome{Request: s.id, Member: s.to, Result: Misdirected, Role: RoleReplica, Position: f.now - 10*ms})
 	f.wantFinal(s.id, "refused")
-	id := f.request(clsUnsafe, 1)
+	id := f.request(classUnsafe, 1)
 	f.wantFinal(id, "refused")
 	if f.sendCount(id) != 0 {
 		t.Error("a write was sent to a member that had just turned one away as a replica")
 	}
 }
 
-func TestEffectsFollowFromWhatIsProven(t *testing.T) {
+func TestFinalAnswerDependsOnPossibleExecution(t *testing.T) {
 	for _, c := range []struct {
 		class int
 		res   Result
 		sends int
 		final string
 	}{
-		{clsUnsafe, TimedOut, 1, "failed"},
-		{clsUnsafe, Failed, 1, "failed"},
-		{clsUnsafe, Rejected, 3, "refused"},
-		{clsGuarded, Failed, 8, "failed"},
-		{clsBounded, Failed, 3, "refused"},
+		{classUnsafe, TimedOut, 1, "failed"},
+		{classUnsafe, Failed, 1, "failed"},
+		{classUnsafe, Rejected, 3, "refused"},
+		{classGuarded, Failed, 8, "failed"},
+		{classBounded, Failed, 3, "refused"},
 	} {
 		f := newReadyProxy(t, testConfig(), 4)
 		id := f.request(c.class, 1)
@@ -202,9 +202,9 @@
 	}
 }
 
-func TestGuardedRepeatKeepsTheWindow(t *testing.T) {
+func TestGuardedRetryRespectsDedupWindow(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
-	id := f.request(clsGuarded, 1)
+	id := f.request(classGuarded, 1)
 	f.advance(1195 * ms)
 	f.finishAttempt(f.mustSend(id), Failed)
 	if f.sendCount(id) != 1 {
@@ -214,11 +214,11 @@
 }
 
 // Silence: a member that owes answers and lets a ping pass is left, and its repeatable reads move.
-func TestSilentMemberIsLeft(t *testing.T) {
+func TestSilentMemberLosesItsReads(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	var stuck []RequestID
 	for i := 0; i < 30; i++ {
-		id := f.request(clsBounded, 0)
+		id := f.request(classBounded, 0)
 		if f.mustSend(id).to == 2 {
 			stuck = append(stuck, id)
 		} else {
@@ -235,7 +235,7 @@
 		}
 	}
 	for i := 0; i < 30; i++ {
-		if s := f.serve(f.request(clsAny, 0), 0); s.to == 2 {
+		if s := f.serve(f.request(classAny, 0), 0); s.to == 2 {
 			t.Fatal("a read went to the silent member")
 		}
 	}
@@ -244,7 +244,7 @@
 func TestSilentPrimaryRefusesWrites(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
 	f.advance(1500*ms, 1)
-	id := f.request(clsUnsafe, 1)
+	id := f.request(classUnsafe, 1)
 	f.wantFinal(id, "refused")
 	if f.sendCount(id) != 0 {
 		t.Error("a write was sent to a silent primary")
@@ -252,11 +252,11 @@
 }
 
 // Fast failure: a member that fails quickly is benched, and gets one trial at a time.
-func TestFastFailuresAreBenched(t *testing.T) {
+func TestFailingMemberGetsFewRequests(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	hits := 0
 	for i := 0; i < 200; i++ {
-		id := f.request(clsAny, 0)
+		id := f.request(classAny, 0)
 		for f.finals[id] == "" {
 			if s := f.mustSend(id); s.to == 3 {
 				hits++
@@ -279,30 +279,30 @@
 		s   sentAttempt
 		due time.Duration
 	}
-	var air []flight
+	var inFlight []flight
 	got := map[MemberID]int{}
 	for i := 0; i < 1500; i++ {
-		id := f.request(clsBounded, 0)
+		id := f.request(classBounded, 0)
 		if s, ok := f.lastSend(id); ok {
 			took := 60 * ms
 			if s.to == 3 {
 				took = 600 * ms
 			}
-			air = append(air, flight{s, f.now + took})
+			inFlight = append(inFlight, flight{s, f.now + took})
 			if i > 500 {
 				got[s.to]++
 			}
 		}
 		f.advance(10 * ms)
-		var left []flight
-		for _, a := range air {
+		var remaining []flight
+		for _, a := range inFlight {
 			if a.due <= f.now {
 				f.finishAttempt(a.s, OK)
 			} else {
-				left = append(left, a)
+				remaining = append(remaining, a)
 			}
 		}
-		air = left
+		inFlight = remaining
 	}
 	if got[3]*4 > got[2] || got[3] == 0 {
 		t.Errorf("sends by member %v: want member 3 at under a quarter of 2's, but not starved", got)
@@ -310,23 +310,23 @@
 }
 
 // Long reads that stall applying go where bounded reads can't, from a router's first on.
-func TestLongReadsGoToTheOneBehind(t *testing.T) {
+func TestLongReadsGoToTheReplicaFurthestBehind(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 5)
 	for i := 0; i < 300; i++ { // long reads are a small part of the work
-		f.serve(f.request(clsSession, 0), 100*ms)
+		f.serve(f.request(classSession, 0), 100*ms)
 	}
-	first := f.mustSend(f.request(clsAny, 0)).to
-	if again := f.mustSend(f.request(clsAny, 0)).to; again != first {
+	first := f.mustSend(f.request(classAny, 0)).to
+	if again := f.mustSend(f.request(classAny, 0)).to; again != first {
 		t.Errorf("the first long reads went to %d and %d: two replicas stall", first, again)
 	}
 	f.router.members[4].position = f.now - 3*time.Second
 	for i := 0; i < 2; i++ {
-		if s := f.mustSend(f.request(clsAny, 0)); s.to != 4 {
+		if s := f.mustSend(f.request(classAny, 0)); s.to != 4 {
 			t.Errorf("a long read went to %d, not to the straggler", s.to)
 		}
 	}
 	f.router.members[4].Most = 0 // crowded: its peers stay in the filter all the same
-	id := f.request(clsAny, 0)
+	id := f.request(classAny, 0)
 	f.wantFinal(id, "refused")
 }
 
@@ -337,7 +337,7 @@
 		e.State = st
 		f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
 		for j := 0; j < 20; j++ {
-			if s := f.serve(f.request(clsBounded, 0), 0); int(s.to) == 2+i {
+			if s := f.serve(f.request(classBounded, 0), 0); int(s.to) == 2+i {
 				t.Fatalf("a read went to a member in state %d", st)
 			}
 		}
@@ -345,10 +345,10 @@
 }
 
 // A member back from its start gets little at first, and no more than its peers' mean times its warmth.
-func TestColdMemberIsEased(t *testing.T) {
+func TestColdMemberGetsReducedTraffic(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 5)
 	for i := 0; i < 100; i++ {
-		f.serve(f.request(clsBounded, 0), 10*ms)
+		f.serve(f.request(classBounded, 0), 10*ms)
 		f.advance(10 * ms)
 	}
 	e := readyMember(3)
@@ -356,7 +356,7 @@
 	f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
 	got := map[MemberID]int{}
 	for i := 0; i < 300; i++ {
-		got[f.serve(f.request(clsBounded, 0), 5*ms).to]++
+		got[f.serve(f.request(classBounded, 0), 5*ms).to]++
 		f.advance(10 * ms)
 	}
 	if got[3]*2 > got[2] || got[3] == 0 {
@@ -364,7 +364,7 @@
 	}
 }
 
-func TestOddButLegal(t *testing.T) {
+func TestUnexpectedEvents(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListOnRequest = true
 	f := newTestProxy(t, cfg)
@@ -377,12 +377,12 @@
 	f.listMembers(ListFull, 3)
 	f.advance(400 * ms)
 	f.nextID++
-	f.router.Request(f.now, Request{ID: f.nextID, Class: clsAny, Group: 8, Deadline: f.now + time.Second})
+	f.router.Request(f.now, Request{ID: f.nextID, Class: classAny, Group: 8, Deadline: f.now + time.Second})
 	f.wantFinal(f.nextID, "refused") // a group with no members
 	f.nextID++
 	f.router.Request(f.now, Request{ID: f.nextID, Class: 1000, Deadline: f.now + time.Second})
 	f.wantFinal(f.nextID, "failed")
-	s := f.mustSend(f.request(clsBounded, 0))
+	s := f.mustSend(f.request(classBounded, 0))
 	f.router.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{readyMember(1)}}) // its member is gone
 	f.finishAttempt(s, OK)
 	f.finishAttempt(s, OK)
@@ -410,19 +410,19 @@
 }
 
 // Stuck: a member that answers pings but no requests gets no more than a trial, and its reads move.
-func TestStuckMemberIsLeftThoughItsPingsPass(t *testing.T) {
+func TestUnresponsiveMemberThatAnswersPings(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
 	var writes []RequestID
 	for i := 0; i < 3; i++ {
-		writes = append(writes, f.request(clsUnsafe, 1))
+		writes = append(writes, f.request(classUnsafe, 1))
 		f.mustSend(writes[i])
 	}
 	f.advance(400 * ms)
-	if id := f.request(clsUnsafe, 1); f.sendCount(id) != 1 {
+	if id := f.request(classUnsafe, 1); f.sendCount(id) != 1 {
 		t.Fatal("refused before the aim had passed")
 	}
 	f.advance(700 * ms)
-	id := f.request(clsUnsafe, 1)
+	id := f.request(classUnsafe, 1)
 	f.wantFinal(id, "refused")
 	if f.sendCount(id) != 0 {
 		t.Error("a write was sent to a primary that has answered none for longer than its aim")
@@ -431,7 +431,7 @@
 		f.finishAttempt(f.mustSend(w), OK)
 	}
 	f.advance(2 * time.Second)
-	if id := f.request(clsUnsafe, 1); f.sendCount(id) != 1 {
+	if id := f.request(classUnsafe, 1); f.sendCount(id) != 1 {
 		t.Error("still refused after the primary answered")
 	}
 }
@@ -439,7 +439,7 @@
 // Overload: where a limit is reached, the class that earns less for its work is shed first; below it none is.
 func TestLeastMeritIsShedFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[clsBounded].Worth = 0.1 // the same work as a session read's, a tenth of the worth
+	cfg.Classes[classBounded].Worth = 0.1 // the same work as a session read's, a tenth of the worth
 	f := newReadyProxy(t, cfg, 4)
 	for _, m := range f.router.memberOrder {
 		m.Most = 10
@@ -452,24 +452,24 @@
 		}
 		return refused
 	}
-	if n := shed(clsBounded, 6); n != 0 {
+	if n := shed(classBounded, 6); n != 0 {
 		t.Errorf("%d of 6 refused though members have room", n)
 	}
-	if n := shed(clsBounded, 40); n < 20 {
+	if n := shed(classBounded, 40); n < 20 {
 		t.Errorf("%d of 40 cheap reads refused, want most", n)
 	}
-	if n := shed(clsSession, 10); n != 0 {
+	if n := shed(classSession, 10); n != 0 {
 		t.Errorf("%d of 10 dear reads refused while room was kept for them", n)
 	}
 }
 
 // Clients that leave early: quick answers alone would show a crowded member as fine.
-func TestClientsLeavingCutTheLimit(t *testing.T) {
+func TestAbandonedRequestsReduceTheLimit(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 2)
 	m := f.router.members[2]
 	before := m.Most
 	for i := 0; i < 40; i++ {
-		id := f.request(clsBounded, 0)
+		id := f.request(classBounded, 0)
 		if f.sendCount(id) == 0 {
 			continue
 		}
@@ -497,7 +497,7 @@
 	ask := func(tenant, n int) {
 		for i := 0; i < n; i++ {
 			f.nextID++
-			f.router.Request(f.now, Request{ID: f.nextID, Class: clsSession, Tenant: tenant, Deadline: f.now + time.Second})
+			f.router.Request(f.now, Request{ID: f.nextID, Class: classSession, Tenant: tenant, Deadline: f.now + time.Second})
 			if f.finals[f.nextID] == "refused" {
 				refused[tenant]++
 			}
@@ -517,7 +517,7 @@
 func TestFailuresEverywhereBenchNobody(t *testing.T) {
 	f, benched := newReadyProxy(t, testConfig(), 6), 0
 	for i := 0; i < 600; i++ {
-		id := f.request(clsSession, 0)
+		id := f.request(classSession, 0)
 		for n := 0; f.finals[id] == ""; n++ {
 			res := OK
 			if (i+n)%5 < 2 && n == 0 { // two fifths of the first attempts are reset
@@ -538,17 +538,17 @@
 }
 
 // Long reads leave room at their straggler by their merit: filled to its limit, most would time out there.
-func TestLongReadsFillOnlyTheirPartOfAStraggler(t *testing.T) {
+func TestLongReadsFillOnlyTheirShareOfAReplica(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 5)
 	for i := 0; i < 300; i++ {
-		f.serve(f.request(clsSession, 0), 100*ms)
+		f.serve(f.request(classSession, 0), 100*ms)
 	}
 	for _, m := range f.router.memberOrder {
 		m.Most = 4
 	}
 	sent := 0
 	for i := 0; i < 5; i++ {
-		sent += f.sendCount(f.request(clsAny, 0))
+		sent += f.sendCount(f.request(classAny, 0))
 	}
 	if sent == 0 || sent >= 4 {
 		t.Errorf("%d long reads sent at a limit of 4, want some and room left", sent)
@@ -564,12 +564,12 @@
 	named.Primary = true
 	f.router.members[2].handover.Role, f.router.members[2].handover.At = handover.Unknown, 0
 	f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{named}})
-	if s := f.serve(f.request(clsFresh, 0), ms); s.to != 1 {
+	if s := f.serve(f.request(classFresh, 0), ms); s.to != 1 {
 		t.Fatalf("a late list outranked member 1's own word: sent to %d", s.to)
 	}
 	f.now += 5 * ms
 	f.router.observe(f.router.members[2], RolePrimary, f.now, f.now, f.now)
-	if s := f.mustSend(f.request(clsFresh, 0)); s.to != 2 {
+	if s := f.mustSend(f.request(classFresh, 0)); s.to != 2 {
 		t.Errorf("sent to %d, though member 2's word is the newest", s.to)
 	}
 }
@@ -581,7 +581,7 @@
 		cfg := testConfig()
 		cfg.ListOnRequest, cfg.ListFromAgent, cfg.EnableProbes = true, true, probes
 		f := newReadyProxy(t, cfg, 3) // by the configuration's list; all checks have been answered
-		early := f.request(clsAny, 0)
+		early := f.request(classAny, 0)
 		if _, sent := f.lastSend(early); sent {
 			t.Fatal("sent before the agent has been heard")
 		}
@@ -594,21 +594,21 @@
 }
 
 // An agent that fails, or says nothing, holds nobody up for long; and where lists are asked for there is nothing to wait for.
-func TestAFreshRouterWaitsNoLongerThanForChecks(t *testing.T) {
+func TestNewRouterStopsWaitingForTheList(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListOnRequest, cfg.ListFromAgent = true, true
 	failing := newReadyProxy(t, cfg, 3)
-	id := failing.request(clsAny, 0)
+	id := failing.request(classAny, 0)
 	failing.router.Members(failing.now, MemberList{Kind: ListFailed})
 	failing.advance(20 * ms)
 	failing.mustSend(id)
 
 	silent := newReadyProxy(t, cfg, 3)
-	id = silent.request(clsAny, 0)
+	id = silent.request(classAny, 0)
 	silent.advance(startupHold)
 	silent.mustSend(id)
 
 	cfg.ListFromAgent = false
-	asked := newReadyProxy(t, cfg, 3)
-	asked.mustSend(asked.request(clsAny, 0))
+	withoutAgent := newReadyProxy(t, cfg, 3)
+	withoutAgent.mustSend(withoutAgent.request(classAny, 0))
 }
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -10,30 +10,30 @@
 // Communication of a router with its peers. Package peers decides what is sent and what is believed.
 
 // fullRateProxies is the number of proxies up to which a position is sent to peers once per ping period. The cost
-// of a fact grows with the number of its receivers: with 300 proxies, a fact of 13 bytes with its share of the
+// of a report grows with the number of its receivers: with 300 proxies, a report of 13 bytes with its share of the
 // header costs as much as ten pings and saves eleven in the 75 ms until the next; with 80 it costs as much as
 // three. With more proxies, positions are sent less often, down to half as often: a position older than half of
 // the tightest bound serves few reads.
 const fullRateProxies = 150
 
-// newGossip returns the state of the exchange with peers. Proxies exchange facts if the configuration allows it
+// newGossip returns the state of the exchange with peers. Proxies exchange reports if the configuration allows it
 // and if periodic pings from all proxies would be too many. A position is sent once it is older than periodic
 // pings would let it become.
 func (r *Router) newGossip() *peers.Gossip {
-	cfg := peers.Config{Proxies: r.cfg.Proxies, MaxBatch: r.cfg.MaxPeerFacts, Phase: float64(splitmix64(r.cfg.Seed)>>11) / (1 << 53)}
+	cfg := peers.Config{Proxies: r.cfg.Proxies, MaxBatch: r.cfg.MaxPeerReports, Phase: float64(splitmix64(r.cfg.Seed)>>11) / (1 << 53)}
 	if r.pingSchedule.Many() {
 		cfg.Interval = time.Duration(min(max(float64(r.cfg.Proxies)/fullRateProxies, 1), 2) * float64(r.pingSchedule.Shortest()))
 	}
 	return peers.New(cfg)
 }
 
-// PeerFacts handles facts from a peer. They are evidence of roles and positions, but not a sign of life to this
+// PeerReports handles reports from a peer. They are evidence of roles and positions, but not a sign of life to this
 // proxy.
-func (r *Router) PeerFacts(now time.Duration, facts []peers.Report) {
+func (r *Router) PeerReports(now time.Duration, reports []peers.Report) {
 	r.ensureStarted(now)
-	for _, f := range facts {
-		if id, f, ok := r.gossip.Accept(now, f); ok {
-			r.applyPeerFact(now, r.members[MemberID(id)], f)
+	for _, report := range reports {
+		if id, report, ok := r.gossip.Accept(now, report); ok {
+			r.applyPeerReport(now, r.members[MemberID(id)], report)
 		}
 	}
 	if len(r.awaitingPing) > 0 {
@@ -41,27 +41,27 @@
 	}
 }
 
-// applyPeerFact applies one fact. Reported silence is a reason to ping and a reported failure counts like one of
+// applyPeerReport applies one report. Reported silence is a reason to ping and a reported failure counts like one of
 // this proxy's own; neither excludes the member by itself.
-func (r *Router) applyPeerFact(now time.Duration, m *member, f peers.Report) {
-	if f.Status != peers.Healthy { // a role from before, dated with the time of the failure, would outlast a change of primary
-		f.Role = peers.Unknown
+func (r *Router) applyPeerReport(now time.Duration, m *member, report peers.Report) {
+	if report.Status != peers.Healthy { // a role from before, dated with the time of the failure, would outlast a change of primary
+		report.Role = peers.Unknown
 	}
-	r.applyObservation(m, Role(f.Role), f.Position, f.At, now)
+	r.applyObservation(m, Role(report.Role), report.Position, report.At, now)
 	switch {
-	case f.Status == peers.Silent:
+	case report.Status == peers.Silent:
 		inUse := !r.pingSchedule.OnNeed() || m.group.inRounds
-		if inUse && m.aliveAt < f.At && !m.handover.Silent && now-m.probedAt >= peerSilenceInterval {
+		if inUse && m.aliveAt < report.At && !m.handover.Silent && now-m.probedAt >= peerSilenceInterval {
 			r.probe(now, m)
 		}
 		return
-	case f.Status == peers.Failing:
+	case report.Status == peers.Failing:
 		r.failures.Note(now, &m.outlier, 1)
 		r.failures.Spread(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
 	default:
 		r.failures.Note(now, &m.outlier, 0)
 	}
-	m.peerAliveAt = max(m.peerAliveAt, f.At)
+	m.peerAliveAt = max(m.peerAliveAt, report.At)
 }
 
 // recordFailure counts a quick failure that this proxy has seen, and reports it to peers.
@@ -73,7 +73,7 @@
 	}
 }
 
-// firstPingTime returns when a newly listed member is to be pinged first: at once, or, if peers exchange facts, at
+// firstPingTime returns when a newly listed member is to be pinged first: at once, or, if peers exchange reports, at
 // a random time within the startup hold, since the results of the first pings save the other proxies theirs.
 func (r *Router) firstPingTime(now time.Duration) time.Duration {
 	if !r.gossip.Enabled() {
@@ -97,9 +97,9 @@
 // peer that is cut off reports so of all members.
 const peerSilenceInterval = 2 * time.Second
 
-// sendPeerFacts sends the facts that are due to the peers.
-func (r *Router) sendPeerFacts(now time.Duration) {
-	if facts := r.gossip.NextMessage(now); len(facts) > 0 {
-		r.actions.Push(facts)
+// sendPeerReports sends the reports that are due to the peers.
+func (r *Router) sendPeerReports(now time.Duration) {
+	if reports := r.gossip.NextMessage(now); len(reports) > 0 {
+		r.actions.SendToPeers(reports)
 	}
 }
--- a/logic/plan_test.go
+++ b/logic/plan_test.go
@@ -8,8 +8,8 @@
 
 // asked lets many callers ask once each and tells which the plan turns away. What becomes of the others is the rest of
 // the router's business.
-func requestOnce(f *testProxy, callers int, class int) (shed []bool) {
-	for i := range callers {
+func requestOnce(f *testProxy, clients int, class int) (shed []bool) {
+	for i := range clients {
 		f.nextID++
 		q := Request{ID: f.nextID, Class: class, ClientKey: uint64(i + 1), Deadline: f.now + 8*time.Second}
 		shed = append(shed, !f.router.admits(f.now, &q, f.router.groups[0]))
@@ -32,16 +32,16 @@
 	for i := range p {
 		p[i] = Admission{Share: 1}
 	}
-	p[clsAny] = Admission{Share: share, RetryAfter: 400 * ms}
+	p[classAny] = Admission{Share: share, RetryAfter: 400 * ms}
 	f.router.SetAdmission(0, p)
 }
 
-func TestAPlanAdmitsItsShareAndTheStricterShedsTheSameAndMore(t *testing.T) {
+func TestStricterPlanShedsASupersetOfClients(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	setPlan(f, 0.6)
-	mild := requestOnce(f, 2000, clsAny)
+	mild := requestOnce(f, 2000, classAny)
 	setPlan(f, 0.2)
-	strict := requestOnce(f, 2000, clsAny)
+	strict := requestOnce(f, 2000, classAny)
 	if a, b := admittedShare(mild), admittedShare(strict); math.Abs(a-0.6) > 0.04 || math.Abs(b-0.2) > 0.04 {
 		t.Errorf("admitted %.3f and %.3f", a, b)
 	}
@@ -50,24 +50,24 @@
 			t.Fatalf("caller %d is shed by the milder plan and not by the stricter", i)
 		}
 	}
-	if admittedShare(requestOnce(f, 100, clsBounded)) != 1 {
+	if admittedShare(requestOnce(f, 100, classBounded)) != 1 {
 		t.Error("a class that the plan admits whole is shed")
 	}
 	f.router.SetAdmission(0, nil)
-	if admittedShare(requestOnce(f, 100, clsAny)) != 1 {
+	if admittedShare(requestOnce(f, 100, classAny)) != 1 {
 		t.Error("without a plan something is shed")
 	}
 }
 
 // Tries of one caller don't average the shed away; with time the draw turns, so that nobody is cut off for good.
-func TestTheDrawHoldsForRetriesAndTurnsWithTime(t *testing.T) {
+func TestAdmissionDecisionIsStableThenRedrawn(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	setPlan(f, 0.5)
-	first := requestOnce(f, 400, clsAny)
+	first := requestOnce(f, 400, classAny)
 	same, turned := 0, 0
 	for range 5 {
 		f.advance(20 * ms)
-		for i, x := range requestOnce(f, 400, clsAny) {
+		for i, x := range requestOnce(f, 400, classAny) {
 			if x == first[i] {
 				same++
 			}
@@ -80,7 +80,7 @@
 	for range 12 {
 		f.now += redrawInterval
 		f.advance(10 * ms)
-		for i, x := range requestOnce(f, 400, clsAny) {
+		for i, x := range requestOnce(f, 400, classAny) {
 			ever[i] = ever[i] || !x
 		}
 	}
@@ -95,13 +95,13 @@
 }
 
 // One that sends most of the traffic is shed by parts of its requests, for it can't be had in part otherwise.
-func TestAHeavyCallerIsShedByParts(t *testing.T) {
+func TestHeavyClientIsAdmittedInPart(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	setPlan(f, 0.5)
 	admitted, n := 0, 0
 	for range 1200 {
 		f.advance(10 * ms)
-		if f.router.admits(f.now, &Request{Class: clsAny, ClientKey: 42}, f.router.groups[0]) {
+		if f.router.admits(f.now, &Request{Class: classAny, ClientKey: 42}, f.router.groups[0]) {
 			admitted++
 		}
 		n++
@@ -114,26 +114,26 @@
 func TestRetriesBehindARefusalAreNoNewDemand(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	setPlan(f, 0)
-	var facts GroupStats
-	f.router.GroupStats(f.now, 0, &facts)
+	var stats GroupStats
+	f.router.GroupStats(f.now, 0, &stats)
 	for range 5 {
-		requestOnce(f, 200, clsAny)
+		requestOnce(f, 200, classAny)
 		f.now += 50 * ms
 	}
-	f.router.GroupStats(f.now, 0, &facts)
+	f.router.GroupStats(f.now, 0, &stats)
 	// The table of refusals is small: some are pushed out by others and count again.
-	if c := facts.Classes[clsAny]; c.Offered+c.Retries != 1000 || c.Offered > 650 || c.Shed > c.Offered {
+	if c := stats.Classes[classAny]; c.Offered+c.Retries != 1000 || c.Offered > 650 || c.Shed > c.Offered {
 		t.Errorf("%+v", c)
 	}
 }
 
 // A shed request is told when to come back, within what clients heed, and not all at one moment.
-func TestTheHintOfAShedRequestIsSpread(t *testing.T) {
+func TestRetryAfterOfShedRequestsIsSpread(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	setPlan(f, 0)
 	for i := range 100 {
 		f.nextID++
-		f.router.Request(f.now, Request{ID: f.nextID, Class: clsAny, ClientKey: uint64(i + 1), Deadline: f.now + 8*time.Second})
+		f.router.Request(f.now, Request{ID: f.nextID, Class: classAny, ClientKey: uint64(i + 1), Deadline: f.now + 8*time.Second})
 	}
 	seen := map[time.Duration]bool{}
 	for id, how := range f.finals {
@@ -148,14 +148,14 @@
 	}
 }
 
-func TestAPlanMayForbidRepeats(t *testing.T) {
+func TestPlanForbidsRetries(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	p := make([]Admission, len(f.router.cfg.Classes))
 	for i := range p {
 		p[i] = Admission{Share: 1, NoRetries: true}
 	}
 	f.router.SetAdmission(0, p)
-	id := f.request(clsAny, 0)
+	id := f.request(classAny, 0)
 	f.finishAttempt(f.mustSend(id), Rejected)
 	f.wantFinal(id, "refused")
 	if f.sendCount(id) != 1 {
@@ -170,9 +170,9 @@
 	}
 	g := r.listedGroup(0)
 	g.admission = make([]Admission, len(r.cfg.Classes))
-	g.admission[clsAny] = Admission{Share: 0.5}
+	g.admission[classAny] = Admission{Share: 0.5}
 	b.ReportAllocs()
-	q := Request{Class: clsAny}
+	q := Request{Class: classAny}
 	for i := 0; b.Loop(); i++ {
 		q.ID, q.ClientKey = RequestID(i), uint64(i%1000)
 		r.admits(time.Duration(i)*time.Microsecond, &q, g)
--- a/logic/refusal_test.go
+++ b/logic/refusal_test.go
@@ -65,17 +65,17 @@
 
 // pings answers them, or lets them go by.
 func (s *thinProxy) answerPings() {
-	ask := s.probes
+	probed := s.probes
 	s.probes = nil
-	for _, m := range ask {
-		p := ProbeEnd{Member: m, Elapsed: ms, ConnOpenedAt: s.connOpenedAt, Report: Report{Role: RoleReplica, Position: s.now - 10*ms, Queue: s.queue}}
+	for _, m := range probed {
+		end := ProbeEnd{Member: m, Elapsed: ms, ConnOpenedAt: s.connOpenedAt, Report: Report{Role: RoleReplica, Position: s.now - 10*ms, Queue: s.queue}}
 		if m == 1 {
-			p.Report.Role, p.Report.Position = RolePrimary, s.now
+			end.Report.Role, end.Report.Position = RolePrimary, s.now
 		}
 		if s.pingsLost {
-			p = ProbeEnd{Member: m, Result: TimedOut}
+			end = ProbeEnd{Member: m, Result: TimedOut}
 		}
-		s.router.Probed(s.now, p)
+		s.router.Probed(s.now, end)
 	}
 }
 
@@ -139,11 +139,11 @@
 		"all members have just started":         func(s *thinProxy) { s.restart(1, 2, 3, 4, 5, 6) },
 		"peers told of failures everywhere": func(s *thinProxy) {
 			for range 10 {
-				var facts []peers.Report
+				var reports []peers.Report
 				for id := range MemberID(members) {
-					facts = append(facts, peers.Report{Database: peers.ShortID(uint64(id + 1)), At: s.now, Status: peers.Failing})
+					reports = append(reports, peers.Report{Database: peers.ShortID(uint64(id + 1)), At: s.now, Status: peers.Failing})
 				}
-				s.router.PeerFacts(s.now, facts)
+				s.router.PeerReports(s.now, reports)
 				s.run(100 * ms)
 			}
 		},
@@ -153,7 +153,7 @@
 			const seeds = 100
 			for seed := range uint64(seeds) {
 				cfg := manyProxies()
-				cfg.Proxies, cfg.Seed, cfg.MaxPeerFacts = proxies, seed, 8
+				cfg.Proxies, cfg.Seed, cfg.MaxPeerReports = proxies, seed, 8
 				s := &thinProxy{testProxy: newTestProxy(t, cfg), result: OK, took: 10 * ms}
 				s.router.actions = s
 				s.connOpenedAt = s.now
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -64,9 +64,9 @@
 	due     time.Duration
 }
 
-func (w *simulation) fail(rule string) {
+func (w *simulation) fail(violation string) {
 	if w.violation == "" {
-		w.violation = rule
+		w.violation = violation
 	}
 }
 
@@ -166,7 +166,7 @@
 func (w *simulation) SetTimer(_ TimerID, at time.Duration) { w.timers = append(w.timers, at) }
 func (w *simulation) WatchList(bool)                       {}
 func (w *simulation) FetchList()                           {}
-func (w *simulation) Push([]peers.Report)                  {}
+func (w *simulation) SendToPeers([]peers.Report)           {}
 func (w *simulation) Log(string)                           {}
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
@@ -264,35 +264,35 @@
 }
 
 func (w *simulation) finishDue() {
-	var left []pendingAnswer
+	var remaining []pendingAnswer
 	due := w.pending
 	w.pending = nil
 	for _, f := range due {
 		if f.due > w.now {
-			left = append(left, f)
+			remaining = append(remaining, f)
 			continue
 		}
 		w.finishAttempt(f)
 	}
-	w.pending = append(w.pending, left...)
+	w.pending = append(w.pending, remaining...)
 }
 
 func (w *simulation) finishAttempt(f pendingAnswer) {
 	q, a := f.request, &f.request.attempts[f.attempt]
 	m := a.member
 	o := Outcome{Request: q.ID, Attempt: f.attempt, Member: m.id, Elapsed: w.now - a.sent}
-	switch k := w.rng.IntN(20); {
+	switch draw := w.rng.IntN(20); {
 	case w.now >= q.Deadline || m.silent:
 		o.Result = TimedOut
 	case q.class.Read == Write && m.role != RolePrimary:
 		o.Result = Misdirected
-	case k == 0:
+	case draw == 0:
 		o.Result = Failed
-	case k == 1:
+	case draw == 1:
 		o.Result = Rejected
-	case k == 2:
+	case draw == 2:
 		o.Result = ConnectFailed
-	case k == 3:
+	case draw == 3:
 		o.Result = Reset
 	default:
 		o.Result = OK
@@ -324,15 +324,15 @@
 			w.timers = w.timers[1:]
 			w.r.Timer(w.now, tickTimer)
 		}
-		ask := w.probes
+		probed := w.probes
 		w.probes = nil
-		for _, id := range ask {
+		for _, id := range probed {
 			m := w.memberByID(id)
-			p := ProbeEnd{Member: id, Elapsed: ms, Report: Report{Role: m.role, Position: m.position, Queue: w.reportedQueue()}}
+			end := ProbeEnd{Member: id, Elapsed: ms, Report: Report{Role: m.role, Position: m.position, Queue: w.reportedQueue()}}
 			if m.silent {
-				p = ProbeEnd{Member: id, Result: TimedOut, Elapsed: 250 * ms}
+				end = ProbeEnd{Member: id, Result: TimedOut, Elapsed: 250 * ms}
 			}
-			w.r.Probed(w.now, p)
+			w.r.Probed(w.now, end)
 		}
 		w.finishDue()
 		if w.rng.IntN(40) == 0 {
@@ -359,7 +359,7 @@
 	return w.violation
 }
 
-func TestRulesHoldOnRandomDays(t *testing.T) {
+func TestInvariantsInRandomSimulations(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		w := newSimulation(t, seed)
 		if broken := w.run(4000); broken != "" {
@@ -381,7 +381,7 @@
 }
 
 // The checker itself must see a broken rule.
-func TestCheckerSeesBrokenRules(t *testing.T) {
+func TestCheckerDetectsViolations(t *testing.T) {
 	for want, act := range map[string]func(w *simulation, q *simRequest){
 		"sent after the end": func(w *simulation, q *simRequest) { q.done = true; w.Send(q.ID, 1, 0) },
 		"drain":              func(w *simulation, q *simRequest) { w.members[1].state = Draining; w.Send(q.ID, 2, 0) },
@@ -428,7 +428,7 @@
 	for i := 0; b.Loop(); i++ {
 		now += ms
 		id := RequestID(i + 1)
-		r.Request(now, Request{ID: id, Class: clsAny, Session: SessionID(i), Deadline: now + time.Second})
+		r.Request(now, Request{ID: id, Class: classAny, Session: SessionID(i), Deadline: now + time.Second})
 		r.Outcome(now, Outcome{Request: id, Member: 1, Result: OK, Finished: true, Role: RoleReplica, Position: now})
 	}
 	if len(r.requests) > 0 || len(r.pins.entries) > maxSessionEntries {
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -14,7 +14,7 @@
 }
 
 // countProbes lets a second pass at a time and counts the pings, which are answered.
-func (f *testProxy) countProbes(d time.Duration, each func()) (n int) {
+func (f *testProxy) countProbes(d time.Duration, afterEach func()) (n int) {
 	for end := f.now + d; f.now < end; {
 		for i := 0; i < 50; i++ {
 			f.now += 10 * ms
@@ -22,7 +22,7 @@
 			n += len(f.probes)
 			f.answerPings()
 		}
-		each()
+		afterEach()
 		n += len(f.probes)
 		f.answerPings()
 	}
@@ -35,7 +35,7 @@
 	requests := 0
 	pings := f.countProbes(30*time.Second, func() {
 		requests++
-		if s := f.serve(f.requestAndAnswerPings(clsBounded), 5*ms); s.to == 1 {
+		if s := f.serve(f.requestAndAnswerPings(classBounded), 5*ms); s.to == 1 {
 			t.Error("a bounded read went to the primary though a ping would show a recent replica")
 		}
 	})
@@ -43,7 +43,7 @@
 		t.Errorf("%d pings for %d requests at one of many fronts", pings, requests)
 	}
 	few := newReadyProxy(t, testConfig(), 6)
-	pings = few.countProbes(30*time.Second, func() { few.serve(few.requestAndAnswerPings(clsBounded), 5*ms) })
+	pings = few.countProbes(30*time.Second, func() { few.serve(few.requestAndAnswerPings(classBounded), 5*ms) })
 	if want := 30 * 4 * 5; pings < want { // five replicas, each quarter of 800 ms or a little later
 		t.Errorf("%d pings at one of two fronts, want at least %d", pings, want)
 	}
@@ -57,10 +57,10 @@
 }
 
 // A read that waits for a ping must not wait for long where none of the asked members answers.
-func TestReadAskedForMovesOnWhenMembersAreSilent(t *testing.T) {
+func TestReadAwaitingPingMovesOn(t *testing.T) {
 	f := newReadyProxy(t, manyProxies(), 3)
 	f.advance(2 * time.Second)
-	id := f.request(clsBounded, 0)
+	id := f.request(classBounded, 0)
 	f.advance(100*ms, 2, 3)
 	if s := f.mustSend(id); s.to != 1 || s.at > f.now-20*ms {
 		t.Errorf("sent to %d at %v before now; want the primary within two short waits", s.to, f.now-s.at)
@@ -68,7 +68,7 @@
 }
 
 // On a quiet day limits shared by many fronts refused a part of all requests.
-func TestQuietDayRefusesNothing(t *testing.T) {
+func TestLowTrafficIsNotRefused(t *testing.T) {
 	for _, fronts := range []int{0, 1, 2, 40, 200, 100000} {
 		cfg := testConfig()
 		cfg.Proxies = fronts
@@ -97,20 +97,20 @@
 	for i := 0; i < fronts; i++ {
 		cfg.Seed = uint64(i)
 		f := newReadyProxy(t, cfg, members)
-		turns := func(n int) {
+		run := func(n int) {
 			for k := 0; k < n; k++ {
 				f.advance(10 * ms)
 				if (k+i)%(fronts*100/perSecond) == 0 {
-					if s, ok := f.lastSend(f.requestAndAnswerPings(clsSession)); ok {
+					if s, ok := f.lastSend(f.requestAndAnswerPings(classSession)); ok {
 						f.serve(s.id, 5*ms)
 					}
 				}
 			}
 		}
-		turns(1500)
+		run(1500)
 		f.sends = nil
 		f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: f.now}}})
-		turns(300)
+		run(300)
 		for _, s := range f.sends {
 			switch s.to {
 			case 2:
@@ -139,7 +139,7 @@
 		for _, l := range []MemberList{{Kind: ListFull}, {Entries: gone}} {
 			f.router.Members(f.now, l)
 			f.advance(500 * ms)
-			if id := f.request(clsAny, 0); (f.sendCount(id) == 1) != only {
+			if id := f.request(classAny, 0); (f.sendCount(id) == 1) != only {
 				t.Errorf("drain alone binds %v: %d sends after the list named nobody", only, f.sendCount(id))
 			}
 		}
@@ -150,14 +150,14 @@
 	f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Draining}}})
 	f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Gone}}})
 	for i := 0; i < 20; i++ {
-		if s, ok := f.lastSend(f.request(clsAny, 0)); ok && s.to == 2 {
+		if s, ok := f.lastSend(f.request(classAny, 0)); ok && s.to == 2 {
 			t.Fatal("sent to a member that had been listed as draining")
 		}
 	}
 }
 
 // Members that a non-binding list leaves out and that have been silent for long are forgotten.
-func TestSilentMembersLeftOutAreForgotten(t *testing.T) {
+func TestUnlistedSilentMembersAreRemoved(t *testing.T) {
 	cfg := testConfig()
 	cfg.IgnoreGone = true
 	f := newReadyProxy(t, cfg, 4)
@@ -177,16 +177,16 @@
 // A fifth of all answers got lost while pings passed: reads ended at their deadlines. On an ordinary day, with
 // slow answers now and then, there are no copies; nor where answers come late.
 func TestLostAnswersGetCopies(t *testing.T) {
-	copies := func(took func(i int) time.Duration) (n, refused int) {
+	copies := func(latency func(i int) time.Duration) (n, refused int) {
 		f := newReadyProxy(t, testConfig(), 5)
 		for i := 0; i < 600; i++ {
-			id := f.request(clsSession, 0)
+			id := f.request(classSession, 0)
 			s, ok := f.lastSend(id)
 			if !ok {
 				refused++
 				continue
 			}
-			if d := took(i); d > 0 {
+			if d := latency(i); d > 0 {
 				f.advance(d)
 				f.finishAttempt(f.mustSend(id), OK)
 			} else {
@@ -238,7 +238,7 @@
 	}
 	report(2, 5)
 	for i := 0; i < 30; i++ {
-		if s := f.serve(f.request(clsAny, 0), 0); s.to == 2 {
+		if s := f.serve(f.request(classAny, 0), 0); s.to == 2 {
 			t.Fatal("a read went to a member with requests waiting while another had none")
 		}
 	}
@@ -246,7 +246,7 @@
 	f.router.recordLatency(f.now, f.router.members[2], 500*ms, 0.1)
 	used := false
 	for i := 0; i < 30; i++ {
-		used = used || f.serve(f.request(clsAny, 0), 0).to == 2
+		used = used || f.serve(f.request(classAny, 0), 0).to == 2
 	}
 	if !used {
 		t.Error("a report still shuts a member that has answered in time since")
@@ -254,7 +254,7 @@
 	report(2, 5)
 	report(3, 5)
 	f.router.members[1].queueLength, f.router.members[1].queueReportedAt = 5, f.now
-	if id := f.request(clsAny, 0); f.sendCount(id) != 0 {
+	if id := f.request(classAny, 0); f.sendCount(id) != 0 {
 		t.Error("a read was sent though every member reports requests waiting")
 	}
 	f.now += 2 * time.Second
@@ -278,7 +278,7 @@
 		}
 	}
 	f.advance(20 * ms)
-	if id := f.request(clsUnsafe, 1); f.sendCount(id) != 1 {
+	if id := f.request(classUnsafe, 1); f.sendCount(id) != 1 {
 		t.Error("a write was not sent after standing still")
 	}
 }
@@ -286,7 +286,7 @@
 // A primary that was silent for a moment and returned unchanged voided all pins of its group.
 func TestPinsOutliveASilentPrimary(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 6)
-	pinned := f.serve(f.request(clsSession, 5), 10*ms).to
+	pinned := f.serve(f.request(classSession, 5), 10*ms).to
 	f.advance(1500*ms, 1)
 	if f.router.groups[0].primary != nil {
 		t.Fatal("the primary is not missed")
@@ -297,7 +297,7 @@
 		t.Fatal("the primary is not found again")
 	}
 	for i := 0; i < 10; i++ {
-		if to := f.serve(f.request(clsSession, 5), ms).to; to != pinned {
+		if to := f.serve(f.request(classSession, 5), ms).to; to != pinned {
 			t.Fatalf("the session moved from %d to %d", pinned, to)
 		}
 	}
@@ -308,7 +308,7 @@
 	f := newReadyProxy(t, testConfig(), 1) // the primary alone: no second member
 	before := f.router.retryTokens
 	for i := 0; i < 20; i++ {
-		f.finishAttempt(f.mustSend(f.request(clsAny, 0)), Reset)
+		f.finishAttempt(f.mustSend(f.request(classAny, 0)), Reset)
 		f.now += time.Second
 		f.advance(2 * time.Second)
 	}
@@ -323,7 +323,7 @@
 	f := newReadyProxy(t, testConfig(), 3)
 	short := func() RequestID {
 		f.nextID++
-		f.router.Request(f.now, Request{ID: f.nextID, Class: clsSession, Deadline: f.now + 30*ms})
+		f.router.Request(f.now, Request{ID: f.nextID, Class: classSession, Deadline: f.now + 30*ms})
 		return f.nextID
 	}
 	id := short() // the aim is 400 ms; nothing is known of the true time yet
@@ -345,7 +345,7 @@
 func TestStandingStillMovesNoLimit(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
 	before := f.router.members[1].Most
-	ids := []RequestID{f.request(clsUnsafe, 1), f.request(clsUnsafe, 2), f.request(clsUnsafe, 3)}
+	ids := []RequestID{f.request(classUnsafe, 1), f.request(classUnsafe, 2), f.request(classUnsafe, 3)}
 	f.now += 900 * ms
 	f.finishAttempt(f.mustSend(ids[0]), OK)
 	f.router.Timer(f.now, tickTimer)
@@ -369,7 +369,7 @@
 		for _, m := range f.router.memberOrder {
 			m.Most, m.Eased = 0.5, f.now
 		}
-		id := f.request(clsAny, 0)
+		id := f.request(classAny, 0)
 		if s, ok := f.lastSend(id); ok {
 			sent++
 			f.finishAttempt(s, OK)
@@ -390,19 +390,19 @@
 			cfg := testConfig()
 			cfg.Seed, cfg.Proxies = seed, 1
 			fronts := []*testProxy{newReadyProxy(t, cfg, 4)}
-			turns := func(n int) {
+			run := func(n int) {
 				for k := range n {
 					for i, f := range fronts {
 						f.advance(10 * ms)
 						if k%every == 0 && k/every%len(fronts) == i {
-							if s, ok := f.lastSend(f.requestAndAnswerPings(clsAny)); ok {
+							if s, ok := f.lastSend(f.requestAndAnswerPings(classAny)); ok {
 								f.finishAttempt(s, OK)
 							}
 						}
 					}
 				}
 			}
-			turns(1500)
+			run(1500)
 			old := fronts[0]
 			if two {
 				cfg.Seed += 1000
@@ -417,7 +417,7 @@
 				f.sends = nil
 				f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: old.now}}})
 			}
-			turns(300)
+			run(300)
 			for _, f := range fronts {
 				for _, s := range f.sends {
 					if s.to == 2 && two {
--- a/logic/state.go
+++ b/logic/state.go
@@ -49,7 +49,7 @@
 	listCalls     limit.Calls // calls for the member list
 	pingSchedule  ping.Schedule
 	coldPriority  limit.Priority // among classes, at cold members
-	gossip        *peers.Gossip  // exchange of facts with the other proxies
+	gossip        *peers.Gossip  // exchange of reports with the other proxies
 	refusalCounts [NumRefusalReasons]uint64
 	memberChecks  uint64      // number of time-driven checks of members
 	checkBudget   checkBudget // where the tier shares health checks
@@ -259,7 +259,7 @@
 	return r.sessionCommits.lastCommit(in.Session)
 }
 
-// sharingMembers returns the number of members that share a group's work. If proxies exchange facts, members that
+// sharingMembers returns the number of members that share a group's work. If proxies exchange reports, members that
 // are being replaced do not count: their replacements are listed at the same time, and each would get half of its
 // part.
 func (r *Router) sharingMembers(g *group) float64 {
--- a/logic/subset_test.go
+++ b/logic/subset_test.go
@@ -6,7 +6,7 @@
 func (f *testProxy) sessionReads(n int) map[MemberID]int {
 	to := map[MemberID]int{}
 	for range n {
-		to[f.serve(f.request(clsSession, 0), ms).to]++
+		to[f.serve(f.request(classSession, 0), ms).to]++
 	}
 	return to
 }
@@ -28,7 +28,7 @@
 }
 
 // The subset narrows the choice and takes no read's answer away.
-func TestReadsLeaveASubsetThatCantTakeThem(t *testing.T) {
+func TestReadsFallBackOutsideTheSubset(t *testing.T) {
 	f := newSharingProxy(t)
 	f.router.SetSubset([]MemberID{3})
 	f.router.members[3].pingTime = 100 * ms // beyond the ping window
@@ -43,7 +43,7 @@
 }
 
 // Where checks are not shared there is no subset, whatever was told before.
-func TestNoSubsetWhereNothingIsShared(t *testing.T) {
+func TestNoSubsetWithoutSharedChecks(t *testing.T) {
 	f := newSharingProxy(t)
 	f.router.SetSubset([]MemberID{3})
 	f.router.SetSharedChecks(f.now, 0)
