--- a/internal/state/peers.go
+++ b/internal/state/peers.go
@@ -30,6 +30,6 @@
 		return err
 	}
 	f.Counters.PeerMessagesReceived++
-	f.tell(func() { f.router.PeerFacts(f.clock.Now(), f.facts) })
+	f.tell(func() { f.router.PeerReports(f.clock.Now(), f.facts) })
 	return nil
 }
