--- a/internal/lab/virtual/tier_test.go
+++ b/internal/lab/virtual/tier_test.go
@@ -49,8 +49,8 @@
 	c := several(60)
 	c.Tier.Peers, c.Tier.Uneven = 31, 1
 	all := Play(c)
-	if all.Messages == 0 || all.Delivered != 59*all.Messages || all.Counters.PeerMessagesReceived != all.Delivered {
-		t.Errorf("%d told, %d came, %d heard", all.Messages, all.Delivered, all.Counters.PeerMessagesReceived)
+	if all.Messages == 0 || all.Delivered != 59*all.Messages || all.Counters.PeerReceived != all.Delivered {
+		t.Errorf("%d told, %d came, %d heard", all.Messages, all.Delivered, all.Counters.PeerReceived)
 	}
 	c.Tier.PeerLoss = 0.5
 	if r := Play(c); r.Delivered > 35*r.Messages || r.Delivered < 24*r.Messages {
--- a/internal/net/peers.go
+++ b/internal/net/peers.go
@@ -100,10 +100,10 @@
 		p.loop.Post(func() {
 			p.waiting.Add(-1)
 			if !known {
-				p.front.Counters.PeerMessagesInvalid++
+				p.front.Counters.PeerInvalid++
 				return
 			}
-			if err := p.front.ReceivePeerMessage(message); err != nil && p.front.Counters.PeerMessagesInvalid == 1 {
+			if err := p.front.ReceivePeerMessage(message); err != nil && p.front.Counters.PeerInvalid == 1 {
 				slog.Warn("a peer's message can't be read", "from", from.String(), "error", err)
 			}
 		})
--- /dev/null
+++ b/internal/state/assign.go
@@ -0,0 +1,72 @@
+package state
+
+import (
+	"slices"
+
+	"havenproxy/logic"
+)
+
+// Assignment of attempts to connections, up to the writing of the request. See connections.go for what follows.
+
+// assignConn assigns an idle or new connection to an attempt.
+func (e *Engine) assignConn(a *attempt) {
+	m := a.member
+	if c := e.takeIdleConn(m); c != nil {
+		e.writeAttempt(c, a)
+		return
+	}
+	c := e.openConn(m)
+	if c == nil {
+		e.assignOpeningConn(a)
+		return
+	}
+	c.attempt, a.conn = a, c
+	m.conns[c] = struct{}{}
+	m.openingConns = append(m.openingConns, c)
+}
+
+// assignOpeningConn assigns a connection that is being established to an attempt for which none may be opened, if no
+// other attempt waits for it any more because it was sent over another connection. Without one, the attempt ends:
+// nothing was sent, and the database is not at fault.
+func (e *Engine) assignOpeningConn(a *attempt) {
+	unclaimed := func(c *pooledConn) bool { return c.attempt == nil && c.address == a.member.address }
+	i := slices.IndexFunc(a.member.openingConns, unclaimed)
+	if i < 0 {
+		e.abort(a, Reply{Result: logic.Moot})
+		return
+	}
+	c := a.member.openingConns[i]
+	c.attempt, a.conn = a, c
+}
+
+// openConn opens a connection. At the limit it first evicts an idle one; nil means that this was not possible.
+func (e *Engine) openConn(m *member) *pooledConn {
+	if e.openConns+e.opener.AbandonedDials() >= e.cfg.MaxConnections && !e.evictConn() {
+		e.Counters.ConnectionsNotOpened++
+		return nil
+	}
+	e.openConns++
+	e.Counters.Opened++
+	c := &pooledConn{engine: e, member: m, address: m.address}
+	c.conn = e.opener.Open(m.address, m.group, c)
+	e.Deadlines.Set(&c.Deadline, e.clock.Now()+e.cfg.ConnectTimeout, c.Down)
+	return c
+}
+
+// writeAttempt writes an attempt's request to an established connection.
+func (e *Engine) writeAttempt(c *pooledConn, a *attempt) {
+	e.Deadlines.Clear(&c.Deadline)
+	if e.stale(a) || c.address != a.member.address {
+		c.attempt, a.conn = nil, nil
+		e.release(c)
+		e.finish(a, Reply{Result: logic.Moot})
+		return
+	}
+	c.state, c.attempt, a.conn = connBusy, a, c
+	if err := c.conn.Send(a.req.command, a.deadline-e.clock.Now()); err != nil {
+		e.abort(a, Reply{Result: logic.ConnectFailed})
+		return
+	}
+	a.written = true
+	e.Counters.Written++
+}
--- a/internal/state/audit_test.go
+++ b/internal/state/audit_test.go
@@ -21,41 +21,41 @@
 // thing that is done against what was then known. All that is drawn comes of the script, so that a failure is cut down to the shortest one.
 
 // auditSlack is how late an answer may come: the router looks at what is held so often, and the way home is kept back beside that.
-const auditSlack = 30 * time.Millisecond
-
-type audit struct {
-	t     *rapid.T
-	cfg   logic.Config
-	f     *Engine
-	now   time.Duration
-	draws []int
-	drawn int
-
-	reqs   []*audited
-	conns  []*auditConn
-	listed map[string]Entry // as the front was told last
-	drains map[string]bool  // listed as draining, and not as ready since
-	hosts  map[string]bool  // by address: it answers
-	later  Deadlines
-	wants  bool // a call to discovery is owed an answer
-	over   bool // no further faults
+const answerSlack = 30 * time.Millisecond
+
+type auditor struct {
+	t      *rapid.T
+	cfg    logic.Config
+	engine *Engine
+	now    time.Duration
+	draws  []int
+	drawn  int
+
+	requests     []*auditRequest
+	conns        []*auditConn
+	listed       map[string]Entry // as the front was told last
+	draining     map[string]bool  // listed as draining, and not as ready since
+	hostUp       map[string]bool  // by address: it answers
+	timers       Deadlines
+	fetchPending bool // a call to discovery is owed an answer
+	calm         bool // no further faults
 }
 
 // audited is a request, as its client sees it.
-type audited struct {
-	a       *audit
-	n       int
-	class   logic.Class
-	id      logic.RequestID
-	at      time.Duration
-	until   time.Duration // the client's
-	answers []string
-	left    bool
-	leftAt  time.Duration
-	tries   []*auditTry
+type auditRequest struct {
+	auditor     *auditor
+	number      int
+	class       logic.Class
+	id          logic.RequestID
+	at          time.Duration
+	deadline    time.Duration // the client's
+	answers     []string
+	abandoned   bool
+	abandonedAt time.Duration
+	attempts    []*auditAttempt
 }
 
-type auditTry struct {
+type auditAttempt struct {
 	at     time.Duration
 	zone   string
 	group  int
@@ -64,77 +64,77 @@
 }
 
 type auditConn struct {
-	a       *audit
-	address string
-	to      Listener
-	up      bool
-	closed  bool
-	loud    bool
-	busy    *auditTry
-	req     *audited
-	probing bool
-	usedAt  time.Duration
+	auditor  *auditor
+	address  string
+	listener Listener
+	up       bool
+	closed   bool
+	dirty    bool
+	attempt  *auditAttempt
+	request  *auditRequest
+	probing  bool
+	usedAt   time.Duration
 }
 
-type auditCommand struct{ q *audited }
+type auditCommand struct{ request *auditRequest }
 
 func (auditCommand) AppendTo(dst []byte, _ time.Duration) []byte { return dst }
 
-func (a *audit) Now() time.Duration  { return a.now }
-func (a *audit) Unix() time.Duration { return a.now + 1767225600*time.Second }
-func (a *audit) AbandonedDials() int { return 0 }
-func (a *audit) Watch(bool)          { a.wants = true }
-func (a *audit) Fetch()              { a.wants = true }
+func (a *auditor) Now() time.Duration  { return a.now }
+func (a *auditor) Unix() time.Duration { return a.now + 1767225600*time.Second }
+func (a *auditor) AbandonedDials() int { return 0 }
+func (a *auditor) Watch(bool)          { a.fetchPending = true }
+func (a *auditor) Fetch()              { a.fetchPending = true }
 
 // draw gives a number below n, out of the script; behind its end always 0, the kindest.
-func (a *audit) draw(n int) int {
-	if a.over || len(a.draws) == 0 {
+func (a *auditor) draw(n int) int {
+	if a.calm || len(a.draws) == 0 {
 		return 0
 	}
 	a.drawn++
 	return a.draws[a.drawn%len(a.draws)] * (1 + a.drawn/len(a.draws)) % n
 }
 
-func (a *audit) after(d time.Duration, f func()) { a.later.Set(&Deadline{}, a.now+d, f) }
+func (a *auditor) after(d time.Duration, f func()) { a.timers.Set(&Deadline{}, a.now+d, f) }
 
 // Served, Refused, Failed and Unfit implement Caller.
-func (q *audited) Served(body []byte) {
-	if string(body) != strconv.Itoa(q.n) {
-		q.a.t.Errorf("request %d is served with %q", q.n, body)
+func (q *auditRequest) Served(body []byte) {
+	if string(body) != strconv.Itoa(q.number) {
+		q.auditor.t.Errorf("request %d is served with %q", q.number, body)
 	}
 	q.answer("served")
 }
 
-func (q *audited) Refused(time.Duration) {
+func (q *auditRequest) Refused(time.Duration) {
 	if q.class.Effect != logic.Free && !(q.class.Effect == logic.Guarded && q.class.Scope == logic.ScopeAll) {
-		for _, x := range q.tries {
+		for _, x := range q.attempts {
 			if x.mayRun {
-				q.a.t.Errorf("request %d (%s) is refused though it may have run", q.n, q.class.Name)
+				q.auditor.t.Errorf("request %d (%s) is refused though it may have run", q.number, q.class.Name)
 			}
 		}
 	}
 	q.answer("refused")
 }
 
-func (q *audited) Failed()           { q.answer("failed") }
-func (q *audited) BadRequest([]byte) { q.answer("unfit") }
-func (q *audited) answer(how string) {
+func (q *auditRequest) Failed()           { q.answer("failed") }
+func (q *auditRequest) BadRequest([]byte) { q.answer("unfit") }
+func (q *auditRequest) answer(how string) {
 	q.answers = append(q.answers, how)
 	switch {
-	case q.left:
-		q.a.t.Errorf("request %d is answered though its client has left", q.n)
+	case q.abandoned:
+		q.auditor.t.Errorf("request %d is answered though its client has left", q.number)
 	case len(q.answers) > 1:
-		q.a.t.Errorf("request %d has the answers %v", q.n, q.answers)
-	case q.a.now > q.until+auditSlack:
-		q.a.t.Errorf("request %d is answered %v late", q.n, q.a.now-q.until)
+		q.auditor.t.Errorf("request %d has the answers %v", q.number, q.answers)
+	case q.auditor.now > q.deadline+answerSlack:
+		q.auditor.t.Errorf("request %d is answered %v late", q.number, q.auditor.now-q.deadline)
 	}
 }
 
 // Open implements Opener.
-func (a *audit) Open(address string, _ int, to Listener) Conn {
-	c := &auditConn{a: a, address: address, to: to, usedAt: a.now}
+func (a *auditor) Open(address string, _ int, to Listener) Conn {
+	c := &auditConn{auditor: a, address: address, listener: to, usedAt: a.now}
 	a.conns = append(a.conns, c)
-	if known := false; !a.over {
+	if known := false; !a.calm {
 		for _, e := range a.listed {
 			known = known || e.Address == address
 		}
@@ -143,24 +143,24 @@
 		}
 	}
 	switch {
-	case !a.hosts[address] && a.draw(2) == 0:
-		a.after(time.Millisecond, func() { c.tell(to.Refused) })
-	case !a.hosts[address] || a.draw(12) == 1: // never
+	case !a.hostUp[address] && a.draw(2) == 0:
+		a.after(time.Millisecond, func() { c.notify(to.Refused) })
+	case !a.hostUp[address] || a.draw(12) == 1: // never
 	case a.draw(10) == 1: // late: the front may have given it up
-		a.after(time.Duration(a.draw(1500))*time.Millisecond, func() { c.tell(c.isUp) })
+		a.after(time.Duration(a.draw(1500))*time.Millisecond, func() { c.notify(c.connect) })
 	default:
-		a.after(time.Duration(a.draw(20))*time.Millisecond, func() { c.tell(c.isUp) })
+		a.after(time.Duration(a.draw(20))*time.Millisecond, func() { c.notify(c.connect) })
 	}
 	return c
 }
 
-func (c *auditConn) isUp() {
-	c.up, c.usedAt = true, c.a.now
-	c.to.Up()
+func (c *auditConn) connect() {
+	c.up, c.usedAt = true, c.auditor.now
+	c.listener.Up()
 }
 
 // tell tells the front what happens on a connection that it has not closed.
-func (c *auditConn) tell(f func()) {
+func (c *auditConn) notify(f func()) {
 	if !c.closed {
 		f()
 	}
@@ -168,26 +168,26 @@
 
 func (c *auditConn) Close() {
 	if c.closed {
-		c.a.t.Errorf("a connection is closed twice")
+		c.auditor.t.Errorf("a connection is closed twice")
 	}
 	c.closed = true
-	c.done()
+	c.clear()
 }
 
 // done ends what is out there, as far as the front can know it.
-func (c *auditConn) done() {
-	c.usedAt = c.a.now
-	if c.busy != nil {
-		c.busy.open = false
+func (c *auditConn) clear() {
+	c.usedAt = c.auditor.now
+	if c.attempt != nil {
+		c.attempt.open = false
 	}
-	c.busy, c.req, c.probing = nil, nil, false
+	c.attempt, c.request, c.probing = nil, nil, false
 }
 
-func (c *auditConn) Reusable() bool { return !c.loud && c.busy == nil && !c.probing }
+func (c *auditConn) Reusable() bool { return !c.dirty && c.attempt == nil && !c.probing }
 
 // Send implements Conn; here all rules on attempts are checked.
 func (c *auditConn) Send(cmd Command, wait time.Duration) error {
-	a, q := c.a, cmd.(auditCommand).q
+	a, q := c.auditor, cmd.(auditCommand).request
 	t := a.t
 	var to Entry
 	for _, e := range a.listed {
@@ -197,47 +197,47 @@
 	}
 	switch {
 	case c.closed || !c.up:
-		t.Errorf("request %d is written to a connection that is not up", q.n)
-	case c.loud || c.busy != nil || c.probing:
-		t.Errorf("request %d is written behind what is left over", q.n)
-	case q.left:
-		t.Errorf("request %d is sent %v after its client left", q.n, a.now-q.leftAt)
+		t.Errorf("request %d is written to a connection that is not up", q.number)
+	case c.dirty || c.attempt != nil || c.probing:
+		t.Errorf("request %d is written behind what is left over", q.number)
+	case q.abandoned:
+		t.Errorf("request %d is sent %v after its client left", q.number, a.now-q.abandonedAt)
 	case len(q.answers) > 0:
-		t.Errorf("request %d is sent behind its answer", q.n)
-	case to.Name == "" || to.State != logic.Ready && !(to.State == logic.Gone && a.cfg.DrainOnly && !a.drains[to.Name]):
-		t.Errorf("request %d is sent to %s, which is listed as %s", q.n, c.address, stateName(to.State))
-	case a.now >= q.until || wait <= 0 || a.now+wait > q.until:
-		t.Errorf("request %d is sent at %v of %v, to wait for %v", q.n, a.now-q.at, q.until-q.at, wait)
-	case a.cfg.MaxAttempts > 0 && len(q.tries) >= a.cfg.MaxAttempts:
-		t.Errorf("request %d has attempt %d", q.n, len(q.tries)+1)
-	}
-	for _, x := range q.tries {
+		t.Errorf("request %d is sent behind its answer", q.number)
+	case to.Name == "" || to.State != logic.Ready && !(to.State == logic.Gone && a.cfg.DrainOnly && !a.draining[to.Name]):
+		t.Errorf("request %d is sent to %s, which is listed as %s", q.number, c.address, stateName(to.State))
+	case a.now >= q.deadline || wait <= 0 || a.now+wait > q.deadline:
+		t.Errorf("request %d is sent at %v of %v, to wait for %v", q.number, a.now-q.at, q.deadline-q.at, wait)
+	case a.cfg.MaxAttempts > 0 && len(q.attempts) >= a.cfg.MaxAttempts:
+		t.Errorf("request %d has attempt %d", q.number, len(q.attempts)+1)
+	}
+	for _, x := range q.attempts {
 		if x.open {
-			t.Errorf("request %d has two attempts out", q.n)
+			t.Errorf("request %d has two attempts out", q.number)
 		}
 		if !x.mayRun || q.class.Effect == logic.Free {
 			continue
 		}
 		if q.class.Effect == logic.SingleShot || a.now > x.at+q.class.DedupWindow || x.group != to.Group && q.class.Scope == logic.ScopeCell ||
 			x.zone != to.Zone && q.class.Scope == logic.ScopeZone {
-			t.Errorf("request %d (%s) goes again %v after an attempt that may have run", q.n, q.class.Name, a.now-x.at)
+			t.Errorf("request %d (%s) goes again %v after an attempt that may have run", q.number, q.class.Name, a.now-x.at)
 		}
 	}
 	if a.draw(20) == 1 { // the other side had closed it: the last byte is not written
 		return errors.New("broken")
 	}
-	x := &auditTry{at: a.now, zone: to.Zone, group: to.Group, open: true, mayRun: true}
-	q.tries = append(q.tries, x)
-	c.busy, c.req = x, q
-	body := []byte(strconv.Itoa(q.n))
+	x := &auditAttempt{at: a.now, zone: to.Zone, group: to.Group, open: true, mayRun: true}
+	q.attempts = append(q.attempts, x)
+	c.attempt, c.request = x, q
+	body := []byte(strconv.Itoa(q.number))
 	role := logic.RoleReplica
 	if to.Name == "m0" || to.Name == "m3" {
 		role = logic.RolePrimary
 	}
 	reply := func(r Reply) func() {
 		return func() {
-			c.done()
-			c.to.Reply(r)
+			c.clear()
+			c.listener.Reply(r)
 		}
 	}
 	took := time.Duration(1+a.draw(60)) * time.Millisecond
@@ -249,39 +249,39 @@
 	}
 	switch a.draw(16) {
 	case 1:
-		a.after(took, func() { c.tellOf(x, clean(logic.Miss)) })
+		a.after(took, func() { c.notifyAttempt(x, clean(logic.Miss)) })
 	case 2:
-		a.after(took, func() { c.tellOf(x, clean(logic.Full)) })
+		a.after(took, func() { c.notifyAttempt(x, clean(logic.Full)) })
 	case 3:
-		a.after(took, func() { c.tellOf(x, reply(Reply{Result: logic.Failed, Role: role})) })
+		a.after(took, func() { c.notifyAttempt(x, reply(Reply{Result: logic.Failed, Role: role})) })
 	case 4: // reset under the request
-		a.after(took, func() { c.tellOf(x, func() { c.done(); c.to.Down() }) })
+		a.after(took, func() { c.notifyAttempt(x, func() { c.clear(); c.listener.Down() }) })
 	case 5: // long after
-		a.after(20*took, func() { c.tellOf(x, func() { c.done(); c.to.Down() }) })
+		a.after(20*took, func() { c.notifyAttempt(x, func() { c.clear(); c.listener.Down() }) })
 	case 6: // nonsense
-		a.after(took, func() { c.tellOf(x, func() { c.done(); c.to.ProtocolError() }) })
+		a.after(took, func() { c.notifyAttempt(x, func() { c.clear(); c.listener.ProtocolError() }) })
 	case 7: // nothing
 	case 8: // a second copy behind the answer
 		a.after(took, func() {
-			c.tellOf(x, func() { c.loud = true; reply(Reply{Result: logic.OK, Body: body, Role: role})() })
+			c.notifyAttempt(x, func() { c.dirty = true; reply(Reply{Result: logic.OK, Body: body, Role: role})() })
 		})
 	case 9: // late
-		a.after(10*took, func() { c.tellOf(x, reply(Reply{Result: logic.OK, Body: body, Role: role})) })
+		a.after(10*took, func() { c.notifyAttempt(x, reply(Reply{Result: logic.OK, Body: body, Role: role})) })
 	default:
 		if q.class.Read == logic.Write && role != logic.RolePrimary {
-			a.after(took, func() { c.tellOf(x, clean(logic.Miss)) })
+			a.after(took, func() { c.notifyAttempt(x, clean(logic.Miss)) })
 			break
 		}
 		a.after(took, func() {
-			c.tellOf(x, reply(Reply{Result: logic.OK, Body: body, Role: role, Position: int64((a.Unix() - took) / time.Millisecond)}))
+			c.notifyAttempt(x, reply(Reply{Result: logic.OK, Body: body, Role: role, Position: int64((a.Unix() - took) / time.Millisecond)}))
 		})
 	}
 	if a.draw(25) == 1 { // half a line on it once it is idle, or its end
 		a.after(2*took, func() {
-			c.tell(func() {
-				if c.busy == nil && !c.probing {
-					if c.loud = true; a.draw(2) == 0 {
-						c.to.Down()
+			c.notify(func() {
+				if c.attempt == nil && !c.probing {
+					if c.dirty = true; a.draw(2) == 0 {
+						c.listener.Down()
 					}
 				}
 			})
@@ -291,8 +291,8 @@
 }
 
 // tellOf tells what becomes of an attempt that the front still waits for on this connection.
-func (c *auditConn) tellOf(x *auditTry, f func()) {
-	if !c.closed && c.busy == x {
+func (c *auditConn) notifyAttempt(x *auditAttempt, f func()) {
+	if !c.closed && c.attempt == x {
 		f()
 	}
 }
@@ -300,23 +300,23 @@
 // Probe implements Conn.
 func (c *auditConn) Probe() error {
 	if c.closed || !c.up {
-		c.a.t.Errorf("a probe on a connection that is not up")
+		c.auditor.t.Errorf("a probe on a connection that is not up")
 	}
 	c.probing = true
-	if !c.a.hosts[c.address] || c.a.draw(15) == 1 {
+	if !c.auditor.hostUp[c.address] || c.auditor.draw(15) == 1 {
 		return nil
 	}
 	role := logic.RoleReplica
-	for _, e := range c.a.listed {
+	for _, e := range c.auditor.listed {
 		if e.Address == c.address && (e.Name == "m0" || e.Name == "m3") {
 			role = logic.RolePrimary
 		}
 	}
-	c.a.after(2*time.Millisecond, func() {
-		c.tell(func() {
+	c.auditor.after(2*time.Millisecond, func() {
+		c.notify(func() {
 			if c.probing {
-				c.done()
-				c.to.Reply(Reply{Result: logic.OK, Load: Load{Known: true, Role: role, Position: (c.a.Unix() - 5*time.Millisecond).Seconds(), Queue: -1}})
+				c.clear()
+				c.listener.Reply(Reply{Result: logic.OK, Load: Load{Known: true, Role: role, Position: (c.auditor.Unix() - 5*time.Millisecond).Seconds(), Queue: -1}})
 			}
 		})
 	})
@@ -324,25 +324,25 @@
 }
 
 // pass lets time go on, from one thing that is due to the next.
-func (a *audit) pass(d time.Duration) {
+func (a *auditor) advance(d time.Duration) {
 	for until := a.now + d; ; {
 		next := until
-		for _, q := range []*Deadlines{&a.later, &a.f.Deadlines} {
+		for _, q := range []*Deadlines{&a.timers, &a.engine.Deadlines} {
 			if at, ok := q.Next(); ok {
 				next = min(next, at)
 			}
 		}
 		a.now = max(a.now, next)
-		a.later.Run(a.now)
-		a.f.Deadlines.Run(a.now)
-		if a.wants {
-			a.wants = false
+		a.timers.Run(a.now)
+		a.engine.Deadlines.Run(a.now)
+		if a.fetchPending {
+			a.fetchPending = false
 			ok := a.draw(3) != 1
 			a.after(10*time.Millisecond, func() {
 				if ok {
-					a.f.UpdateList(List{Kind: logic.ListDelta})
+					a.engine.UpdateList(List{Kind: logic.ListDelta})
 				} else {
-					a.f.ListFailed(errors.New("down"))
+					a.engine.ListFailed(errors.New("down"))
 				}
 			})
 		}
@@ -353,7 +353,7 @@
 }
 
 // auditSettings draws a deployment.
-func auditSettings(t *rapid.T) logic.Config {
+func drawSettings(t *rapid.T) logic.Config {
 	ms := func(name string, from, to int) time.Duration {
 		return time.Duration(rapid.IntRange(from, to).Draw(t, name)) * time.Millisecond
 	}
@@ -387,125 +387,125 @@
 	ops
 )
 
-func (a *audit) take(class int) {
+func (a *auditor) submit(class int) {
 	c := a.cfg.Classes[class%len(a.cfg.Classes)]
-	q := &audited{a: a, n: len(a.reqs), class: c, at: a.now, until: a.now + c.Limit}
-	id, err := a.f.Submit(Request{Name: fmt.Sprint(q.n), Class: c.Name, Wait: c.Limit, Session: uint64(q.n % 5), Group: q.n % 2,
+	q := &auditRequest{auditor: a, number: len(a.requests), class: c, at: a.now, deadline: a.now + c.Limit}
+	id, err := a.engine.Submit(Request{Name: fmt.Sprint(q.number), Class: c.Name, Wait: c.Limit, Session: uint64(q.number % 5), Group: q.number % 2,
 		LastCommit: int64((a.Unix() - 50*time.Millisecond) / time.Millisecond), Command: auditCommand{q}, Caller: q})
 	if err != nil {
 		a.t.Fatal(err)
 	}
 	q.id = id
-	a.reqs = append(a.reqs, q)
+	a.requests = append(a.requests, q)
 }
 
-func (a *audit) leave(n int) {
-	if len(a.reqs) == 0 {
+func (a *auditor) abandon(n int) {
+	if len(a.requests) == 0 {
 		return
 	}
-	if q := a.reqs[len(a.reqs)-1-n%len(a.reqs)]; !q.left && len(q.answers) == 0 {
-		q.left, q.leftAt = true, a.now
-		a.f.Abandon(q.id)
+	if q := a.requests[len(a.requests)-1-n%len(a.requests)]; !q.abandoned && len(q.answers) == 0 {
+		q.abandoned, q.abandonedAt = true, a.now
+		a.engine.Abandon(q.id)
 	}
 }
 
 // tell puts an entry of the list into force.
-func (a *audit) tell(e Entry) {
-	a.note(e)
-	a.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{e}})
+func (a *auditor) updateEntry(e Entry) {
+	a.recordEntry(e)
+	a.engine.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{e}})
 }
 
-func (a *audit) note(e Entry) {
+func (a *auditor) recordEntry(e Entry) {
 	a.listed[e.Name] = e
-	a.drains[e.Name] = e.State == logic.Draining || e.State == logic.Gone && a.drains[e.Name]
+	a.draining[e.Name] = e.State == logic.Draining || e.State == logic.Gone && a.draining[e.Name]
 }
 
 // tellAll puts a whole list into force, which leaves out those whose bit is not set, and those that are gone.
-func (a *audit) tellAll(bits int) {
+func (a *auditor) updateWholeList(bits int) {
 	l := List{Kind: logic.ListFull}
 	for i := range len(a.listed) {
 		e := a.listed[fmt.Sprint("m", i)]
 		if bits>>i&1 == 0 {
 			e.State = logic.Gone
 		}
-		if a.note(e); e.State != logic.Gone {
+		if a.recordEntry(e); e.State != logic.Gone {
 			l.Entries = append(l.Entries, e)
 		}
 	}
-	a.f.UpdateList(l)
+	a.engine.UpdateList(l)
 }
 
-func (a *audit) do(op, x int) {
+func (a *auditor) runStep(op, x int) {
 	name := fmt.Sprint("m", x%6)
 	e := a.listed[name]
 	switch op {
 	case opTake:
-		a.take(x)
+		a.submit(x)
 	case opBurst:
 		for i := range x % 30 {
-			a.take(i)
+			a.submit(i)
 		}
 	case opLeave:
-		a.leave(x)
+		a.abandon(x)
 	case opPass:
-		a.pass(time.Duration(x%400) * time.Millisecond)
+		a.advance(time.Duration(x%400) * time.Millisecond)
 	case opList:
 		e.State = []logic.MemberState{logic.Ready, logic.Draining, logic.Gone, logic.Ready}[x/6%4]
-		a.tell(e)
+		a.updateEntry(e)
 	case opListAll:
-		a.tellAll(x)
+		a.updateWholeList(x)
 	case opFail:
-		a.f.ListFailed(errors.New("down"))
+		a.engine.ListFailed(errors.New("down"))
 	case opHost:
-		if a.hosts[e.Address] = x/6%3 > 0; !a.hosts[e.Address] && x%2 == 0 { // it dies, and does not only fall silent
+		if a.hostUp[e.Address] = x/6%3 > 0; !a.hostUp[e.Address] && x%2 == 0 { // it dies, and does not only fall silent
 			for _, c := range a.conns {
 				if c.address == e.Address && c.up {
-					c.tell(func() { c.done(); c.to.Down() })
+					c.notify(func() { c.clear(); c.listener.Down() })
 				}
 			}
 		}
 	case opAddress:
 		e.Address = fmt.Sprintf("%s:%d", name, x)
-		a.hosts[e.Address] = true
-		a.tell(e)
+		a.hostUp[e.Address] = true
+		a.updateEntry(e)
 	case opRestart:
 		e.Started = a.Unix()
-		a.tell(e)
+		a.updateEntry(e)
 	}
 }
 
-func playAudit(t *rapid.T) {
-	a := &audit{t: t, cfg: auditSettings(t), now: clockBase, listed: map[string]Entry{}, drains: map[string]bool{}, hosts: map[string]bool{}}
+func runAudit(t *rapid.T) {
+	a := &auditor{t: t, cfg: drawSettings(t), now: clockBase, listed: map[string]Entry{}, draining: map[string]bool{}, hostUp: map[string]bool{}}
 	a.draws = rapid.SliceOfN(rapid.IntRange(0, 9999), 1, 40).Draw(t, "outcomes")
 	script := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) [2]int {
 		return [2]int{rapid.IntRange(0, ops-1).Draw(t, "op"), rapid.IntRange(0, 999).Draw(t, "x")}
 	}), 1, 60).Draw(t, "script")
 	var err error
-	if a.f, err = New(Config{Logic: a.cfg, Zones: []string{"z0", "z1"}, IdleClose: 3 * time.Second, ConnectTimeout: 250 * time.Millisecond,
+	if a.engine, err = New(Config{Logic: a.cfg, Zones: []string{"z0", "z1"}, IdleClose: 3 * time.Second, ConnectTimeout: 250 * time.Millisecond,
 		MaxConnections: 12}, a, a); err != nil {
 		t.Skip(err)
 	}
 	var known []Entry
 	for i := range 6 {
 		e := Entry{Name: fmt.Sprint("m", i), Address: fmt.Sprintf("m%d:0", i), Zone: fmt.Sprint("z", i%2), Group: i / 3, State: logic.Ready, Size: 1}
-		known, a.listed[e.Name], a.hosts[e.Address] = append(known, e), e, true
+		known, a.listed[e.Name], a.hostUp[e.Address] = append(known, e), e, true
 	}
-	a.f.Start(a, List{Entries: known})
+	a.engine.Start(a, List{Entries: known})
 	for _, s := range script {
-		a.do(s[0], s[1])
-		a.pass(time.Duration(s[1]%7) * time.Millisecond)
-		a.resting()
-	}
-	a.over = true
-	a.pass(4 * time.Second) // longer than any request
-	for _, q := range a.reqs {
-		if len(q.answers) != 1 && !q.left {
-			t.Errorf("request %d has the answers %v", q.n, q.answers)
+		a.runStep(s[0], s[1])
+		a.advance(time.Duration(s[1]%7) * time.Millisecond)
+		a.checkIdleConns()
+	}
+	a.calm = true
+	a.advance(4 * time.Second) // longer than any request
+	for _, q := range a.requests {
+		if len(q.answers) != 1 && !q.abandoned {
+			t.Errorf("request %d has the answers %v", q.number, q.answers)
 		}
 	}
-	a.returned()
-	a.pass(witnessFor + 5*time.Second) // and than any connection stands idle
-	a.returned()
+	a.checkReleased()
+	a.advance(overdueKeptFor + 5*time.Second) // and than any connection stands idle
+	a.checkReleased()
 	for _, c := range a.conns {
 		if !c.closed && a.now-c.usedAt > 4*time.Second {
 			t.Errorf("a connection to %s stands idle since %v", c.address, a.now-c.usedAt)
@@ -514,9 +514,9 @@
 }
 
 // resting looks at what stands idle: nothing leads to where no request may go.
-func (a *audit) resting() {
-	for _, m := range a.f.members {
-		for _, l := range m.idle {
+func (a *auditor) checkIdleConns() {
+	for _, m := range a.engine.members {
+		for _, l := range m.idleConns {
 			if l.address != m.address || m.state != logic.Ready {
 				a.t.Errorf("an idle connection to %s is kept, %s is listed as %s at %s", l.address, m.name, stateName(m.state), m.address)
 			}
@@ -525,10 +525,10 @@
 }
 
 // returned asks for all that was taken: nothing is under way any more, so every slot, connection and timer has come back.
-func (a *audit) returned() {
-	t, f := a.t, a.f
-	if len(f.requests) > 0 || len(f.named) > 0 || f.streams > 0 || f.OutstandingAnswers() > 0 {
-		t.Errorf("%d requests are kept, %d names, %d streams", len(f.requests), len(f.named), f.streams)
+func (a *auditor) checkReleased() {
+	t, f := a.t, a.engine
+	if len(f.requests) > 0 || len(f.openNames) > 0 || f.openStreams > 0 || f.OutstandingAnswers() > 0 {
+		t.Errorf("%d requests are kept, %d names, %d streams", len(f.requests), len(f.openNames), f.openStreams)
 	}
 	open := 0
 	for _, c := range a.conns {
@@ -538,24 +538,24 @@
 	}
 	held := 0
 	for _, m := range f.members {
-		held += len(m.links)
-		if m.probe != nil {
+		held += len(m.conns)
+		if m.probeConn != nil {
 			held++
 		}
-		if m.witness != nil {
+		if m.overdueConn != nil {
 			held++
 		}
-		for _, l := range m.opening {
+		for _, l := range m.openingConns {
 			if l.attempt != nil {
 				t.Errorf("an attempt still waits for a connection to %s", m.name)
 			}
 		}
-		if v, ok := f.planned.Member(a.now, m.id); ok && v.Out > 0 {
+		if v, ok := f.router.Member(a.now, m.id); ok && v.Out > 0 {
 			t.Errorf("%d of %s's slots are not returned", v.Out, m.name)
 		}
 	}
-	if f.links != open || held != open {
-		t.Errorf("%d connections are open, %d counted, %d held", open, f.links, held)
+	if f.openConns != open || held != open {
+		t.Errorf("%d connections are open, %d counted, %d held", open, f.openConns, held)
 	}
 	if n := len(f.Deadlines.heap); n > open+2 {
 		t.Errorf("%d timers are set for %d connections", n, open)
@@ -572,5 +572,5 @@
 	before := checks.Value.String()
 	checks.Value.Set("2000")
 	defer checks.Value.Set(before)
-	rapid.Check(t, playAudit)
+	rapid.Check(t, runAudit)
 }
--- a/internal/state/catalogue.go
+++ b/internal/state/catalogue.go
@@ -10,170 +10,172 @@
 	"havenproxy/logic"
 )
 
-// What other catalogues than the platform's say goes through a membership, which decides what becomes of each member; its view is
-// the list that the router gets.
+// With several catalogues, their lists are merged by a membership.Members, which decides the state of each member;
+// the router is given the merged list.
 
-// DiscoveryCatalogue is the platform's discovery among the sources.
+// DiscoveryCatalogue is the name of the platform's discovery service among the catalogues.
 const DiscoveryCatalogue = "discovery"
 
-// mergeEvery is how often the membership looks at what moves by time alone.
-const mergeEvery = 100 * time.Millisecond
+// mergeInterval is the interval at which the membership reevaluates states that depend on time.
+const mergeInterval = 100 * time.Millisecond
 
-// ConfigureMerging puts other settings for merging into force; nil ends it: the platform's list stands alone again. alone tells that the
-// platform's own list has no word beside the other catalogues.
-func (f *Engine) ConfigureMerging(cfg *membership.Config, alone bool) {
+// ConfigureMerging applies the settings for merging catalogues. With nil it ends merging and the list of the
+// platform's discovery service is used by itself again. If withoutDiscovery is set, the discovery service is not
+// among the catalogues that are merged.
+func (e *Engine) ConfigureMerging(cfg *membership.Config, withoutDiscovery bool) {
 	switch {
 	case cfg == nil:
-		if f.merged != nil {
-			f.merged = nil
-			f.Deadlines.Clear(&f.merging)
-			f.Fetch()
+		if e.membership != nil {
+			e.membership = nil
+			e.Deadlines.Clear(&e.mergeTimer)
+			e.Fetch()
 		}
 		return
-	case f.merged == nil:
-		f.merged, f.failing = membership.New(*cfg), map[string]bool{}
-		f.merged.AddCatalogue(DiscoveryCatalogue, membership.Trust{Binding: true})
-		f.mergeTick()
-		// What is in use stays in use until others know better, also where the platform's list has no word from now on.
+	case e.membership == nil:
+		e.membership, e.failingCatalogues = membership.New(*cfg), map[string]bool{}
+		e.membership.AddCatalogue(DiscoveryCatalogue, membership.Trust{Binding: true})
+		e.mergeTick()
+		// The current members stay in use until a catalogue says otherwise, even where the discovery service is not among
+		// the catalogues from now on.
 		known := membership.News{Whole: true}
-		for _, m := range f.names {
+		for _, m := range e.membersByName {
 			if m.state != logic.Gone {
 				known.Facts = append(known.Facts, membership.Fact{ID: m.name, Address: m.address, Zone: m.zone, Group: m.group, Health: healthOf(m.state),
 					Weight: m.size, Started: m.started})
 			}
 		}
 		slices.SortFunc(known.Facts, func(a, b membership.Fact) int { return cmp.Compare(a.ID, b.ID) })
-		f.merged.Update(f.clock.Now(), DiscoveryCatalogue, known)
+		e.membership.Update(e.clock.Now(), DiscoveryCatalogue, known)
 	default:
-		f.merged.Configure(*cfg)
+		e.membership.Configure(*cfg)
 	}
-	if alone {
-		f.merged.DropCatalogue(f.clock.Now(), DiscoveryCatalogue)
+	if withoutDiscovery {
+		e.membership.DropCatalogue(e.clock.Now(), DiscoveryCatalogue)
 	} else {
-		f.merged.AddCatalogue(DiscoveryCatalogue, membership.Trust{Binding: true})
+		e.membership.AddCatalogue(DiscoveryCatalogue, membership.Trust{Binding: true})
 	}
-	f.mergedNews()
+	e.applyMergedChanges()
 }
 
-func (f *Engine) mergeTick() {
-	f.Deadlines.Set(&f.merging, f.clock.Now()+mergeEvery, func() {
-		f.merged.Tick(f.clock.Now())
-		f.mergedNews()
-		f.mergeTick()
+func (e *Engine) mergeTick() {
+	e.Deadlines.Set(&e.mergeTimer, e.clock.Now()+mergeInterval, func() {
+		e.membership.Tick(e.clock.Now())
+		e.applyMergedChanges()
+		e.mergeTick()
 	})
 }
 
-// AddCatalogue names a catalogue whose word counts from now on.
-func (f *Engine) AddCatalogue(name string) {
-	f.merged.AddCatalogue(name, membership.Trust{})
+// AddCatalogue adds a catalogue to those that are merged.
+func (e *Engine) AddCatalogue(name string) {
+	e.membership.AddCatalogue(name, membership.Trust{})
 }
 
-// DropCatalogue ends it.
-func (f *Engine) DropCatalogue(name string) {
-	if f.merged != nil {
-		f.merged.DropCatalogue(f.clock.Now(), name)
-		f.mergedNews()
+// DropCatalogue removes a catalogue and what it reported.
+func (e *Engine) DropCatalogue(name string) {
+	if e.membership != nil {
+		e.membership.DropCatalogue(e.clock.Now(), name)
+		e.applyMergedChanges()
 	}
 }
 
-// UpdateCatalogue takes in a catalogue's answer.
-func (f *Engine) UpdateCatalogue(source string, n membership.News) {
-	if f.merged == nil {
+// UpdateCatalogue applies a catalogue's answer.
+func (e *Engine) UpdateCatalogue(source string, n membership.News) {
+	if e.membership == nil {
 		return
 	}
-	if f.failing[source] {
-		delete(f.failing, source)
+	if e.failingCatalogues[source] {
+		delete(e.failingCatalogues, source)
 		slog.Info("catalogue answers again", "source", source)
 	}
-	f.merged.Update(f.clock.Now(), source, n)
-	f.mergedNews()
+	e.membership.Update(e.clock.Now(), source, n)
+	e.applyMergedChanges()
 }
 
-// CatalogueFailed notes that a catalogue could not be asked.
-func (f *Engine) CatalogueFailed(source string, why error) {
-	if f.merged == nil {
+// CatalogueFailed records that a catalogue could not be queried.
+func (e *Engine) CatalogueFailed(source string, err error) {
+	if e.membership == nil {
 		return
 	}
-	f.Counters.ListFailures++
-	if !f.failing[source] {
-		f.failing[source] = true
-		slog.Warn("catalogue fails", "source", source, "error", why)
+	e.Counters.ListFailures++
+	if !e.failingCatalogues[source] {
+		e.failingCatalogues[source] = true
+		slog.Warn("catalogue fails", "source", source, "error", err)
 	}
-	f.merged.CatalogueFailed(f.clock.Now(), source, why.Error())
-	f.mergedNews()
+	e.membership.CatalogueFailed(e.clock.Now(), source, err.Error())
+	e.applyMergedChanges()
 }
 
 func healthOf(s logic.MemberState) membership.Health {
 	return [...]membership.Health{logic.Gone: membership.Terminated, logic.Ready: membership.Passing, logic.Draining: membership.Draining}[s]
 }
 
-// ownList lets the platform's list be one source among others.
-func (f *Engine) ownList(l List) {
+// updateFromDiscovery applies the discovery service's list as one catalogue among others.
+func (e *Engine) updateFromDiscovery(l List) {
 	n := membership.News{Whole: l.Kind != logic.ListDelta}
-	for _, e := range l.Entries {
-		n.Facts = append(n.Facts, membership.Fact{ID: e.Name, Address: e.Address, Zone: e.Zone, Group: e.Group, Health: healthOf(e.State),
-			Weight: e.Size, Started: e.Started})
+	for _, entry := range l.Entries {
+		n.Facts = append(n.Facts, membership.Fact{ID: entry.Name, Address: entry.Address, Zone: entry.Zone, Group: entry.Group, Health: healthOf(entry.State),
+			Weight: entry.Size, Started: entry.Started})
 	}
-	f.merged.Update(f.clock.Now(), DiscoveryCatalogue, n)
-	if !f.mergedNews() { // the router waits for the end of its call
-		f.take(List{Kind: logic.ListDelta})
+	e.membership.Update(e.clock.Now(), DiscoveryCatalogue, n)
+	if !e.applyMergedChanges() { // the router expects an answer to each call, even without changes
+		e.applyList(List{Kind: logic.ListDelta})
 	}
 }
 
-// mergedNews hands on what has changed in the view, and tells whether anything has.
-func (f *Engine) mergedNews() bool {
-	changes := f.merged.TakeChanges()
+// applyMergedChanges passes the changes of the merged list to the router. It reports whether there were any.
+func (e *Engine) applyMergedChanges() bool {
+	changes := e.membership.TakeChanges()
 	if len(changes) == 0 {
 		return false
 	}
 	l := List{Kind: logic.ListDelta}
-	for _, e := range changes {
-		x := Entry{Name: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group, Size: e.Weight, Started: e.Started, ObservedStart: e.Begun}
-		x.State = [...]logic.MemberState{membership.Gone: logic.Gone, membership.Ready: logic.Ready, membership.Drains: logic.Draining}[e.State]
-		m := f.names[e.ID]
-		if m == nil || m.state != x.State {
-			slog.Info("member", "name", e.ID, "address", e.Address, "state", e.State.String(), "why", e.Why)
+	for _, change := range changes {
+		entry := Entry{Name: change.ID, Address: change.Address, Zone: change.Zone, Group: change.Group, Size: change.Weight, Started: change.Started, ObservedStart: change.Begun}
+		entry.State = [...]logic.MemberState{membership.Gone: logic.Gone, membership.Ready: logic.Ready, membership.Drains: logic.Draining}[change.State]
+		m := e.membersByName[change.ID]
+		if m == nil || m.state != entry.State {
+			slog.Info("member", "name", change.ID, "address", change.Address, "state", change.State.String(), "why", change.Why)
 		}
-		if m == nil && x.State == logic.Gone {
+		if m == nil && entry.State == logic.Gone {
 			continue
 		}
-		l.Entries = append(l.Entries, x)
+		l.Entries = append(l.Entries, entry)
 	}
-	f.take(l)
+	e.applyList(l)
 	return true
 }
 
-// seen hands evidence to the membership.
-func (f *Engine) seen(m *member, r Reply, silent bool) {
-	if f.merged == nil {
+// reportEvidence tells the membership whether a member answered or, with silent set, is silent.
+func (e *Engine) reportEvidence(m *member, r Reply, silent bool) {
+	if e.membership == nil {
 		return
 	}
 	switch {
 	case r.Result == logic.OK || r.Result == logic.Miss || r.Result == logic.Failed || r.Result == logic.Full:
-		f.merged.MarkAlive(f.clock.Now(), m.name, r.opened)
+		e.membership.MarkAlive(e.clock.Now(), m.name, r.opened)
 	case silent:
-		f.merged.MarkSilent(f.clock.Now(), m.name)
+		e.membership.MarkSilent(e.clock.Now(), m.name)
 	default:
 		return
 	}
-	f.mergedNews()
+	e.applyMergedChanges()
 }
 
-// MergesCatalogues tells whether there are several catalogues.
-func (f *Engine) MergesCatalogues() bool { return f.merged != nil }
+// MergesCatalogues reports whether the lists of several catalogues are merged.
+func (e *Engine) MergesCatalogues() bool { return e.membership != nil }
 
-// MergedMembers gives all that is known of each member, to be shown.
-func (f *Engine) MergedMembers() []membership.Entry {
-	if f.merged == nil {
+// MergedMembers returns what the catalogues report of each member; nil if catalogues are not merged.
+func (e *Engine) MergedMembers() []membership.Entry {
+	if e.membership == nil {
 		return nil
 	}
-	return f.merged.Explain(f.clock.Now())
+	return e.membership.Explain(e.clock.Now())
 }
 
-// Catalogues gives the sources.
-func (f *Engine) Catalogues() []membership.Catalogue {
-	if f.merged == nil {
+// Catalogues returns the state of each catalogue; nil if catalogues are not merged.
+func (e *Engine) Catalogues() []membership.Catalogue {
+	if e.membership == nil {
 		return nil
 	}
-	return f.merged.Catalogues(f.clock.Now())
+	return e.membership.Catalogues(e.clock.Now())
 }
--- a/internal/state/clock.go
+++ b/internal/state/clock.go
@@ -7,52 +7,54 @@
 	"havenproxy/internal/labclock"
 )
 
-// Clock is the router's clock. It only moves forward, and places moments of the wall clock on itself.
+// Clock is the router's clock. Now is monotonic; Unix relates it to the wall clock.
 type Clock interface {
 	Now() time.Duration
-	Unix() time.Duration // the wall clock's time since 1970
+	Unix() time.Duration // time since 1970 by the wall clock
 }
 
-// clockBase keeps moments before the start above zero, which stands for "long ago" or "not told".
+// clockBase is the clock's value at the start of the process. It keeps earlier times positive, as zero stands for
+// "long ago" or "not known".
 const clockBase = 24 * time.Hour
 
-// SystemClock is the clock of the machine.
+// SystemClock is a Clock that reads the machine's clocks.
 type SystemClock struct{ start time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a SystemClock that starts now.
 func NewClock() *SystemClock { return &SystemClock{time.Now()} }
 
-// Now implements Clock by the monotonic clock.
+// Now implements Clock with the monotonic clock.
 func (c *SystemClock) Now() time.Duration { return clockBase + labclock.Since(c.start) }
 
 // Unix implements Clock.
 func (c *SystemClock) Unix() time.Duration { return time.Duration(labclock.Wall().UnixNano()) }
 
-// place puts a moment of the wall clock on the router's clock; 0 where it is not told or too long ago.
-func place(c Clock, unix time.Duration) time.Duration {
+// fromUnix converts a Unix time to the router's clock. It returns 0 if the time is not known or lies too far in the
+// past.
+func fromUnix(clock Clock, unix time.Duration) time.Duration {
 	if unix <= 0 {
 		return 0
 	}
-	return max(c.Now()-(c.Unix()-unix), 0)
+	return max(clock.Now()-(clock.Unix()-unix), 0)
 }
 
-// positionOf places a position told in Unix seconds. The nearest float may lie above what was written: it is
-// taken one step down, so that data never counts as fresher than it is.
-func positionOf(c Clock, seconds float64) time.Duration {
+// positionFromUnix converts a replication position in Unix seconds to the router's clock. The nearest float64 may be
+// larger than the number that was written, so it is lowered by one step: data must never count as fresher than it is.
+func positionFromUnix(clock Clock, seconds float64) time.Duration {
 	if !(seconds > 0 && seconds < 1e10) {
 		return 0
 	}
-	return place(c, time.Duration(math.Floor(math.Nextafter(seconds, 0)*1e6))*time.Microsecond)
+	return fromUnix(clock, time.Duration(math.Floor(math.Nextafter(seconds, 0)*1e6))*time.Microsecond)
 }
 
-// tokenAge gives how long ago a commit was. A commit rounded up to the next millisecond may still lie ahead;
-// an age of 0 would mean that there was none.
-func tokenAge(c Clock, unixMilli int64) time.Duration {
+// tokenAge returns the time since a commit, 0 if there was none. A commit time that was rounded up to the next
+// millisecond may lie in the future; the age is 1 ns then, as 0 would mean that there was no commit.
+func tokenAge(clock Clock, unixMilli int64) time.Duration {
 	if unixMilli <= 0 {
 		return 0
 	}
-	return max(c.Unix()-time.Duration(unixMilli)*time.Millisecond, 1)
+	return max(clock.Unix()-time.Duration(unixMilli)*time.Millisecond, 1)
 }
 
-// Clock gives the clock that the front goes by.
-func (f *Engine) Clock() Clock { return f.clock }
+// Clock returns the engine's clock.
+func (e *Engine) Clock() Clock { return e.clock }
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -7,46 +7,46 @@
 	"havenproxy/logic"
 )
 
-// Counters count since the start.
+// Counters holds counts of events since the start of the process.
 type Counters struct {
-	Received, Served, Refused, Failed, Abandoned                uint64 // requests
-	Sent                                                        uint64 // attempts
-	Written                                                     uint64 // those whose last byte was written to a database
-	ConfigLoads, ConfigLoadErrors                               uint64 // configurations taken, and turned down, at SIGHUP
-	OK, Miss, Failures, Full, TimedOut, ConnectFailed           uint64 // their ends
-	Reset, Cancelled                                            uint64
-	Probes, ProbesOK                                            uint64
-	Opened, ClosedIdle                                          uint64 // database connections
-	ListCalls, ListFailures                                     uint64
-	Clients, ClientsEvicted, ClientsRejected, Malformed         uint64 // client connections
-	DiscardedBytes                                              uint64 // that clients wrote behind the shutdown of their connections: read, and acted on by nobody
-	PeerMessagesSent, PeerMessagesReceived, PeerMessagesInvalid uint64 // messages to peers, from peers, and what could not be read or came from others
-	LevelChanges                                                uint64
-	PlannerFramesInvalid                                        uint64 // frames of planners that could not be read
-	GateQueued, GateRefused                                     uint64 // requests that waited at the point of a tier's change, and were refused for want of its policy
-	// Of MySQL: executions of prepared statements written to databases, and statements that had to be prepared on a
-	// connection before one.
+	Received, Served, Refused, Failed, Abandoned        uint64 // requests
+	Sent                                                uint64 // attempts
+	Written                                             uint64 // attempts whose last byte was written to a database
+	ConfigLoads, ConfigLoadErrors                       uint64 // configurations applied and rejected on SIGHUP
+	OK, Miss, Failures, Full, TimedOut, ConnectFailed   uint64 // results of attempts
+	Reset, Cancelled                                    uint64
+	Probes, ProbesOK                                    uint64
+	Opened, ClosedIdle                                  uint64 // database connections
+	ListCalls, ListFailures                             uint64
+	Clients, ClientsEvicted, ClientsRejected, Malformed uint64 // client connections
+	DiscardedBytes                                      uint64 // bytes that clients sent after the shutdown of their connections began; they are read and discarded
+	PeerSent, PeerReceived, PeerInvalid                 uint64 // messages sent to peers, received from peers, and received messages that were invalid or not from a peer
+	LevelChanges                                        uint64
+	PlannerFramesInvalid                                uint64 // frames of planners that could not be parsed
+	GateQueued, GateRefused                             uint64 // requests that waited for a change of the tier's policy, and requests refused because its policy was not known
+	// MySQL: executions of prepared statements that were written to databases, and statements that had to be prepared on
+	// a connection first.
 	Executes, Prepares uint64
-	// Of shared health checks: digests of planners, those that could not be read, and verdicts that were handed to the router.
+	// Shared health checks: digests of planners, digests that could not be parsed, and verdicts passed to the router.
 	Digests, DigestsMalformed, Verdicts uint64
 
-	ConnectionsNotOpened uint64 // connections to databases that were not opened, for want of room
-	AnsweredLate         uint64 // requests whose answer came behind the time that their clients wait
-	SlowTurns            uint64 // functions that held the loop for long
+	ConnectionsNotOpened uint64 // connections to databases that were not opened because of a limit or a local error
+	AnsweredLate         uint64 // requests answered after their client's wait had ended
+	SlowTurns            uint64 // functions that blocked the event loop for long
 }
 
-// Delays is how late the loop that owns the state has been, at most, since the start.
+// Delays holds the longest delays, since the start of the process, of the event loop that owns the state.
 type Delays struct {
-	LongestTurn          time.Duration // that one function held the loop for
-	LongestDeadlineDelay time.Duration // that a deadline was run behind its time
+	LongestTurn          time.Duration // longest time that one function blocked the loop
+	LongestDeadlineDelay time.Duration // longest delay with which a deadline was run
 }
 
-// LogValue lets slog print the delays.
+// LogValue implements slog.LogValuer.
 func (d *Delays) LogValue() slog.Value {
 	return slog.GroupValue(slog.Duration("longest_turn", d.LongestTurn), slog.Duration("latest_deadline", d.LongestDeadlineDelay))
 }
 
-// LogValue lets slog print the counters.
+// LogValue implements slog.LogValuer.
 func (c *Counters) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Uint64("taken", c.Received), slog.Uint64("served", c.Served), slog.Uint64("refused", c.Refused),
@@ -62,16 +62,16 @@
 		slog.Uint64("turned_away", c.ClientsRejected), slog.Uint64("malformed", c.Malformed),
 		slog.Uint64("crossed_bytes", c.DiscardedBytes),
 		slog.Uint64("level_changes", c.LevelChanges), slog.Uint64("kept", c.GateQueued), slog.Uint64("gate_shut", c.GateRefused), slog.Uint64("tier_strange", c.PlannerFramesInvalid),
-		slog.Uint64("peers_told", c.PeerMessagesSent), slog.Uint64("peers_heard", c.PeerMessagesReceived),
-		slog.Uint64("peers_strange", c.PeerMessagesInvalid),
+		slog.Uint64("peers_told", c.PeerSent), slog.Uint64("peers_heard", c.PeerReceived),
+		slog.Uint64("peers_strange", c.PeerInvalid),
 		slog.Uint64("loads", c.ConfigLoads), slog.Uint64("load_errors", c.ConfigLoadErrors),
 		slog.Uint64("executes", c.Executes), slog.Uint64("prepares", c.Prepares),
 		slog.Uint64("no_room", c.ConnectionsNotOpened), slog.Uint64("answered_late", c.AnsweredLate), slog.Uint64("slow_turns", c.SlowTurns),
 		slog.Uint64("digests", c.Digests), slog.Uint64("digests_malformed", c.DigestsMalformed), slog.Uint64("verdicts", c.Verdicts))
 }
 
-// end counts how an attempt ended.
-func (c *Counters) end(r logic.Result) {
+// countResult counts an attempt's result.
+func (c *Counters) countResult(r logic.Result) {
 	switch r {
 	case logic.OK:
 		c.OK++
--- a/internal/state/deadlines.go
+++ b/internal/state/deadlines.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Deadlines is the one queue of all that is to happen at a time. It is looked at by its owner alone; nothing
-// runs beside it.
+// Deadlines is a priority queue of callbacks by time. It is not safe for concurrent use; callbacks run in Run, on its
+// owner's goroutine.
 type Deadlines struct {
 	heap deadlineHeap
 }
 
-// Deadline is one entry; whoever waits for it holds it, set or not, and it may be set again.
+// Deadline is an entry of Deadlines. It is embedded or held by its user and may be set again at any time.
 type Deadline struct {
-	at   time.Duration
-	then func()
-	slot int // its place in the queue + 1; 0 = not set
+	at       time.Duration
+	callback func()
+	position int // index in the heap + 1; 0 = not set
 }
 
-// Set queues d, or moves it.
-func (q *Deadlines) Set(d *Deadline, at time.Duration, then func()) {
-	d.at, d.then = at, then
-	if d.slot > 0 {
-		heap.Fix(&q.heap, d.slot-1)
+// Set queues d, or moves it if it is queued, so that callback runs at the given time.
+func (q *Deadlines) Set(d *Deadline, at time.Duration, callback func()) {
+	d.at, d.callback = at, callback
+	if d.position > 0 {
+		heap.Fix(&q.heap, d.position-1)
 		return
 	}
 	heap.Push(&q.heap, d)
 }
 
-// Clear takes d out of the queue, if it is in.
+// Clear removes d from the queue if it is queued.
 func (q *Deadlines) Clear(d *Deadline) {
-	if d.slot > 0 {
-		heap.Remove(&q.heap, d.slot-1)
-		d.then = nil
+	if d.position > 0 {
+		heap.Remove(&q.heap, d.position-1)
+		d.callback = nil
 	}
 }
 
-// Next tells when the first entry is due.
+// Next returns the time of the earliest entry; false if there is none.
 func (q *Deadlines) Next() (time.Duration, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -44,11 +44,11 @@
 	return q.heap[0].at, true
 }
 
-// Run carries out what is due, no more entries than were there before: one that sets itself anew can't hold up
-// its owner.
+// Run runs the callbacks that are due. It runs at most as many as were queued when it was called, so that a callback
+// that sets itself again cannot block the owner.
 func (q *Deadlines) Run(now time.Duration) {
 	for n := len(q.heap); n > 0 && len(q.heap) > 0 && q.heap[0].at <= now; n-- {
-		heap.Pop(&q.heap).(*Deadline).then()
+		heap.Pop(&q.heap).(*Deadline).callback()
 	}
 }
 
@@ -58,13 +58,13 @@
 func (h deadlineHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].slot, h[j].slot = i+1, j+1
+	h[i].position, h[j].position = i+1, j+1
 }
 
 func (h *deadlineHeap) Push(x any) {
 	d := x.(*Deadline)
 	*h = append(*h, d)
-	d.slot = len(*h)
+	d.position = len(*h)
 }
 
 func (h *deadlineHeap) Pop() any {
@@ -72,6 +72,6 @@
 	d := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	d.slot = 0
+	d.position = 0
 	return d
 }
--- a/internal/state/health.go
+++ b/internal/state/health.go
@@ -10,114 +10,115 @@
 	"havenproxy/logic"
 )
 
-// ReportSender carries a message to the planner that this proxy is linked to. It returns at once, and may lose it: a new link is sent
-// everything.
+// ReportSender sends messages to the planner that this proxy is connected to. SendReports returns at once and may
+// lose the message: everything is sent again over a new connection.
 type ReportSender interface{ SendReports(message []byte) }
 
-// SharedChecksConfig is what shared health checks need to know of the deployment.
+// SharedChecksConfig configures shared health checks.
 type SharedChecksConfig struct {
 	Self            subset.Proxy
-	Epoch           uint32 // of this process: when it started, Unix time in seconds
-	Seed            uint64 // of the tier
+	Epoch           uint32 // start time of this process, Unix time in seconds
+	Seed            uint64 // the tier's seed for assigning databases to proxies
 	ChecksPerSecond float64
 	BytesPerSecond  float64
 	Sender          ReportSender
-	// Assignment is one that several fronts of one process share, in a simulation; nil = an own one.
+	// Assignment is shared by several engines of one process in a simulation; nil = the engine calculates its own.
 	Assignment *subset.Assignment
 }
 
-// sharedChecks is one proxy's side of health checks that its tier shares. All methods but those of Front may be called on nil.
+// sharedChecks is one proxy's part in the health checks that the proxies of its tier share. All methods without an
+// Engine as receiver may be called on nil.
 type sharedChecks struct {
 	config    SharedChecksConfig
-	node      *healthcheck.Node // nil = the fleet is small enough that each proxy checks all
+	node      *healthcheck.Node // nil = the fleet is so small that each proxy checks all databases
 	tier      []subset.Proxy
-	databases []subset.DatabaseID // as the node was told, in order
+	databases []subset.DatabaseID // as last passed to node, sorted
 	used      []subset.DatabaseID
 	choice    subsetChoice
 	members   map[subset.DatabaseID]logic.MemberID
-	usedAt    time.Duration // when used was looked up
+	usedAt    time.Duration // when usedDatabases was last updated
 	timer     Deadline
 	message   []byte
 }
 
 const (
-	// nodeTick is how often the node is asked for orders.
+	// nodeTick is the interval at which the node is asked which checks and messages are due.
 	nodeTick = 100 * time.Millisecond
-	// usedEvery is how often it is looked up which databases are used.
-	usedEvery = 2 * time.Second
+	// usedInterval is the interval at which the set of databases in use is updated.
+	usedInterval = 2 * time.Second
 )
 
-// ShareChecks lets the proxy share health checks with its tier, where the plan says that it pays. Called again, it begins anew as another
-// member, with no tier.
-func (f *Engine) ShareChecks(config SharedChecksConfig) {
-	if f.checks != nil {
-		f.Deadlines.Clear(&f.checks.timer)
+// ShareChecks enables shared health checks, which are used if the plan for the fleet's size calls for them. A further
+// call starts again as another member of the tier, without known proxies.
+func (e *Engine) ShareChecks(config SharedChecksConfig) {
+	if e.checks != nil {
+		e.Deadlines.Clear(&e.checks.timer)
 	}
-	if f.SharesChecks() {
-		f.checks.dropSubset(f)
-		f.tell(func() { f.planned.ShareChecks(f.clock.Now(), 0) })
+	if e.SharesChecks() {
+		e.checks.dropSubset(e)
+		e.dispatch(func() { e.router.ShareChecks(e.clock.Now(), 0) })
 	}
-	f.checks = &sharedChecks{config: config, members: map[subset.DatabaseID]logic.MemberID{}}
-	f.checks.listed(f)
+	e.checks = &sharedChecks{config: config, members: map[subset.DatabaseID]logic.MemberID{}}
+	e.checks.updateDatabases(e)
 }
 
-// SharesChecks tells whether checks are shared now.
-func (f *Engine) SharesChecks() bool { return f.checks != nil && f.checks.node != nil }
+// SharesChecks reports whether health checks are currently shared.
+func (e *Engine) SharesChecks() bool { return e.checks != nil && e.checks.node != nil }
 
-// SetTier tells which proxies there are; this one is among them.
-func (f *Engine) SetTier(tier []subset.Proxy) {
-	s := f.checks
+// SetTier sets the proxies of the tier, including this one.
+func (e *Engine) SetTier(tier []subset.Proxy) {
+	s := e.checks
 	if s == nil {
 		return
 	}
 	s.tier = slices.Clone(tier)
-	if s.replan(f); s.node != nil {
-		s.node.SetTier(f.clock.Now(), s.tier)
+	if s.replan(e); s.node != nil {
+		s.node.SetTier(e.clock.Now(), s.tier)
 	}
 }
 
-// PlannerConnected tells of a new link to a planner.
-func (f *Engine) PlannerConnected() {
-	if f.SharesChecks() {
-		f.checks.node.PlannerConnected(f.clock.Now())
+// PlannerConnected reports a new connection to a planner.
+func (e *Engine) PlannerConnected() {
+	if e.SharesChecks() {
+		e.checks.node.PlannerConnected(e.clock.Now())
 	}
 }
 
-// ReceiveDigest takes a planner's digest. The error tells that it could not be read; it is counted.
-func (f *Engine) ReceiveDigest(message []byte) error {
-	if !f.SharesChecks() {
+// ReceiveDigest applies a planner's digest. It counts digests that cannot be parsed and returns the error.
+func (e *Engine) ReceiveDigest(message []byte) error {
+	if !e.SharesChecks() {
 		return nil
 	}
-	digest, err := wire.ParseDigest(message, f.wireClock())
+	digest, err := wire.ParseDigest(message, e.wireClock())
 	if err != nil {
-		f.Counters.DigestsMalformed++
+		e.Counters.DigestsMalformed++
 		return err
 	}
-	f.Counters.Digests++
-	f.checks.node.ReceiveDigest(f.clock.Now(), digest)
-	f.checks.tellVerdicts(f)
+	e.Counters.Digests++
+	e.checks.node.ReceiveDigest(e.clock.Now(), digest)
+	e.checks.forwardVerdicts(e)
 	return nil
 }
 
-func (f *Engine) wireClock() wire.Clock { return wire.Clock{Unix: f.clock.Unix(), Now: f.clock.Now()} }
+func (e *Engine) wireClock() wire.Clock { return wire.Clock{Unix: e.clock.Unix(), Now: e.clock.Now()} }
 
-// plan calculates whether checks are shared.
+// plan calculates whether health checks are shared.
 func (s *sharedChecks) plan() healthcheck.Plan {
 	return healthcheck.NewPlan(healthcheck.Settings{Proxies: len(s.tier), Databases: len(s.databases),
 		TalkAllowed: len(s.tier) > 0, ChecksPerSecond: s.config.ChecksPerSecond, BytesPerSecond: s.config.BytesPerSecond})
 }
 
-// replan begins or ends sharing, as the plan says.
-func (s *sharedChecks) replan(f *Engine) {
-	now, plan := f.clock.Now(), s.plan()
+// replan starts or stops sharing health checks as the plan requires.
+func (s *sharedChecks) replan(e *Engine) {
+	now, plan := e.clock.Now(), s.plan()
 	if plan.Shared == (s.node != nil) {
 		return
 	}
 	if !plan.Shared {
 		s.node = nil
-		f.Deadlines.Clear(&s.timer)
-		s.dropSubset(f)
-		f.tell(func() { f.planned.ShareChecks(f.clock.Now(), 0) })
+		e.Deadlines.Clear(&s.timer)
+		s.dropSubset(e)
+		e.dispatch(func() { e.router.ShareChecks(e.clock.Now(), 0) })
 		return
 	}
 	config := healthcheck.Config{Self: s.config.Self, Epoch: s.config.Epoch, Seed: s.config.Seed, Plan: plan}
@@ -128,18 +129,19 @@
 	}
 	s.node.SetDatabases(now, s.databases)
 	s.node.SetTier(now, s.tier)
-	f.tell(func() { f.planned.ShareChecks(f.clock.Now(), plan.ChecksPerSecond) })
-	f.Deadlines.Set(&s.timer, now+nodeTick, func() { s.tick(f) })
+	e.dispatch(func() { e.router.ShareChecks(e.clock.Now(), plan.ChecksPerSecond) })
+	e.Deadlines.Set(&s.timer, now+nodeTick, func() { s.tick(e) })
 }
 
-// listed takes over which databases the own list names. Two that share a number stay with own checks.
-func (s *sharedChecks) listed(f *Engine) {
+// updateDatabases updates the databases to check from this proxy's list. Databases with the same short number are
+// left to this proxy's own checks.
+func (s *sharedChecks) updateDatabases(e *Engine) {
 	if s == nil {
 		return
 	}
 	clear(s.members)
 	shared := map[subset.DatabaseID]bool{}
-	for id, m := range f.members {
+	for id, m := range e.members {
 		if m.state != logic.Ready {
 			continue
 		}
@@ -162,41 +164,41 @@
 		return
 	}
 	s.databases = databases
-	if s.replan(f); s.node != nil {
-		s.node.SetDatabases(f.clock.Now(), databases)
+	if s.replan(e); s.node != nil {
+		s.node.SetDatabases(e.clock.Now(), databases)
 	}
 }
 
-// tick carries out the node's orders.
-func (s *sharedChecks) tick(f *Engine) {
+// tick carries out the checks and sends the messages that the node has scheduled.
+func (s *sharedChecks) tick(e *Engine) {
 	if s.node == nil {
 		return
 	}
-	now := f.clock.Now()
-	f.Deadlines.Set(&s.timer, now+nodeTick, func() { s.tick(f) })
-	if now-s.usedAt >= usedEvery {
+	now := e.clock.Now()
+	e.Deadlines.Set(&s.timer, now+nodeTick, func() { s.tick(e) })
+	if now-s.usedAt >= usedInterval {
 		s.usedAt = now
-		s.setUsed(f, now)
-		s.chooseSubset(f, now)
+		s.setUsed(e, now)
+		s.chooseSubset(e, now)
 	}
 	orders := s.node.Tick(now)
 	for _, number := range orders.Checks {
-		f.tell(func() { f.planned.Check(f.clock.Now(), s.members[number]) })
+		e.dispatch(func() { e.router.Check(e.clock.Now(), s.members[number]) })
 	}
 	for _, m := range orders.Messages {
-		if m.ToPlanner { // there is no way to single peers yet
-			s.message = wire.AppendMessage(s.message[:0], f.wireClock(), m)
+		if m.ToPlanner { // messages to single peers cannot be sent yet
+			s.message = wire.AppendMessage(s.message[:0], e.wireClock(), m)
 			s.config.Sender.SendReports(s.message)
 		}
 	}
-	s.tellVerdicts(f)
+	s.forwardVerdicts(e)
 }
 
 // setUsed tells the node which databases this proxy sends requests to.
-func (s *sharedChecks) setUsed(f *Engine, now time.Duration) {
+func (s *sharedChecks) setUsed(e *Engine, now time.Duration) {
 	var used []subset.DatabaseID
 	for _, number := range s.databases {
-		if m := f.members[s.members[number]]; m != nil && f.planned.InUse(now, logic.GroupID(m.group)) {
+		if m := e.members[s.members[number]]; m != nil && e.router.InUse(now, logic.GroupID(m.group)) {
 			used = append(used, number)
 		}
 	}
@@ -206,34 +208,34 @@
 	}
 }
 
-// tellVerdicts hands the router what has changed.
-func (s *sharedChecks) tellVerdicts(f *Engine) {
-	for _, x := range s.node.TakeVerdicts(f.clock.Now()) {
-		f.Counters.Verdicts++
-		f.tell(func() { f.planned.Verdict(f.clock.Now(), s.members[x.Database], x.Verdict) })
+// forwardVerdicts passes changed verdicts to the router.
+func (s *sharedChecks) forwardVerdicts(e *Engine) {
+	for _, x := range s.node.TakeVerdicts(e.clock.Now()) {
+		e.Counters.Verdicts++
+		e.dispatch(func() { e.router.Verdict(e.clock.Now(), s.members[x.Database], x.Verdict) })
 	}
 }
 
-// checked takes the outcome of a health check, whatever it was sent for.
-func (s *sharedChecks) checked(f *Engine, m *member, r Reply) {
+// recordCheck passes the result of a health check to the node, whatever the reason for the check was.
+func (s *sharedChecks) recordCheck(e *Engine, m *member, r Reply) {
 	if s == nil || s.node == nil {
 		return
 	}
-	now, seen := f.clock.Now(), observation(r)
-	load := f.report(r)
-	seen.ColdStart = seen.Answered && m.born > 0 && now-m.born < f.cfg.Logic.Cold
+	now, seen := e.clock.Now(), observation(r)
+	load := e.loadReport(r)
+	seen.ColdStart = seen.Answered && m.startedAt > 0 && now-m.startedAt < e.cfg.Logic.Cold
 	seen.Role, seen.Position = roleOf(load.Role), load.Position
 	s.node.Checked(now, logic.ShortNumber(m.id), seen)
 }
 
-// served takes an answer to a request as evidence of life.
-func (s *sharedChecks) served(f *Engine, m *member, r Reply) {
+// recordAnswer passes an answer to a request to the node as evidence that the database is alive.
+func (s *sharedChecks) recordAnswer(e *Engine, m *member, r Reply) {
 	if s != nil && s.node != nil && observation(r).Answered {
-		s.node.Served(f.clock.Now(), logic.ShortNumber(m.id))
+		s.node.Served(e.clock.Now(), logic.ShortNumber(m.id))
 	}
 }
 
-// observation says what a reply tells of its database's health.
+// observation converts a reply to an observation of its database's health.
 func observation(r Reply) healthcheck.Observation {
 	switch r.Result {
 	case logic.OK, logic.Miss, logic.Full:
--- a/internal/state/late.go
+++ b/internal/state/late.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// lateAfter is how long behind its client's time an answer counts as late.
-	lateAfter = 50 * time.Millisecond
-	// lateLogEvery is the time between two log lines of late answers, at least.
-	lateLogEvery = 100 * time.Millisecond
+	// lateThreshold is how long after the end of its client's wait an answer counts as late.
+	lateThreshold = 50 * time.Millisecond
+	// lateLogInterval is the minimum interval between two log lines about late answers.
+	lateLogInterval = 100 * time.Millisecond
 )
 
-// lateAnswers paces the log lines of late answers.
-type lateAnswers struct{ loggedAt time.Duration }
+// lateLog limits the rate of log lines about late answers.
+type lateLog struct{ loggedAt time.Duration }
 
-// noteLate counts a request whose answer comes late, and logs what became of it meanwhile.
-func (f *Engine) noteLate(q *request) {
-	now := f.clock.Now()
-	if now-q.until < lateAfter {
+// checkLateness counts a request that is answered late, and logs its progress until then.
+func (e *Engine) checkLateness(req *request) {
+	now := e.clock.Now()
+	if now-req.deadline < lateThreshold {
 		return
 	}
-	f.Counters.AnsweredLate++
-	if f.late.loggedAt > 0 && now-f.late.loggedAt < lateLogEvery {
+	e.Counters.AnsweredLate++
+	if e.lateLog.loggedAt > 0 && now-e.lateLog.loggedAt < lateLogInterval {
 		return
 	}
-	f.late.loggedAt = now
-	slog.Warn("request answered late", "id", q.name, "class", f.cfg.Logic.Classes[q.class].Name, "group", q.group, "late", now-q.until,
-		"taken_before", now-q.since, "attempts", q.tries, "late_answers", f.Counters.AnsweredLate)
+	e.lateLog.loggedAt = now
+	slog.Warn("request answered late", "id", req.name, "class", e.cfg.Logic.Classes[req.class].Name, "group", req.group, "late", now-req.deadline,
+		"taken_before", now-req.receivedAt, "attempts", req.attempts, "late_answers", e.Counters.AnsweredLate)
 }
--- a/internal/state/logins/logins.go
+++ b/internal/state/logins/logins.go
@@ -46,54 +46,54 @@
 type Login struct{ Peer, User string }
 
 type record struct {
-	failures int
-	last     time.Duration // of the last failure
-	until    time.Duration // no try before
+	failures     int
+	lastFailure  time.Duration // of the last failure
+	blockedUntil time.Duration // no try before
 }
 
 // Guard is the state. It is not safe for concurrent use.
 type Guard struct {
-	cfg    Config
-	known  *simplelru.LRU[Login, *record] // those that failed, the least recently seen of which is forgotten
-	checks map[string]int
-	busy   int
+	cfg           Config
+	records       *simplelru.LRU[Login, *record] // those that failed, the least recently seen of which is forgotten
+	checksByPeer  map[string]int
+	runningChecks int
 }
 
 // New makes a guard.
 func New(cfg Config) *Guard {
-	g := &Guard{cfg: cfg.WithDefaults(), checks: map[string]int{}}
-	g.known, _ = simplelru.NewLRU[Login, *record](g.cfg.MaxPeers, nil)
+	g := &Guard{cfg: cfg.WithDefaults(), checksByPeer: map[string]int{}}
+	g.records, _ = simplelru.NewLRU[Login, *record](g.cfg.MaxPeers, nil)
 	return g
 }
 
 // Allow tells whether a login may be looked at now; otherwise how long its peer has to wait. A try that comes too early
 // doesn't lengthen the wait: a program that only retries gets in once its password has been mended.
 func (g *Guard) Allow(now time.Duration, who Login) (wait time.Duration, ok bool) {
-	r, ok := g.known.Peek(who)
+	r, ok := g.records.Peek(who)
 	if !ok {
 		return 0, true
 	}
-	if now-r.last >= g.cfg.ForgetAfter && now >= r.until {
-		g.known.Remove(who)
+	if now-r.lastFailure >= g.cfg.ForgetAfter && now >= r.blockedUntil {
+		g.records.Remove(who)
 		return 0, true
 	}
-	if now < r.until {
-		return r.until - now, false
+	if now < r.blockedUntil {
+		return r.blockedUntil - now, false
 	}
 	return 0, true
 }
 
 // Failed notes a wrong password, or a user that there isn't: nobody is to tell one from the other by the waits.
 func (g *Guard) Failed(now time.Duration, who Login) {
-	r, ok := g.known.Get(who)
+	r, ok := g.records.Get(who)
 	if !ok {
 		r = &record{}
-		g.known.Add(who, r)
+		g.records.Add(who, r)
 	}
-	if r.last > 0 && now-r.last >= g.cfg.ForgetAfter {
+	if r.lastFailure > 0 && now-r.lastFailure >= g.cfg.ForgetAfter {
 		r.failures = 0
 	}
-	r.failures, r.last = r.failures+1, now
+	r.failures, r.lastFailure = r.failures+1, now
 	if over := r.failures - g.cfg.FreeFailures; over > 0 {
 		wait := g.cfg.MaxWait
 		if over < 32 {
@@ -102,31 +102,31 @@
 				wait = g.cfg.MaxWait
 			}
 		}
-		r.until = now + wait
+		r.blockedUntil = now + wait
 	}
 }
 
 // Succeeded notes a right password.
-func (g *Guard) Succeeded(who Login) { g.known.Remove(who) }
+func (g *Guard) Succeeded(who Login) { g.records.Remove(who) }
 
 // Len counts the peers that are remembered.
-func (g *Guard) Len() int { return g.known.Len() }
+func (g *Guard) Len() int { return g.records.Len() }
 
 // StartCheck asks for a costly check on behalf of a peer. One that is let in is to be ended by Checked; others are turned away
 // at once, for they would wait behind all of those.
 func (g *Guard) StartCheck(peer string) bool {
-	if g.busy >= g.cfg.MaxChecks || g.checks[peer] >= g.cfg.MaxChecksPerPeer {
+	if g.runningChecks >= g.cfg.MaxChecks || g.checksByPeer[peer] >= g.cfg.MaxChecksPerPeer {
 		return false
 	}
-	g.busy++
-	g.checks[peer]++
+	g.runningChecks++
+	g.checksByPeer[peer]++
 	return true
 }
 
 // EndCheck ends a costly check.
 func (g *Guard) EndCheck(peer string) {
-	g.busy--
-	if g.checks[peer]--; g.checks[peer] <= 0 {
-		delete(g.checks, peer)
+	g.runningChecks--
+	if g.checksByPeer[peer]--; g.checksByPeer[peer] <= 0 {
+		delete(g.checksByPeer, peer)
 	}
 }
--- a/internal/state/members.go
+++ b/internal/state/members.go
@@ -8,191 +8,194 @@
 	"havenproxy/logic"
 )
 
-// List is news of the databases, whatever catalogue it comes from.
+// List is a list of databases, or changes to it, from a catalogue.
 type List struct {
 	Kind    logic.ListKind
 	Entries []Entry
 }
 
-// Entry is one database.
+// Entry is a database in a List.
 type Entry struct {
-	Name          string // the same at every proxy
+	Name          string // the same at all proxies
 	Address       string
 	Zone          string
 	Group         int
 	State         logic.MemberState
 	Size          float64
-	Started       time.Duration // Unix time; 0 = long ago
-	ObservedStart time.Duration // on the front's clock: a start that was seen, not told; 0 = none was
+	Started       time.Duration // Unix time; 0 = long ago or unknown
+	ObservedStart time.Duration // on the engine's clock: a start that was inferred, not listed; 0 = none
 }
 
-// member is one database with the connections to it.
+// member is a database and the connections to it.
 type member struct {
-	id      logic.MemberID
-	name    string
-	address string
-	group   int
-	zone    string
-	size    float64
-	started time.Duration // Unix time, as last listed,
-	born    time.Duration // and on the router's clock
-	state   logic.MemberState
-	seen    bool // in the whole list in hand
-	drained bool // listed as draining, and not as ready since
-
-	outsideSubset bool // its group is used, and this proxy keeps no connections to it
-
-	role   logic.Role // as it last told
-	silent bool       // its last probe had no answer
-
-	idle    []*link // the one used last at the end
-	opening []*link
-	links   map[*link]struct{} // all, but for the one for probes
-	probe   *link
-	witness *link // an earlier one for probes, whose answer is overdue
-}
-
-// UpdateList takes in news of the platform's list.
-func (f *Engine) UpdateList(l List) {
-	f.told = f.told || l.Kind != logic.ListCached
-	if f.listFailing && l.Kind != logic.ListCached {
-		f.listFailing = false
+	id        logic.MemberID
+	name      string
+	address   string
+	group     int
+	zone      string
+	size      float64
+	started   time.Duration // as last listed, Unix time
+	startedAt time.Duration // latest start known, on the router's clock
+	state     logic.MemberState
+	inList    bool // contained in the list that is being applied
+	draining  bool // has been listed as draining, and not as ready since
+
+	outsideSubset bool // its group is used, but this proxy keeps no connections to it
+
+	role   logic.Role // as last reported by the database
+	silent bool       // its last probe was not answered
+
+	idleConns    []*pooledConn // sorted by last use, the latest at the end
+	openingConns []*pooledConn
+	conns        map[*pooledConn]struct{} // all connections except probeConn and overdueConn
+	probeConn    *pooledConn
+	overdueConn  *pooledConn // former probeConn whose probe has timed out
+}
+
+// UpdateList applies a list from the discovery service.
+func (e *Engine) UpdateList(l List) {
+	e.listReceived = e.listReceived || l.Kind != logic.ListCached
+	if e.listFailing && l.Kind != logic.ListCached {
+		e.listFailing = false
 		slog.Info("discovery answers again")
 	}
-	if f.merged != nil {
-		f.ownList(l)
+	if e.membership != nil {
+		e.updateFromDiscovery(l)
 		return
 	}
-	f.take(l)
+	e.applyList(l)
 }
 
-// take puts a list into effect.
-func (f *Engine) take(l List) {
+// applyList updates the members from a list and passes it to the router.
+func (e *Engine) applyList(l List) {
 	out := logic.List{Kind: l.Kind, Entries: make([]logic.Member, 0, len(l.Entries))}
-	f.changesLogged = 0
-	defer f.logFurtherChanges()
-	for _, m := range f.names {
-		m.seen = false
+	e.changesLogged = 0
+	defer e.logFurtherChanges()
+	for _, m := range e.membersByName {
+		m.inList = false
 	}
-	for _, e := range l.Entries {
-		m := f.member(e)
-		m.seen = true
-		out.Entries = append(out.Entries, logic.Member{ID: m.id, Zone: f.zone(e.Zone), Group: logic.GroupID(e.Group),
-			State: e.State, Size: e.Size, Born: m.born})
+	for _, entry := range l.Entries {
+		m := e.updateMember(entry)
+		m.inList = true
+		out.Entries = append(out.Entries, logic.Member{ID: m.id, Zone: e.zoneNumber(entry.Zone), Group: logic.GroupID(entry.Group),
+			State: entry.State, Size: entry.Size, Born: m.startedAt})
 	}
 	if l.Kind != logic.ListDelta {
-		for _, m := range f.names {
-			if !m.seen {
-				f.leave(m, logic.Gone)
+		for _, m := range e.membersByName {
+			if !m.inList {
+				e.setState(m, logic.Gone)
 			}
 		}
 	}
-	f.tell(func() { f.router.Members(f.clock.Now(), out) })
-	f.checks.listed(f)
+	e.dispatch(func() { e.events.Members(e.clock.Now(), out) })
+	e.checks.updateDatabases(e)
 }
 
-// mostChangesLogged is how many changes of one list are logged one by one.
-const mostChangesLogged = 50
+// maxChangesLogged is the maximum number of changes of one list that are logged individually.
+const maxChangesLogged = 50
 
-// logsChange counts a change of the list in hand, and tells whether it is logged by itself.
-func (f *Engine) logsChange() bool {
-	f.changesLogged++
-	return f.changesLogged <= mostChangesLogged
+// countChange counts a change of the current list and reports whether it is to be logged individually.
+func (e *Engine) countChange() bool {
+	e.changesLogged++
+	return e.changesLogged <= maxChangesLogged
 }
 
-// logFurtherChanges logs how many changes of the list in hand were not logged by themselves.
-func (f *Engine) logFurtherChanges() {
-	if n := f.changesLogged - mostChangesLogged; n > 0 {
-		slog.Info("further databases listed or changed", "changes", n, "databases", len(f.names))
+// logFurtherChanges logs the number of changes of the current list that were not logged individually.
+func (e *Engine) logFurtherChanges() {
+	if n := e.changesLogged - maxChangesLogged; n > 0 {
+		slog.Info("further databases listed or changed", "changes", n, "databases", len(e.membersByName))
 	}
 }
 
-// ListFailed tells that a call failed or that a watch broke; the list in hand still holds.
-func (f *Engine) ListFailed(why error) {
-	f.Counters.ListFailures++
-	if !f.listFailing {
-		f.listFailing = true
-		slog.Warn("discovery fails", "error", why)
+// ListFailed reports that a call to the discovery service failed or that a watch was interrupted. The current list
+// stays in use.
+func (e *Engine) ListFailed(err error) {
+	e.Counters.ListFailures++
+	if !e.listFailing {
+		e.listFailing = true
+		slog.Warn("discovery fails", "error", err)
 	}
-	if f.merged != nil {
-		f.merged.CatalogueFailed(f.clock.Now(), DiscoveryCatalogue, why.Error())
+	if e.membership != nil {
+		e.membership.CatalogueFailed(e.clock.Now(), DiscoveryCatalogue, err.Error())
 	}
-	f.tell(func() { f.router.Members(f.clock.Now(), logic.List{Kind: logic.ListFailed}) })
+	e.dispatch(func() { e.events.Members(e.clock.Now(), logic.List{Kind: logic.ListFailed}) })
 }
 
-// member finds the member of an entry, or makes it, and brings it up to date.
-func (f *Engine) member(e Entry) *member {
-	m := f.names[e.Name]
+// updateMember updates the member of an entry, creating it if it is new.
+func (e *Engine) updateMember(entry Entry) *member {
+	m := e.membersByName[entry.Name]
 	if m == nil {
-		m = &member{id: f.memberID(e.Name), name: e.Name, state: e.State, links: map[*link]struct{}{}}
-		f.names[e.Name], f.members[m.id] = m, m
-		if f.logsChange() {
-			slog.Info("database listed", "name", e.Name, "address", e.Address, "group", e.Group, "state", stateName(e.State))
+		m = &member{id: e.memberID(entry.Name), name: entry.Name, state: entry.State, conns: map[*pooledConn]struct{}{}}
+		e.membersByName[entry.Name], e.members[m.id] = m, m
+		if e.countChange() {
+			slog.Info("database listed", "name", entry.Name, "address", entry.Address, "group", entry.Group, "state", stateName(entry.State))
 		}
 	}
-	m.group, m.zone, m.size = e.Group, e.Zone, e.Size
-	// A start is placed once. The two clocks are not read in one moment, and the wall clock is set now and then: placed anew with each
-	// list, it would come a little later, which is a start of its own to the router.
-	if m.started != e.Started {
-		m.started, m.born = e.Started, place(f.clock, e.Started)
-		f.closeIdle(m) // they lead to the process before
+	m.group, m.zone, m.size = entry.Group, entry.Zone, entry.Size
+	// A start time is converted to the router's clock only once. The two clocks are not read at the same instant, and
+	// the wall clock is adjusted at times: converted again with each list, the start time would move, which the router
+	// would take for another restart.
+	if m.started != entry.Started {
+		m.started, m.startedAt = entry.Started, fromUnix(e.clock, entry.Started)
+		e.closeIdle(m) // they lead to the previous process
 	}
-	m.born = max(m.born, e.ObservedStart)
-	if m.address != e.Address && e.Address != "" {
-		m.address = e.Address
-		f.closeIdle(m) // they lead to where it was
+	m.startedAt = max(m.startedAt, entry.ObservedStart)
+	if m.address != entry.Address && entry.Address != "" {
+		m.address = entry.Address
+		e.closeIdle(m) // they lead to the old address
 	}
-	f.leave(m, e.State)
+	e.setState(m, entry.State)
 	return m
 }
 
-// memberID makes an id of a name, so that who comes back after it was forgotten is known by the same one.
-func (f *Engine) memberID(name string) logic.MemberID {
+// memberID derives an ID from a name, so that a member that returns after it was forgotten gets the same ID.
+func (e *Engine) memberID(name string) logic.MemberID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	id := logic.MemberID(h.Sum64())
-	for f.members[id] != nil {
+	for e.members[id] != nil {
 		id++
 	}
 	return id
 }
 
-// leave notes a change of a member's state. One that wants nothing new needs no idle connections.
-func (f *Engine) leave(m *member, to logic.MemberState) {
-	if m.state != to && f.logsChange() {
+// setState sets a member's state. A member that takes no new requests needs no idle connections.
+func (e *Engine) setState(m *member, to logic.MemberState) {
+	if m.state != to && e.countChange() {
 		slog.Info("database changed", "name", m.name, "address", m.address, "from", stateName(m.state), "to", stateName(to))
 	}
 	m.state = to
 	switch to {
 	case logic.Draining:
-		m.drained = true
+		m.draining = true
 	case logic.Ready:
-		m.drained = false
+		m.draining = false
 	}
 	if to != logic.Ready {
-		f.closeIdle(m)
+		e.closeIdle(m)
 	}
-	f.forgetGone(m)
+	e.forgetGone(m)
 }
 
-// sendable tells whether the list lets a new attempt go to a member. Where only a drain binds, one that is gone may be sent to, unless it
-// was draining before: its absence from a later list does not lift the drain.
-func (f *Engine) sendable(m *member) bool {
-	return m.state == logic.Ready || m.state == logic.Gone && f.cfg.Logic.DrainOnly && !m.drained
+// sendable reports whether the list allows new attempts on a member. With DrainOnly, a member that is gone may still
+// be used unless it was draining before: its absence from a later list does not end the drain.
+func (e *Engine) sendable(m *member) bool {
+	return m.state == logic.Ready || m.state == logic.Gone && e.cfg.Logic.DrainOnly && !m.draining
 }
 
-// forgetGone drops a member that is gone, once no connection to it is left: databases come and go under new names
-// all day. Where the list binds no one, only a whole list that leaves it out tells that it won't be sent to again.
-func (f *Engine) forgetGone(m *member) {
-	if m.state == logic.Gone && (!m.seen || !f.cfg.Logic.DrainOnly) && len(m.links) == 0 && m.probe == nil && m.witness == nil &&
-		f.names[m.name] == m {
-		delete(f.names, m.name)
-		delete(f.members, m.id)
+// forgetGone removes a member that is gone once no connection to it is left, as databases come and go under new names
+// all day. With DrainOnly, only a full list without the member means that no more requests will be sent to it.
+func (e *Engine) forgetGone(m *member) {
+	if m.state == logic.Gone && (!m.inList || !e.cfg.Logic.DrainOnly) && len(m.conns) == 0 && m.probeConn == nil && m.overdueConn == nil &&
+		e.membersByName[m.name] == m {
+		delete(e.membersByName, m.name)
+		delete(e.members, m.id)
 	}
 }
 
-// heard logs what changes in what a member tells of itself. The router draws its own conclusions.
-func (m *member) heard(r Reply, probe bool) {
+// logReply logs changes of a member's role and, for probes, whether it answers. It does not affect the router's
+// decisions.
+func (m *member) logReply(r Reply, probe bool) {
 	role := r.Role
 	if role == logic.RoleUnknown {
 		role = r.Load.Role
@@ -220,9 +223,9 @@
 	return [...]string{logic.Gone: "gone", logic.Ready: "ready", logic.Draining: "draining"}[s]
 }
 
-// zone gives the number of a zone; an unknown one is nobody's own.
-func (f *Engine) zone(name string) int {
-	for i, z := range f.cfg.Zones {
+// zoneNumber returns the index of a zone; -1, which is no proxy's zone, if it is unknown.
+func (e *Engine) zoneNumber(name string) int {
+	for i, z := range e.cfg.Zones {
 		if z == name {
 			return i
 		}
@@ -230,14 +233,14 @@
 	return -1
 }
 
-func (f *Engine) closeIdle(m *member) {
-	for len(m.idle) > 0 {
-		f.close(m.idle[len(m.idle)-1])
+func (e *Engine) closeIdle(m *member) {
+	for len(m.idleConns) > 0 {
+		e.closeConn(m.idleConns[len(m.idleConns)-1])
 	}
-	if m.probe != nil && m.probe.state == linkIdle {
-		f.close(m.probe)
+	if m.probeConn != nil && m.probeConn.state == connIdle {
+		e.closeConn(m.probeConn)
 	}
-	if m.witness != nil {
-		f.close(m.witness)
+	if m.overdueConn != nil {
+		e.closeConn(m.overdueConn)
 	}
 }
--- a/internal/state/peers.go
+++ b/internal/state/peers.go
@@ -5,31 +5,31 @@
 	wire "havenproxy/internal/wire/peers"
 )
 
-// PeerSender carries a message to all peers. It returns at once, and may lose it.
+// PeerSender sends messages to all peers. SendToPeers returns at once and may lose the message.
 type PeerSender interface{ SendToPeers(message []byte) }
 
-// SetPeerSender sets what carries messages to the other proxies; without, what there is to tell is dropped.
-func (f *Engine) SetPeerSender(t PeerSender) { f.teller = t }
+// SetPeerSender sets the sender of messages to peers. Without one, messages are dropped.
+func (e *Engine) SetPeerSender(t PeerSender) { e.peerSender = t }
 
 // Tell implements logic.Actions.
-func (f *Engine) Tell(facts []peers.Fact) {
-	if f.teller == nil {
+func (e *Engine) Tell(facts []peers.Fact) {
+	if e.peerSender == nil {
 		return
 	}
-	if f.message = wire.Append(f.message[:0], f.clock.Unix(), f.clock.Now(), facts); len(f.message) > 0 {
-		f.Counters.PeerMessagesSent++
-		f.teller.SendToPeers(f.message)
+	if e.peerMessage = wire.Append(e.peerMessage[:0], e.clock.Unix(), e.clock.Now(), facts); len(e.peerMessage) > 0 {
+		e.Counters.PeerSent++
+		e.peerSender.SendToPeers(e.peerMessage)
 	}
 }
 
-// ReceivePeerMessage takes a message of a peer. The error tells that it could not be read; it is counted.
-func (f *Engine) ReceivePeerMessage(message []byte) error {
-	facts, err := wire.Parse(f.facts[:0], message, f.clock.Unix(), f.clock.Now())
-	if f.facts = facts; err != nil {
-		f.Counters.PeerMessagesInvalid++
+// ReceivePeerMessage applies a peer's message. It counts messages that cannot be parsed and returns the error.
+func (e *Engine) ReceivePeerMessage(message []byte) error {
+	facts, err := wire.Parse(e.peerFacts[:0], message, e.clock.Unix(), e.clock.Now())
+	if e.peerFacts = facts; err != nil {
+		e.Counters.PeerInvalid++
 		return err
 	}
-	f.Counters.PeerMessagesReceived++
-	f.tell(func() { f.router.Heard(f.clock.Now(), f.facts) })
+	e.Counters.PeerReceived++
+	e.dispatch(func() { e.events.Heard(e.clock.Now(), e.peerFacts) })
 	return nil
 }
--- a/internal/state/prepared/shapes.go
+++ b/internal/state/prepared/metadata.go
@@ -11,28 +11,28 @@
 // 500, and none of them has to wait for a database that is busy. A shape is kept for a while only: a table's columns may
 // change. Errors are not kept. It is not safe for concurrent use.
 type MetadataCache struct {
-	room, used int // bytes of texts and answers
-	keep       time.Duration
-	lru        *simplelru.LRU[shapeKey, shape]
+	maxBytes, used int // bytes of texts and answers
+	ttl            time.Duration
+	lru            *simplelru.LRU[metadataKey, metadataEntry]
 }
 
-type shapeKey struct {
+type metadataKey struct {
 	group int
 	text  string
 }
 
-type shape struct {
-	text   string // the copy that is kept
-	answer []byte
-	at     time.Duration
+type metadataEntry struct {
+	text     string // the copy that is kept
+	answer   []byte
+	storedAt time.Duration
 }
 
-func (s *shape) size() int { return len(s.text) + len(s.answer) }
+func (s *metadataEntry) size() int { return len(s.text) + len(s.answer) }
 
 // NewMetadataCache keeps so many answers, one at least, so many bytes and so long, at most.
 func NewMetadataCache(most, room int, keep time.Duration) *MetadataCache {
-	s := &MetadataCache{room: room, keep: keep}
-	s.lru, _ = simplelru.NewLRU(max(most, 1), func(_ shapeKey, x shape) { s.used -= x.size() })
+	s := &MetadataCache{maxBytes: room, ttl: keep}
+	s.lru, _ = simplelru.NewLRU(max(most, 1), func(_ metadataKey, x metadataEntry) { s.used -= x.size() })
 	return s
 }
 
@@ -43,21 +43,21 @@
 // is not kept: it would drive out all that others use.
 func (s *MetadataCache) Put(now time.Duration, group int, text string, answer []byte) {
 	s.Remove(group, text)
-	x := shape{text, append([]byte(nil), answer...), now}
-	if x.size() > s.room/4 {
+	x := metadataEntry{text, append([]byte(nil), answer...), now}
+	if x.size() > s.maxBytes/4 {
 		return
 	}
-	for s.used+x.size() > s.room {
+	for s.used+x.size() > s.maxBytes {
 		s.lru.RemoveOldest()
 	}
 	s.used += x.size()
-	s.lru.Add(shapeKey{group, text}, x)
+	s.lru.Add(metadataKey{group, text}, x)
 }
 
 // Get gives what is known of a text in a group, valid until the next call, and the copy of the text that is kept.
 func (s *MetadataCache) Get(now time.Duration, group int, text string) (answer []byte, same string, ok bool) {
-	x, ok := s.lru.Get(shapeKey{group, text})
-	if ok && now-x.at >= s.keep {
+	x, ok := s.lru.Get(metadataKey{group, text})
+	if ok && now-x.storedAt >= s.ttl {
 		s.Remove(group, text)
 		return nil, "", false
 	}
@@ -65,4 +65,4 @@
 }
 
 // Remove drops what is known of a text: a database has just refused it.
-func (s *MetadataCache) Remove(group int, text string) { s.lru.Remove(shapeKey{group, text}) }
+func (s *MetadataCache) Remove(group int, text string) { s.lru.Remove(metadataKey{group, text}) }
--- a/internal/state/prepared/prepared.go
+++ b/internal/state/prepared/prepared.go
@@ -14,8 +14,8 @@
 // Cache holds the statements of one connection, the least recently used of which gives way. It is not safe for
 // concurrent use.
 type Cache struct {
-	most int
-	lru  *simplelru.LRU[string, Statement]
+	capacity int
+	lru      *simplelru.LRU[string, Statement]
 }
 
 // New makes a cache for so many statements, one at least.
@@ -35,7 +35,7 @@
 func (c *Cache) Put(text string, st Statement) (closes uint32, must bool) {
 	if was, ok := c.lru.Peek(text); ok {
 		closes, must = was.ID, was.ID != st.ID
-	} else if c.lru.Len() >= c.most {
+	} else if c.lru.Len() >= c.capacity {
 		_, old, _ := c.lru.RemoveOldest()
 		closes, must = old.ID, true
 	}
@@ -59,9 +59,9 @@
 // Execution is one execution on its way. A server that forgot its statement gets it once more, not twice: one that forgets at
 // once would keep the request until its time is up. Neither preparing nor a forgotten statement has run anything.
 type Execution struct {
-	Text     string
-	prepared int
-	Sent     bool // EXECUTE's last byte was written, and no word came back that it was for nothing
+	Text         string
+	prepareCount int
+	Sent         bool // EXECUTE's last byte was written, and no word came back that it was for nothing
 }
 
 // Next gives the next step on a connection.
@@ -70,10 +70,10 @@
 		r.Sent = true
 		return Execute, st
 	}
-	if r.prepared >= 2 {
+	if r.prepareCount >= 2 {
 		return GiveUp, Statement{}
 	}
-	r.prepared++
+	r.prepareCount++
 	return Prepare, Statement{}
 }
 
--- a/internal/state/probes.go
+++ b/internal/state/probes.go
@@ -7,117 +7,122 @@
 	"havenproxy/logic"
 )
 
-// Probes, the connections that they go out on, and what an unanswered one is kept for.
+// Probes, their connections, and the connections that are kept after a probe timed out.
 
-// probeTimeout is how long a probe may take, a new connection included.
+// probeTimeout is the maximum duration of a probe, including the time to open a connection.
 const probeTimeout = 250 * time.Millisecond
 
-// witnessFor is how long a connection is kept whose probe had no answer. What comes on it later tells a cut, or a hang, from
-// a restart, which would have ended it. Probes alone may be kept so: a request left behind might run any time.
-const witnessFor = 20 * time.Second
+// overdueKeptFor is how long a connection is kept after its probe timed out. A later answer on it distinguishes a
+// network partition or a hang from a restart, which would have ended the connection. This is only done for probes: a
+// request left on such a connection might run at any later time.
+const overdueKeptFor = 20 * time.Second
 
-// muteAfter is how long a witness may be silent that is asked once more behind an answer that shows the way to be free.
-const muteAfter = 300 * time.Millisecond
+// secondProbeTimeout is how long an overdue connection may take to answer its second probe, which is sent once an
+// answer on another connection shows that the network path works.
+const secondProbeTimeout = 300 * time.Millisecond
 
-// scarce tells that there is no room for a connection for probes beside each for requests, or that few are to be open as the tier shares
-// health checks. Then one serves for both, one after the other: kept apart, those for probes would take most of what may be open, and
-// requests open and close the rest in turn.
-func (f *Engine) scarce() bool { return 2*len(f.members) > f.cfg.MaxConnections || f.SharesChecks() }
+// fewConns reports whether the connection limit is too low for separate connections for probes, or whether few
+// connections are to be open as health checks are shared. One connection then serves probes and requests in turn:
+// otherwise those for probes would take up most of the limit, and requests would open and close the rest all the
+// time.
+func (e *Engine) fewConns() bool { return 2*len(e.members) > e.cfg.MaxConnections || e.SharesChecks() }
 
-// Probe implements logic.Actions. Probes have a connection of their own to each member, unless connections are scarce, and none is
-// shared at one time: a ping is to measure the way, not a handshake or a request before it.
-func (f *Engine) Probe(to logic.MemberID) {
-	m := f.members[to]
-	if m == nil || m.probe != nil && m.probe.state != linkIdle {
-		f.probeUnsent(to)
+// Probe implements logic.Actions. Each member has a separate connection for probes unless connections are scarce, and
+// a connection is never used for both at a time: a ping must measure the round trip, not a handshake or a request
+// before it.
+func (e *Engine) Probe(to logic.MemberID) {
+	m := e.members[to]
+	if m == nil || m.probeConn != nil && m.probeConn.state != connIdle {
+		e.probeUnsent(to)
 		return
 	}
-	f.Counters.Probes++
-	if m.probe != nil && !m.probe.conn.Reusable() {
-		f.close(m.probe)
+	e.Counters.Probes++
+	if m.probeConn != nil && !m.probeConn.conn.Reusable() {
+		e.closeConn(m.probeConn)
 	}
-	if m.probe == nil && f.scarce() {
-		if l := f.takeIdle(m); l != nil {
-			delete(m.links, l)
-			l.probing, m.probe = true, l
+	if m.probeConn == nil && e.fewConns() {
+		if c := e.takeIdleConn(m); c != nil {
+			delete(m.conns, c)
+			c.forProbes, m.probeConn = true, c
 		}
 	}
-	if m.probe != nil {
-		f.ask(m.probe)
+	if m.probeConn != nil {
+		e.sendProbe(m.probeConn)
 		return
 	}
-	l := f.open(m)
-	if l == nil {
-		f.probeUnsent(to)
+	c := e.openConn(m)
+	if c == nil {
+		e.probeUnsent(to)
 		return
 	}
-	l.probing, m.probe = true, l
+	c.forProbes, m.probeConn = true, c
 }
 
-// probeUnsent tells the router that a probe was never sent, which says nothing of its member.
-func (f *Engine) probeUnsent(to logic.MemberID) {
-	f.tell(func() { f.router.Probed(f.clock.Now(), logic.Probed{Member: to, Result: logic.Moot}) })
+// probeUnsent tells the router that a probe was not sent, which says nothing about its member.
+func (e *Engine) probeUnsent(to logic.MemberID) {
+	e.dispatch(func() { e.events.Probed(e.clock.Now(), logic.Probed{Member: to, Result: logic.Moot}) })
 }
 
-func (f *Engine) ask(l *link) {
-	l.state, l.asked = linkBusy, f.clock.Now()
-	f.Deadlines.Set(&l.Deadline, l.asked+probeTimeout, l.overdue)
-	if err := l.conn.Probe(); err != nil {
-		l.fail(Reply{Result: logic.ConnectFailed})
+func (e *Engine) sendProbe(c *pooledConn) {
+	c.state, c.probeSentAt = connBusy, e.clock.Now()
+	e.Deadlines.Set(&c.Deadline, c.probeSentAt+probeTimeout, c.probeTimedOut)
+	if err := c.conn.Probe(); err != nil {
+		c.fail(Reply{Result: logic.ConnectFailed})
 	}
 }
 
-// overdue ends the wait for a probe. The first connection of a silence stays, as a witness.
-func (l *link) overdue() {
-	f, m := l.f, l.m
-	if m.witness != nil || m.state != logic.Ready {
-		l.fail(Reply{Result: logic.TimedOut})
+// probeTimedOut ends the wait for a probe. The connection is kept as the member's overdueConn if there is none yet.
+func (c *pooledConn) probeTimedOut() {
+	e, m := c.engine, c.member
+	if m.overdueConn != nil || m.state != logic.Ready {
+		c.fail(Reply{Result: logic.TimedOut})
 		return
 	}
-	l.state, m.probe, m.witness = linkWitness, nil, l
-	f.witnesses.add(l)
-	f.Deadlines.Set(&l.Deadline, f.clock.Now()+witnessFor, func() { f.close(l) })
-	f.probed(m, Reply{Result: logic.TimedOut}, 0)
+	c.state, m.probeConn, m.overdueConn = connOverdue, nil, c
+	e.overdueConns.add(c)
+	e.Deadlines.Set(&c.Deadline, e.clock.Now()+overdueKeptFor, func() { e.closeConn(c) })
+	e.finishProbe(m, Reply{Result: logic.TimedOut}, 0)
 }
 
-func (f *Engine) probed(m *member, r Reply, took time.Duration) {
+func (e *Engine) finishProbe(m *member, r Reply, took time.Duration) {
 	if r.Result == logic.OK {
-		f.Counters.ProbesOK++
+		e.Counters.ProbesOK++
 	}
-	m.heard(r, true)
-	f.seen(m, r, m.silent)
-	if w := m.witness; w != nil && r.Result == logic.OK && !w.askedAgain {
-		defer w.askAgain()
+	m.logReply(r, true)
+	e.reportEvidence(m, r, m.silent)
+	if overdue := m.overdueConn; overdue != nil && r.Result == logic.OK && !overdue.probedAgain {
+		defer overdue.probeAgain()
 	}
-	f.checks.checked(f, m, r)
-	p := logic.Probed{Member: m.id, Result: r.Result, Took: took, Report: f.report(r), Opened: r.opened, Refused: r.refused}
-	f.tell(func() { f.router.Probed(f.clock.Now(), p) })
+	e.checks.recordCheck(e, m, r)
+	p := logic.Probed{Member: m.id, Result: r.Result, Took: took, Report: e.loadReport(r), Opened: r.opened, Refused: r.refused}
+	e.dispatch(func() { e.events.Probed(e.clock.Now(), p) })
 }
 
-// testify ends a witness, and tells the router what became of it.
-func (l *link) testify(what handover.Testimony) {
-	f, m, opened := l.f, l.m, l.upAt
-	f.close(l)
-	f.tell(func() { f.router.Witness(f.clock.Now(), m.id, what, opened) })
+// endOverdue closes an overdue connection and reports to the router how it ended.
+func (c *pooledConn) endOverdue(what handover.Testimony) {
+	e, m, opened := c.engine, c.member, c.upAt
+	e.closeConn(c)
+	e.dispatch(func() { e.events.Witness(e.clock.Now(), m.id, what, opened) })
 }
 
-// askAgain lets a witness speak, once the way is free: what was sent into a cut may be lost for good, or come many seconds
-// later. Where its process has ended, its machine resets the connection; where that was cut off, it stays.
-func (l *link) askAgain() {
-	if l.state != linkWitness {
+// probeAgain sends a second probe on an overdue connection once the network path works, as data sent during a
+// partition may be lost or arrive many seconds later. If the database process has ended, its machine resets the
+// connection; if the machine was partitioned, the connection stays open.
+func (c *pooledConn) probeAgain() {
+	if c.state != connOverdue {
 		return
 	}
-	l.askedAgain = true
-	if err := l.conn.Probe(); err != nil {
-		l.Down()
+	c.probedAgain = true
+	if err := c.conn.Probe(); err != nil {
+		c.Down()
 		return
 	}
-	l.f.Deadlines.Set(&l.Deadline, l.f.clock.Now()+muteAfter, func() { l.testify(handover.Mute) })
+	c.engine.Deadlines.Set(&c.Deadline, c.engine.clock.Now()+secondProbeTimeout, func() { c.endOverdue(handover.Mute) })
 }
 
-func (f *Engine) report(r Reply) logic.Report {
+func (e *Engine) loadReport(r Reply) logic.Report {
 	if !r.Load.Known {
 		return logic.Report{Queue: -1}
 	}
-	return logic.Report{Role: r.Load.Role, Position: positionOf(f.clock, r.Load.Position), Queue: r.Load.Queue}
+	return logic.Report{Role: r.Load.Role, Position: positionFromUnix(e.clock, r.Load.Position), Queue: r.Load.Queue}
 }
--- a/internal/state/reload.go
+++ b/internal/state/reload.go
@@ -6,22 +6,22 @@
 	"havenproxy/logic"
 )
 
-// Reload puts the classes of another configuration into force, and its limits on attempts and on hints. What is open goes on under the
-// rules by which it was taken; a class that is not named any more is unknown from now on.
-func (f *Engine) Reload(cfg logic.Config) {
-	f.cfg.Logic.MaxAttempts, f.cfg.Logic.MayComeBack, f.cfg.Logic.MaxComeBack = cfg.MaxAttempts, cfg.MayComeBack, cfg.MaxComeBack
-	at := f.planned.Reload(cfg.Classes, cfg.MaxAttempts, cfg.MayComeBack, cfg.MaxComeBack)
-	classes := slices.Clone(f.cfg.Logic.Classes)
-	f.classes = map[string]int{}
+// Reload applies the classes of another configuration and its limits on attempts and retry hints. Open requests keep
+// the rules under which they were submitted; a class that is no longer configured is unknown from now on.
+func (e *Engine) Reload(cfg logic.Config) {
+	e.cfg.Logic.MaxAttempts, e.cfg.Logic.MayComeBack, e.cfg.Logic.MaxComeBack = cfg.MaxAttempts, cfg.MayComeBack, cfg.MaxComeBack
+	at := e.router.Reload(cfg.Classes, cfg.MaxAttempts, cfg.MayComeBack, cfg.MaxComeBack)
+	classes := slices.Clone(e.cfg.Logic.Classes)
+	e.classes = map[string]int{}
 	for i, c := range cfg.Classes {
-		f.classes[c.Name] = at[i]
+		e.classes[c.Name] = at[i]
 		if at[i] == len(classes) {
 			classes = append(classes, c)
 		}
 	}
-	f.cfg.Logic.Classes = classes
-	f.perClass = append(f.perClass, make([]ClassCounters, len(classes)-len(f.perClass))...)
+	e.cfg.Logic.Classes = classes
+	e.classCounters = append(e.classCounters, make([]ClassCounters, len(classes)-len(e.classCounters))...)
 }
 
-// Config gives what the router was told, as far as it is in force now.
-func (f *Engine) Config() logic.Config { return f.cfg.Logic }
+// Config returns the router's configuration as currently in force.
+func (e *Engine) Config() logic.Config { return e.cfg.Logic }
--- a/internal/state/shortage_test.go
+++ b/internal/state/shortage_test.go
@@ -10,61 +10,61 @@
 // Guards against incident 38: a check for which no connection may be opened was taken for its database's silence. It says nothing of the
 // database, and the router is told so.
 func TestACheckWithoutRoomForItsConnectionIsNoSilence(t *testing.T) {
-	b := newBench(t, 0)
-	b.f.Probe(b.id("one"))
+	b := newHarness(t, 0)
+	b.e.Probe(b.id("one"))
 	if b.probe.Result != logic.Moot || b.probe.Member != b.id("one") {
 		t.Errorf("the router was told result %d, want %d", b.probe.Result, logic.Moot)
 	}
-	if b.f.names["one"].silent {
+	if b.e.membersByName["one"].silent {
 		t.Error("the database counts as silent, and was never asked")
 	}
 }
 
 // Guards against incident 38: an attempt for which no connection may be opened was told as a failure of its database.
 func TestAnAttemptWithoutRoomForItsConnectionBlamesNobody(t *testing.T) {
-	b := newBench(t, 0)
-	b.take(&caller{})
-	b.want("request", outcome(logic.Moot, false))
+	b := newHarness(t, 0)
+	b.submitAndSend(&caller{})
+	b.wantCalls("request", outcomeCall(logic.Moot, false))
 }
 
 // A dial that fails for want of something on this machine, such as a descriptor, is treated like one that was never made.
 func TestAConnectionThatThisMachineCantOpenBlamesNobody(t *testing.T) {
-	b := newBench(t, 9)
-	b.f.Probe(b.id("one"))
-	b.conns[0].to.NotOpened()
-	if b.probe.Result != logic.Moot || b.f.names["one"].silent || b.f.links != 0 {
-		t.Errorf("a check: result %d, silent %v, %d connections counted", b.probe.Result, b.f.names["one"].silent, b.f.links)
+	b := newHarness(t, 9)
+	b.e.Probe(b.id("one"))
+	b.conns[0].listener.NotOpened()
+	if b.probe.Result != logic.Moot || b.e.membersByName["one"].silent || b.e.openConns != 0 {
+		t.Errorf("a check: result %d, silent %v, %d connections counted", b.probe.Result, b.e.membersByName["one"].silent, b.e.openConns)
 	}
-	b.told = nil
-	b.take(&caller{})
-	b.conns[1].to.NotOpened()
-	b.want("request", outcome(logic.Moot, false))
-	if b.f.Counters.ConnectionsNotOpened != 2 {
-		t.Errorf("%d connections are counted as without room, want 2", b.f.Counters.ConnectionsNotOpened)
+	b.calls = nil
+	b.submitAndSend(&caller{})
+	b.conns[1].listener.NotOpened()
+	b.wantCalls("request", outcomeCall(logic.Moot, false))
+	if b.e.Counters.ConnectionsNotOpened != 2 {
+		t.Errorf("%d connections are counted as without room, want 2", b.e.Counters.ConnectionsNotOpened)
 	}
 }
 
 // Guards against incident 38: making room for a connection searched every database, for each check and attempt. It takes the connection that
 // has been idle for longest, and not one that was used since.
 func TestRoomIsMadeByTheConnectionThatIsIdleForLongest(t *testing.T) {
-	b := newBench(t, 2)
-	b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "three", Address: "a:3", State: logic.Ready}}})
+	b := newHarness(t, 2)
+	b.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "three", Address: "a:3", State: logic.Ready}}})
 	send := func(name string) {
-		id, err := b.f.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
+		id, err := b.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.f.Send(id, b.id(name), time.Second)
+		b.e.Send(id, b.id(name), time.Second)
 	}
 	serve := func(c *conn) {
-		b.pass(time.Millisecond)
-		c.to.Reply(Reply{Result: logic.OK})
+		b.advance(time.Millisecond)
+		c.listener.Reply(Reply{Result: logic.OK})
 	}
 	send("one")
 	send("two")
 	one, two := b.conns[0], b.conns[1]
-	one.to.Up()
-	two.to.Up()
+	one.listener.Up()
+	two.listener.Up()
 	serve(one)
 	serve(two)
 	send("one")
@@ -78,7 +78,7 @@
 		t.Errorf("%d connections; closed: one %v; it was the next", len(b.conns), one.closed)
 	}
 	send("one")
-	if b.f.Counters.ConnectionsNotOpened != 1 {
+	if b.e.Counters.ConnectionsNotOpened != 1 {
 		t.Error("room was found though no connection is idle")
 	}
 }
@@ -90,10 +90,10 @@
 		b.Fatal(err)
 	}
 	for id := range 3200 {
-		m := &member{id: logic.MemberID(id), links: map[*link]struct{}{}}
+		m := &member{id: logic.MemberID(id), conns: map[*pooledConn]struct{}{}}
 		f.members[m.id] = m
 	}
 	for b.Loop() {
-		f.makeRoom()
+		f.evictConn()
 	}
 }
--- a/internal/state/subset.go
+++ b/internal/state/subset.go
@@ -8,39 +8,39 @@
 	"havenproxy/logic"
 )
 
-// idleOutsideSubset is how long a connection to a database outside the subset is kept idle: it was opened for a check, or since nobody of
-// the subset could take a request.
+// idleOutsideSubset is how long an idle connection to a database outside the subset is kept. Such a connection was
+// opened for a check, or because no database of the subset could take a request.
 const idleOutsideSubset = 2 * time.Second
 
-// subsetChoice is what the subset was last chosen from.
+// subsetChoice is a choice of the subset together with its inputs.
 type subsetChoice struct {
 	proxies   int
 	used      []subset.Traffic
 	databases []subset.Database
-	kept      []subset.DatabaseID // what came of it
+	chosen    []subset.DatabaseID // the result
 }
 
-func (c *subsetChoice) sameFrom(d *subsetChoice) bool {
-	return c.proxies == d.proxies && slices.Equal(c.used, d.used) && slices.Equal(c.databases, d.databases)
+func (c *subsetChoice) sameInputs(other *subsetChoice) bool {
+	return c.proxies == other.proxies && slices.Equal(c.used, other.used) && slices.Equal(c.databases, other.databases)
 }
 
-// chooseSubset chooses which databases this proxy keeps connections to, of the groups that it uses: the primaries, and as many replicas as
-// give all of them even shares of the tier's reads.
-func (s *sharedChecks) chooseSubset(f *Engine, now time.Duration) {
-	choice := subsetChoice{proxies: len(s.tier), used: s.usedGroups(f, now), databases: s.databasesOf(f, now)}
-	if choice.sameFrom(&s.choice) {
-		choice.kept = s.choice.kept
+// chooseSubset chooses the databases that this proxy keeps connections to: in each group that it uses, the primary
+// and as many replicas as are needed for even shares of the tier's reads.
+func (s *sharedChecks) chooseSubset(e *Engine, now time.Duration) {
+	choice := subsetChoice{proxies: len(s.tier), used: s.usedGroups(e, now), databases: s.databasesOf(e, now)}
+	if choice.sameInputs(&s.choice) {
+		choice.chosen = s.choice.chosen
 	} else {
 		config := subset.ConnectionConfig{MinReplicas: 1, Proxies: choice.proxies, Seed: s.config.Seed}
-		choice.kept = subset.Connections(s.config.Self, choice.databases, choice.used, config)
+		choice.chosen = subset.Connections(s.config.Self, choice.databases, choice.used, config)
 	}
 	s.choice = choice
-	s.useSubset(f, &choice)
+	s.useSubset(e, &choice)
 }
 
-// useSubset puts a choice into effect, for members that have come since the last one too.
-func (s *sharedChecks) useSubset(f *Engine, choice *subsetChoice) {
-	used, kept := choice.used, choice.kept
+// useSubset applies a choice. It is called for an unchanged choice as well, for members that were added since.
+func (s *sharedChecks) useSubset(e *Engine, choice *subsetChoice) {
+	used, kept := choice.used, choice.chosen
 	inUse := make(map[subset.GroupID]struct{}, len(used))
 	for _, group := range used {
 		inUse[group.Group] = struct{}{}
@@ -53,45 +53,46 @@
 		inSubset[id] = struct{}{}
 	}
 	for _, id := range s.members {
-		m := f.members[id]
+		m := e.members[id]
 		if m == nil {
 			continue
 		}
 		_, used := inUse[subset.GroupID(m.group)]
 		_, kept := inSubset[id]
-		f.setOutsideSubset(m, used && !kept)
+		e.setOutsideSubset(m, used && !kept)
 	}
-	f.tell(func() { f.planned.UseSubset(ids) })
+	e.dispatch(func() { e.router.UseSubset(ids) })
 }
 
-// setOutsideSubset tells whether connections to a member are to be closed soon where they are idle; those that are idle now, too.
-func (f *Engine) setOutsideSubset(m *member, outside bool) {
+// setOutsideSubset sets whether idle connections to a member are closed early, and resets the timers of its idle
+// ones.
+func (e *Engine) setOutsideSubset(m *member, outside bool) {
 	if m.outsideSubset == outside {
 		return
 	}
 	m.outsideSubset = outside
-	for _, l := range m.idle {
-		f.closeWhenIdle(l)
+	for _, c := range m.idleConns {
+		e.setIdleTimer(c)
 	}
-	if m.probe != nil && m.probe.state == linkIdle {
-		f.closeWhenIdle(m.probe)
+	if m.probeConn != nil && m.probeConn.state == connIdle {
+		e.setIdleTimer(m.probeConn)
 	}
 }
 
-// dropSubset lets connections to all databases be kept again.
-func (s *sharedChecks) dropSubset(f *Engine) {
+// dropSubset keeps connections to all databases again.
+func (s *sharedChecks) dropSubset(e *Engine) {
 	s.choice = subsetChoice{}
-	for _, m := range f.members {
-		f.setOutsideSubset(m, false)
+	for _, m := range e.members {
+		e.setOutsideSubset(m, false)
 	}
-	f.tell(func() { f.planned.UseSubset(nil) })
+	e.dispatch(func() { e.router.UseSubset(nil) })
 }
 
-// usedGroups gives the groups that this proxy sends requests to.
-func (s *sharedChecks) usedGroups(f *Engine, now time.Duration) (used []subset.Traffic) {
+// usedGroups returns the groups that this proxy sends requests to.
+func (s *sharedChecks) usedGroups(e *Engine, now time.Duration) (used []subset.Traffic) {
 	seen := map[int]struct{}{}
 	for _, number := range s.databases {
-		m := f.members[s.members[number]]
+		m := e.members[s.members[number]]
 		if m == nil {
 			continue
 		}
@@ -99,22 +100,22 @@
 			continue
 		}
 		seen[m.group] = struct{}{}
-		if f.planned.InUse(now, logic.GroupID(m.group)) {
+		if e.router.InUse(now, logic.GroupID(m.group)) {
 			used = append(used, subset.Traffic{Group: subset.GroupID(m.group)})
 		}
 	}
 	return used
 }
 
-// databasesOf gives the databases of the own list with what the router knows of them, in their order.
-func (s *sharedChecks) databasesOf(f *Engine, now time.Duration) []subset.Database {
+// databasesOf returns this proxy's databases with the router's facts about them, in the order of s.databases.
+func (s *sharedChecks) databasesOf(e *Engine, now time.Duration) []subset.Database {
 	databases := make([]subset.Database, 0, len(s.databases))
 	for _, number := range s.databases {
-		m := f.members[s.members[number]]
+		m := e.members[s.members[number]]
 		if m == nil {
 			continue
 		}
-		facts, ok := f.planned.Member(now, m.id)
+		facts, ok := e.router.Member(now, m.id)
 		if !ok {
 			continue
 		}
--- a/internal/state/unlisted_test.go
+++ b/internal/state/unlisted_test.go
@@ -30,8 +30,8 @@
 	if after := heap(); after > before+1<<20 {
 		t.Errorf("they hold %d bytes", after-before)
 	}
-	if refused.n != 1_000_000 || f.Pending() != 0 || len(f.planned.Groups()) != 0 {
-		t.Errorf("%d refused, %d pending, %d groups", refused.n, f.Pending(), len(f.planned.Groups()))
+	if refused.n != 1_000_000 || f.Pending() != 0 || len(f.router.Groups()) != 0 {
+		t.Errorf("%d refused, %d pending, %d groups", refused.n, f.Pending(), len(f.router.Groups()))
 	}
 	runtime.KeepAlive(f)
 }
--- a/internal/trace/read.go
+++ b/internal/trace/read.go
@@ -14,7 +14,7 @@
 // Reader reads a trace, block by block.
 type Reader struct {
 	Header
-	in    *bufio.Reader
+	input *bufio.Reader
 	block []byte
 
 	Blocks, CorruptBlocks int // read, and passed over
@@ -22,15 +22,15 @@
 
 // NewReader reads the head.
 func NewReader(in io.Reader) (*Reader, error) {
-	r := &Reader{in: bufio.NewReaderSize(in, 64<<10)}
+	r := &Reader{input: bufio.NewReaderSize(in, 64<<10)}
 	var m [8]byte
-	if _, err := io.ReadFull(r.in, m[:]); err != nil || [7]byte(m[:7]) != [7]byte(magic[:7]) {
+	if _, err := io.ReadFull(r.input, m[:]); err != nil || [7]byte(m[:7]) != [7]byte(magic[:7]) {
 		return nil, ErrNotTrace
 	}
 	if m[7] != magic[7] {
 		return nil, fmt.Errorf("%w: %d, this program reads %d", ErrVersion, m[7], magic[7])
 	}
-	p, err := r.frame()
+	p, err := r.readBlock()
 	if err != nil {
 		return nil, fmt.Errorf("head: %w", err)
 	}
@@ -59,7 +59,7 @@
 	copy(h.SaltID[:], p)
 	p = p[8:]
 	count, ok := next()
-	if !ok || count > mostNames {
+	if !ok || count > maxClasses {
 		return ErrCorrupt
 	}
 	for range count {
@@ -73,9 +73,9 @@
 }
 
 // frame reads the next block's payload; it is valid until the next. io.EOF is the end of the trace.
-func (r *Reader) frame() ([]byte, error) {
-	var head [frameBytes]byte
-	switch _, err := io.ReadFull(r.in, head[:]); {
+func (r *Reader) readBlock() ([]byte, error) {
+	var head [blockHeaderSize]byte
+	switch _, err := io.ReadFull(r.input, head[:]); {
 	case err == io.EOF:
 		return nil, io.EOF
 	case errors.Is(err, io.ErrUnexpectedEOF):
@@ -84,20 +84,20 @@
 		return nil, err
 	}
 	length := binary.LittleEndian.Uint32(head[:])
-	if length == 0 || length > mostBlock {
+	if length == 0 || length > maxBlockSize {
 		return nil, fmt.Errorf("%w: a block of %d bytes", ErrCorrupt, length)
 	}
 	if uint32(cap(r.block)) < length {
 		r.block = make([]byte, length)
 	}
 	r.block = r.block[:length]
-	if _, err := io.ReadFull(r.in, r.block); err != nil {
+	if _, err := io.ReadFull(r.input, r.block); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) || err == io.EOF {
 			return nil, ErrTruncated
 		}
 		return nil, err
 	}
-	if crc32.Checksum(r.block, sum) != binary.LittleEndian.Uint32(head[4:]) {
+	if crc32.Checksum(r.block, crcTable) != binary.LittleEndian.Uint32(head[4:]) {
 		r.CorruptBlocks++
 		return nil, ErrCorrupt
 	}
@@ -109,7 +109,7 @@
 func (r *Reader) ForEach(do func(Record) error) error {
 	for {
 		damaged := r.CorruptBlocks
-		p, err := r.frame()
+		p, err := r.readBlock()
 		switch {
 		case err == io.EOF:
 			return nil
@@ -136,7 +136,7 @@
 }
 
 // mostRecords bounds what Load takes in: some gigabytes.
-const mostRecords = 50_000_000
+const maxRecords = 50_000_000
 
 // Load reads a file. A trace that is cut off or damaged in places gives what it has, and says so in the result; records
 // whose time runs backwards are counted, and put back to the latest time before them.
@@ -163,8 +163,8 @@
 			x.At = latest
 		}
 		latest = x.At
-		if t.Records = append(t.Records, x); len(t.Records) > mostRecords {
-			return fmt.Errorf("more than %d records", mostRecords)
+		if t.Records = append(t.Records, x); len(t.Records) > maxRecords {
+			return fmt.Errorf("more than %d records", maxRecords)
 		}
 		return nil
 	})
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -26,10 +26,10 @@
 var magic = [8]byte{'h', 'v', 'n', 't', 'r', 'a', 'c', 1}
 
 const (
-	blockSize  = 32 << 10 // a block is written once it holds so much
-	mostBlock  = 1 << 20  // none is longer; a reader allocates no more than this
-	mostNames  = 1 << 12  // classes in a head
-	frameBytes = 8        // a block's length and sum
+	blockSize       = 32 << 10 // a block is written once it holds so much
+	maxBlockSize    = 1 << 20  // none is longer; a reader allocates no more than this
+	maxClasses      = 1 << 12  // classes in a head
+	blockHeaderSize = 8        // a block's length and sum
 )
 
 // Flags of a record.
@@ -47,7 +47,7 @@
 	ErrCorrupt   = errors.New("a block of the trace is damaged")
 )
 
-var sum = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // Header is what holds for a whole trace.
 type Header struct {
@@ -91,16 +91,16 @@
 }
 
 // name tells salts apart.
-func (s Salt) name() (out [8]byte) {
+func (s Salt) id() (out [8]byte) {
 	mac := hmac.New(sha256.New, s)
 	mac.Write([]byte("the name of this salt"))
 	copy(out[:], mac.Sum(nil))
 	return out
 }
 
-func appendFrame(dst, payload []byte) []byte {
+func appendBlock(dst, payload []byte) []byte {
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(payload)))
-	dst = binary.LittleEndian.AppendUint32(dst, crc32.Checksum(payload, sum))
+	dst = binary.LittleEndian.AppendUint32(dst, crc32.Checksum(payload, crcTable))
 	return append(dst, payload...)
 }
 
@@ -113,7 +113,7 @@
 		p = binary.AppendUvarint(p, uint64(len(c)))
 		p = append(p, c...)
 	}
-	return appendFrame(append(dst, magic[:]...), p)
+	return appendBlock(append(dst, magic[:]...), p)
 }
 
 // encoder puts records into blocks.
@@ -155,11 +155,11 @@
 }
 
 // take gives the block in hand and begins the next.
-func (e *encoder) take() []byte {
+func (e *encoder) takeBlock() []byte {
 	if len(e.payload) == 0 {
 		return nil
 	}
-	out := appendFrame(nil, e.payload)
+	out := appendBlock(nil, e.payload)
 	e.payload = e.payload[:0]
 	clear(e.sessions)
 	return out
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -14,16 +14,16 @@
 var classes = []string{"stok-bakis", "kayit-yaz"}
 
 // sink is a file in memory. A slow one takes nothing before it is let go.
-type sink struct {
+type memoryFile struct {
 	bytes.Buffer
-	let    chan struct{}
-	err    error
-	closed bool
+	unblock chan struct{}
+	err     error
+	closed  bool
 }
 
-func (s *sink) Write(b []byte) (int, error) {
-	if s.let != nil {
-		<-s.let
+func (s *memoryFile) Write(b []byte) (int, error) {
+	if s.unblock != nil {
+		<-s.unblock
 	}
 	if s.err != nil {
 		return 0, s.err
@@ -31,13 +31,13 @@
 	return s.Buffer.Write(b)
 }
 
-func (s *sink) Close() error { s.closed = true; return nil }
+func (s *memoryFile) Close() error { s.closed = true; return nil }
 
 const began = 1_700_000_000 * time.Second
 
 // written gives a trace of these requests.
-func written(cfg Config, list []Record) *sink {
-	out := &sink{}
+func writeTrace(cfg Config, list []Record) *memoryFile {
+	out := &memoryFile{}
 	w := NewWriter(cfg, out, classes, began)
 	for _, r := range list {
 		r.At += began
@@ -47,7 +47,7 @@
 	return out
 }
 
-func requests(n int) (list []Record) {
+func makeRecords(n int) (list []Record) {
 	for i := range n {
 		list = append(list, Record{At: time.Duration(i) * 3 * time.Millisecond, Class: i % 2, Group: i % 5, Session: uint64(i % 70), Retry: i%9 == 0,
 			Write: i%2 == 1, Wait: time.Duration(300+i%7) * time.Millisecond, Size: i % 500})
@@ -70,7 +70,7 @@
 			want = append(want, r)
 		}
 		var got []Record
-		r, err := NewReader(&written(Config{Salt: salt}, list).Buffer)
+		r, err := NewReader(&writeTrace(Config{Salt: salt}, list).Buffer)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -80,7 +80,7 @@
 		if d := cmp.Diff(want, got); d != "" {
 			t.Fatal(d)
 		}
-		if r.StartedAt != began || r.Sample != 1 || !cmp.Equal(r.Classes, classes) || r.SaltID != salt.name() {
+		if r.StartedAt != began || r.Sample != 1 || !cmp.Equal(r.Classes, classes) || r.SaltID != salt.id() {
 			t.Fatalf("%+v", r.Header)
 		}
 	})
@@ -88,7 +88,7 @@
 
 // A trace that is cut off at any byte gives whole blocks, and says that it was cut; never a record that was not written.
 func TestCutOffAnywhere(t *testing.T) {
-	whole := written(Config{}, requests(2000)).Bytes()
+	whole := writeTrace(Config{}, makeRecords(2000)).Bytes()
 	all, err := ReadAll(bytes.NewReader(whole))
 	if err != nil || len(all.Records) != 2000 || all.Truncated || all.BackwardSteps != 0 {
 		t.Fatalf("%v, %d records", err, len(all.Records))
@@ -117,7 +117,7 @@
 
 // Any byte that is turned costs its block, and is noticed.
 func TestDamageIsNoticed(t *testing.T) {
-	whole := written(Config{Salt: Salt("a secret of 16 b")}, requests(2000)).Bytes()
+	whole := writeTrace(Config{Salt: Salt("a secret of 16 b")}, makeRecords(2000)).Bytes()
 	all, _ := ReadAll(bytes.NewReader(whole))
 	rapid.Check(t, func(t *rapid.T) {
 		b := bytes.Clone(whole)
@@ -134,7 +134,7 @@
 }
 
 func TestOtherVersionsAndOtherFiles(t *testing.T) {
-	b := written(Config{}, requests(10)).Bytes()
+	b := writeTrace(Config{}, makeRecords(10)).Bytes()
 	b[7] = 9
 	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrVersion) || err.Error() != "a trace of another version: 9, this program reads 1" {
 		t.Error(err)
@@ -147,12 +147,12 @@
 		e := encoder{}
 		e.add(&r)
 		h := Header{Classes: classes}
-		if _, err := ReadAll(bytes.NewReader(append(h.append(nil), e.take()...))); !errors.Is(err, want) {
+		if _, err := ReadAll(bytes.NewReader(append(h.append(nil), e.takeBlock()...))); !errors.Is(err, want) {
 			t.Errorf("%+v: %v", r, err)
 		}
 	}
 	h := Header{Classes: classes}
-	b = appendFrame(h.append(nil), []byte{0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 1 << 5, 0, 0})
+	b = appendBlock(h.append(nil), []byte{0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 1 << 5, 0, 0})
 	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrVersion) {
 		t.Error(err)
 	}
@@ -164,7 +164,7 @@
 }
 
 func TestTimeThatRunsBackwards(t *testing.T) {
-	got, err := ReadAll(&written(Config{}, []Record{{At: time.Second}, {At: 400 * time.Millisecond}, {At: 2 * time.Second}}).Buffer)
+	got, err := ReadAll(&writeTrace(Config{}, []Record{{At: time.Second}, {At: 400 * time.Millisecond}, {At: 2 * time.Second}}).Buffer)
 	if err != nil || got.BackwardSteps != 1 || len(got.Records) != 3 || got.Records[1].At != time.Second || got.Records[2].At != 2*time.Second {
 		t.Errorf("%v, %+v", err, got)
 	}
@@ -177,7 +177,7 @@
 		list = append(list, Record{At: time.Duration(i) * time.Microsecond, Session: uint64(i % 1000)})
 	}
 	salt := Salt("a secret of 16 b")
-	out := written(Config{Sample: 0.2, Salt: salt}, list)
+	out := writeTrace(Config{Sample: 0.2, Salt: salt}, list)
 	if bytes.Contains(out.Bytes(), salt) {
 		t.Error("the salt stands in the file")
 	}
@@ -204,7 +204,7 @@
 		t.Error("the salt changes nothing")
 	}
 
-	small := &sink{}
+	small := &memoryFile{}
 	w := NewWriter(Config{MaxBytes: 40 << 10}, small, classes, began)
 	for i := range 40000 {
 		w.Add(Record{At: began + time.Duration(i)*time.Millisecond, Session: uint64(i)})
@@ -220,19 +220,19 @@
 
 // A disk that stands still costs records, and no request's time; one that fails is told, once.
 func TestADiskThatIsSlowOrBroken(t *testing.T) {
-	slow := &sink{let: make(chan struct{})}
+	slow := &memoryFile{unblock: make(chan struct{})}
 	w := NewWriter(Config{}, slow, classes, began)
 	for i := range 400000 { // some 6 MB: far more than may wait
 		w.Add(Record{At: began + time.Duration(i)*time.Microsecond, Session: uint64(i)})
 	}
-	if w.Dropped == 0 || w.Recorded == 0 || w.Recorded > 2*waitingBytes/10 {
+	if w.Dropped == 0 || w.Recorded == 0 || w.Recorded > 2*maxWaitingBytes/10 {
 		t.Errorf("kept %d, dropped %d", w.Recorded, w.Dropped)
 	}
-	close(slow.let)
+	close(slow.unblock)
 	if err := w.Close(); err != nil || w.Recorded+w.Dropped != 400000 {
 		t.Errorf("%v: kept %d, dropped %d", err, w.Recorded, w.Dropped)
 	}
-	broken := &sink{err: errors.New("no space left")}
+	broken := &memoryFile{err: errors.New("no space left")}
 	w = NewWriter(Config{}, broken, classes, began)
 	w.Add(Record{At: began})
 	if err := w.Close(); err == nil || err.Error() != "no space left" || !broken.closed {
@@ -241,7 +241,7 @@
 }
 
 func FuzzReadAll(f *testing.F) {
-	f.Add(written(Config{}, requests(50)).Bytes())
+	f.Add(writeTrace(Config{}, makeRecords(50)).Bytes())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, err := ReadAll(bytes.NewReader(b))
 		if err == nil && len(got.Records) > len(b) {
--- a/internal/trace/write.go
+++ b/internal/trace/write.go
@@ -34,31 +34,31 @@
 
 // What may wait for the disk, in blocks and bytes. More is dropped and counted: who takes requests never waits.
 const (
-	waiting      = 512
-	waitingBytes = 256 << 10
+	maxWaitingBlocks = 512
+	maxWaitingBytes  = 256 << 10
 )
 
 // flushAfter is how much of a trace is lost at most where its program is killed, beside what the disk still owes.
-const flushAfter = time.Second
+const flushInterval = time.Second
 
 // Writer writes a trace beside its caller. Its methods come from one goroutine, the one that takes requests.
 type Writer struct {
-	cfg    Config
-	began  time.Duration
-	enc    encoder
-	hasher *hasher
-	blocks chan []byte
-	done   sync.WaitGroup
-	out    io.WriteCloser
-	left   int64
-	full   bool
-	owed   atomic.Int64 // bytes that wait for the disk
-
-	Recorded uint64 // records
-	Dropped  uint64 // those of blocks that the disk was too slow for, or that came when the file was full
-	inBlock  uint64
-	first    time.Duration // when the first record of the block in hand came
-	failed   atomic.Pointer[error]
+	cfg          Config
+	startedAt    time.Duration
+	enc          encoder
+	hasher       *hasher
+	blocks       chan []byte
+	done         sync.WaitGroup
+	out          io.WriteCloser
+	bytesLeft    int64
+	full         bool
+	bytesWaiting atomic.Int64 // bytes that wait for the disk
+
+	Recorded       uint64 // records
+	Dropped        uint64 // those of blocks that the disk was too slow for, or that came when the file was full
+	recordsInBlock uint64
+	blockStart     time.Duration // when the first record of the block in hand came
+	failed         atomic.Pointer[error]
 }
 
 // Create begins a file in the place of a former one of that name, which may still be written to. now is Unix time.
@@ -78,16 +78,16 @@
 // NewWriter writes to what is given, and closes it in the end.
 func NewWriter(cfg Config, out io.WriteCloser, classes []string, now time.Duration) *Writer {
 	cfg = cfg.WithDefaults()
-	w := &Writer{cfg: cfg, began: now, blocks: make(chan []byte, waiting), out: out, left: cfg.MaxBytes, hasher: cfg.Salt.hasher()}
+	w := &Writer{cfg: cfg, startedAt: now, blocks: make(chan []byte, maxWaitingBlocks), out: out, bytesLeft: cfg.MaxBytes, hasher: cfg.Salt.hasher()}
 	w.done.Go(w.run)
-	h := Header{StartedAt: now, Sample: cfg.Sample, Classes: classes, SaltID: cfg.Salt.name()}
+	h := Header{StartedAt: now, Sample: cfg.Sample, Classes: classes, SaltID: cfg.Salt.id()}
 	w.push(h.append(nil))
 	return w
 }
 
 func (w *Writer) run() {
 	for b := range w.blocks {
-		w.owed.Add(-int64(len(b)))
+		w.bytesWaiting.Add(-int64(len(b)))
 		if w.failed.Load() != nil {
 			continue
 		}
@@ -128,26 +128,26 @@
 		w.Dropped++
 		return
 	}
-	r.At -= w.began
+	r.At -= w.startedAt
 	r.Session = hash
 	w.enc.add(&r)
-	if w.inBlock == 0 {
-		w.first = r.At
+	if w.recordsInBlock == 0 {
+		w.blockStart = r.At
 	}
-	if w.inBlock++; len(w.enc.payload) >= blockSize || r.At-w.first >= flushAfter {
+	if w.recordsInBlock++; len(w.enc.payload) >= blockSize || r.At-w.blockStart >= flushInterval {
 		w.flush(false)
 	}
 }
 
 // flush hands the block in hand on; wait tells to wait for the disk.
 func (w *Writer) flush(wait bool) {
-	b, n := w.enc.take(), w.inBlock
-	w.inBlock = 0
+	b, n := w.enc.takeBlock(), w.recordsInBlock
+	w.recordsInBlock = 0
 	if b == nil {
 		return
 	}
 	if wait {
-		for len(w.blocks) == cap(w.blocks) || w.owed.Load()+int64(len(b)) > waitingBytes {
+		for len(w.blocks) == cap(w.blocks) || w.bytesWaiting.Load()+int64(len(b)) > maxWaitingBytes {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -160,20 +160,20 @@
 
 // push hands a block on if the file has room for it and the disk keeps up.
 func (w *Writer) push(b []byte) bool {
-	if int64(len(b)) > w.left {
+	if int64(len(b)) > w.bytesLeft {
 		w.full = true
 		return false
 	}
-	if w.owed.Load()+int64(len(b)) > waitingBytes {
+	if w.bytesWaiting.Load()+int64(len(b)) > maxWaitingBytes {
 		return false
 	}
-	w.owed.Add(int64(len(b)))
+	w.bytesWaiting.Add(int64(len(b)))
 	select {
 	case w.blocks <- b:
-		w.left -= int64(len(b))
+		w.bytesLeft -= int64(len(b))
 		return true
 	default:
-		w.owed.Add(-int64(len(b)))
+		w.bytesWaiting.Add(-int64(len(b)))
 		return false
 	}
 }
