--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// reportTo lets a report be written to a descriptor of its own that leads to the pipe's end, as an inherited one would.
+// reportTo writes a report to a duplicate of the pipe's descriptor, as to an inherited one.
 func reportTo(t *testing.T, w *os.File, e Endpoints) error {
 	t.Helper()
 	descriptor, err := syscall.Dup(int(w.Fd()))
@@ -20,7 +20,7 @@
 	return e.Report()
 }
 
-func TestAReportIsReadAsItWasWrittenAndThenEnds(t *testing.T) {
+func TestReportRoundTrip(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestAProgramThatEndsWithoutAReportIsToldApart(t *testing.T) {
+func TestEndWithoutReport(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -50,14 +50,14 @@
 	}
 }
 
-func TestWithoutTheVariableNothingIsWritten(t *testing.T) {
+func TestNoReportWithoutVariable(t *testing.T) {
 	t.Setenv(Variable, "")
 	if err := (Endpoints{PostgreSQL: "127.0.0.1:5432"}).Report(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestWhatIsNoInheritedDescriptorIsRefused(t *testing.T) {
+func TestInvalidDescriptorRejected(t *testing.T) {
 	for _, value := range []string{"pipe", "-1", "2", "999999"} {
 		t.Setenv(Variable, value)
 		if err := (Endpoints{}).Report(); err == nil {
--- a/internal/state/audit_test.go
+++ b/internal/state/audit_test.go
@@ -17,10 +17,12 @@
 
 func TestMain(m *testing.M) { fixed.Main(m) }
 
-// The auditor of endings drives a front with the real router on a clock of its own through whatever may end, in any order, and holds each
-// thing that is done against what was then known. All that is drawn comes of the script, so that a failure is cut down to the shortest one.
+// The auditor drives an engine with the real router on a simulated clock through faults in random order, and checks
+// each action against what was known at that time. All random choices are taken from the script, so that rapid can
+// shrink a failure to the shortest script.
 
-// auditSlack is how late an answer may come: the router looks at what is held so often, and the way home is kept back beside that.
+// answerSlack is how late an answer may be: held requests are checked at intervals, and networkAllowance is
+// subtracted from each deadline.
 const answerSlack = 30 * time.Millisecond
 
 type auditor struct {
@@ -33,22 +35,22 @@
 
 	requests     []*auditRequest
 	conns        []*auditConn
-	listed       map[string]Entry // as the front was told last
-	draining     map[string]bool  // listed as draining, and not as ready since
-	hostUp       map[string]bool  // by address: it answers
+	listed       map[string]Entry // as last passed to the engine
+	draining     map[string]bool  // has been listed as draining, and not as ready since
+	hostUp       map[string]bool  // by address: whether it answers
 	timers       Deadlines
-	fetchPending bool // a call to discovery is owed an answer
+	fetchPending bool // a call to the discovery service is unanswered
 	calm         bool // no further faults
 }
 
-// audited is a request, as its client sees it.
+// auditRequest is a request, as its client sees it.
 type auditRequest struct {
 	auditor     *auditor
 	number      int
 	class       logic.Class
 	id          logic.RequestID
 	at          time.Duration
-	deadline    time.Duration // the client's
+	deadline    time.Duration // end of the client's wait
 	answers     []string
 	abandoned   bool
 	abandonedAt time.Duration
@@ -59,7 +61,7 @@
 	at     time.Duration
 	zone   string
 	group  int
-	open   bool // no outcome has come
+	open   bool // no outcome so far
 	mayRun bool
 }
 
@@ -86,7 +88,7 @@
 func (a *auditor) Watch(bool)          { a.fetchPending = true }
 func (a *auditor) Fetch()              { a.fetchPending = true }
 
-// draw gives a number below n, out of the script; behind its end always 0, the kindest.
+// draw returns a number below n from the script. After the script's end it returns 0, which means no fault.
 func (a *auditor) draw(n int) int {
 	if a.calm || len(a.draws) == 0 {
 		return 0
@@ -95,38 +97,38 @@
 	return a.draws[a.drawn%len(a.draws)] * (1 + a.drawn/len(a.draws)) % n
 }
 
-func (a *auditor) after(d time.Duration, f func()) { a.timers.Set(&Deadline{}, a.now+d, f) }
+func (a *auditor) after(d time.Duration, e func()) { a.timers.Set(&Deadline{}, a.now+d, e) }
 
 // Served, Refused, Failed and Unfit implement Caller.
-func (q *auditRequest) Served(body []byte) {
-	if string(body) != strconv.Itoa(q.number) {
-		q.auditor.t.Errorf("request %d is served with %q", q.number, body)
+func (r *auditRequest) Served(body []byte) {
+	if string(body) != strconv.Itoa(r.number) {
+		r.auditor.t.Errorf("request %d is served with %q", r.number, body)
 	}
-	q.answer("served")
+	r.answer("served")
 }
 
-func (q *auditRequest) Refused(time.Duration) {
-	if q.class.Effect != logic.Free && !(q.class.Effect == logic.Guarded && q.class.Scope == logic.ScopeAll) {
-		for _, x := range q.attempts {
+func (r *auditRequest) Refused(time.Duration) {
+	if r.class.Effect != logic.Free && !(r.class.Effect == logic.Guarded && r.class.Scope == logic.ScopeAll) {
+		for _, x := range r.attempts {
 			if x.mayRun {
-				q.auditor.t.Errorf("request %d (%s) is refused though it may have run", q.number, q.class.Name)
+				r.auditor.t.Errorf("request %d (%s) is refused though it may have run", r.number, r.class.Name)
 			}
 		}
 	}
-	q.answer("refused")
+	r.answer("refused")
 }
 
-func (q *auditRequest) Failed()           { q.answer("failed") }
-func (q *auditRequest) BadRequest([]byte) { q.answer("unfit") }
-func (q *auditRequest) answer(how string) {
-	q.answers = append(q.answers, how)
+func (r *auditRequest) Failed()           { r.answer("failed") }
+func (r *auditRequest) BadRequest([]byte) { r.answer("unfit") }
+func (r *auditRequest) answer(how string) {
+	r.answers = append(r.answers, how)
 	switch {
-	case q.abandoned:
-		q.auditor.t.Errorf("request %d is answered though its client has left", q.number)
-	case len(q.answers) > 1:
-		q.auditor.t.Errorf("request %d has the answers %v", q.number, q.answers)
-	case q.auditor.now > q.deadline+answerSlack:
-		q.auditor.t.Errorf("request %d is answered %v late", q.number, q.auditor.now-q.deadline)
+	case r.abandoned:
+		r.auditor.t.Errorf("request %d is answered though its client has left", r.number)
+	case len(r.answers) > 1:
+		r.auditor.t.Errorf("request %d has the answers %v", r.number, r.answers)
+	case r.auditor.now > r.deadline+answerSlack:
+		r.auditor.t.Errorf("request %d is answered %v late", r.number, r.auditor.now-r.deadline)
 	}
 }
 
@@ -146,7 +148,7 @@
 	case !a.hostUp[address] && a.draw(2) == 0:
 		a.after(time.Millisecond, func() { c.notify(to.Refused) })
 	case !a.hostUp[address] || a.draw(12) == 1: // never
-	case a.draw(10) == 1: // late: the front may have given it up
+	case a.draw(10) == 1: // late: the engine may have closed it
 		a.after(time.Duration(a.draw(1500))*time.Millisecond, func() { c.notify(c.connect) })
 	default:
 		a.after(time.Duration(a.draw(20))*time.Millisecond, func() { c.notify(c.connect) })
@@ -159,10 +161,10 @@
 	c.listener.Up()
 }
 
-// tell tells the front what happens on a connection that it has not closed.
-func (c *auditConn) notify(f func()) {
+// notify passes an event to the engine unless the connection is closed.
+func (c *auditConn) notify(e func()) {
 	if !c.closed {
-		f()
+		e()
 	}
 }
 
@@ -174,7 +176,7 @@
 	c.clear()
 }
 
-// done ends what is out there, as far as the front can know it.
+// clear ends what is open on the connection, as far as the engine can know.
 func (c *auditConn) clear() {
 	c.usedAt = c.auditor.now
 	if c.attempt != nil {
@@ -185,7 +187,7 @@
 
 func (c *auditConn) Reusable() bool { return !c.dirty && c.attempt == nil && !c.probing }
 
-// Send implements Conn; here all rules on attempts are checked.
+// Send implements Conn. It checks all rules on attempts.
 func (c *auditConn) Send(cmd Command, wait time.Duration) error {
 	a, q := c.auditor, cmd.(auditCommand).request
 	t := a.t
@@ -223,7 +225,7 @@
 			t.Errorf("request %d (%s) goes again %v after an attempt that may have run", q.number, q.class.Name, a.now-x.at)
 		}
 	}
-	if a.draw(20) == 1 { // the other side had closed it: the last byte is not written
+	if a.draw(20) == 1 { // the peer had closed it: the last byte is not written
 		return errors.New("broken")
 	}
 	x := &auditAttempt{at: a.now, zone: to.Zone, group: to.Group, open: true, mayRun: true}
@@ -254,14 +256,14 @@
 		a.after(took, func() { c.notifyAttempt(x, clean(logic.Full)) })
 	case 3:
 		a.after(took, func() { c.notifyAttempt(x, reply(Reply{Result: logic.Failed, Role: role})) })
-	case 4: // reset under the request
+	case 4: // reset during the request
 		a.after(took, func() { c.notifyAttempt(x, func() { c.clear(); c.listener.Down() }) })
-	case 5: // long after
+	case 5: // reset long after
 		a.after(20*took, func() { c.notifyAttempt(x, func() { c.clear(); c.listener.Down() }) })
-	case 6: // nonsense
+	case 6: // invalid data
 		a.after(took, func() { c.notifyAttempt(x, func() { c.clear(); c.listener.ProtocolError() }) })
-	case 7: // nothing
-	case 8: // a second copy behind the answer
+	case 7: // no answer
+	case 8: // a duplicate after the answer
 		a.after(took, func() {
 			c.notifyAttempt(x, func() { c.dirty = true; reply(Reply{Result: logic.OK, Body: body, Role: role})() })
 		})
@@ -276,7 +278,7 @@
 			c.notifyAttempt(x, reply(Reply{Result: logic.OK, Body: body, Role: role, Position: int64((a.Unix() - took) / time.Millisecond)}))
 		})
 	}
-	if a.draw(25) == 1 { // half a line on it once it is idle, or its end
+	if a.draw(25) == 1 { // partial data on the idle connection, or its end
 		a.after(2*took, func() {
 			c.notify(func() {
 				if c.attempt == nil && !c.probing {
@@ -290,10 +292,10 @@
 	return nil
 }
 
-// tellOf tells what becomes of an attempt that the front still waits for on this connection.
-func (c *auditConn) notifyAttempt(x *auditAttempt, f func()) {
+// notifyAttempt passes the result of an attempt if the engine still waits for it on this connection.
+func (c *auditConn) notifyAttempt(x *auditAttempt, e func()) {
 	if !c.closed && c.attempt == x {
-		f()
+		e()
 	}
 }
 
@@ -323,7 +325,7 @@
 	return nil
 }
 
-// pass lets time go on, from one thing that is due to the next.
+// advance moves the clock forward and runs all timers that are due on the way.
 func (a *auditor) advance(d time.Duration) {
 	for until := a.now + d; ; {
 		next := until
@@ -352,7 +354,7 @@
 	}
 }
 
-// auditSettings draws a deployment.
+// drawSettings draws the configuration of a deployment.
 func drawSettings(t *rapid.T) logic.Config {
 	ms := func(name string, from, to int) time.Duration {
 		return time.Duration(rapid.IntRange(from, to).Draw(t, name)) * time.Millisecond
@@ -389,27 +391,27 @@
 
 func (a *auditor) submit(class int) {
 	c := a.cfg.Classes[class%len(a.cfg.Classes)]
-	q := &auditRequest{auditor: a, number: len(a.requests), class: c, at: a.now, deadline: a.now + c.Limit}
-	id, err := a.engine.Submit(Request{Name: fmt.Sprint(q.number), Class: c.Name, Wait: c.Limit, Session: uint64(q.number % 5), Group: q.number % 2,
-		LastCommit: int64((a.Unix() - 50*time.Millisecond) / time.Millisecond), Command: auditCommand{q}, Caller: q})
+	r := &auditRequest{auditor: a, number: len(a.requests), class: c, at: a.now, deadline: a.now + c.Limit}
+	id, err := a.engine.Submit(Request{Name: fmt.Sprint(r.number), Class: c.Name, Wait: c.Limit, Session: uint64(r.number % 5), Group: r.number % 2,
+		LastCommit: int64((a.Unix() - 50*time.Millisecond) / time.Millisecond), Command: auditCommand{r}, Caller: r})
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	q.id = id
-	a.requests = append(a.requests, q)
+	r.id = id
+	a.requests = append(a.requests, r)
 }
 
 func (a *auditor) abandon(n int) {
 	if len(a.requests) == 0 {
 		return
 	}
-	if q := a.requests[len(a.requests)-1-n%len(a.requests)]; !q.abandoned && len(q.answers) == 0 {
-		q.abandoned, q.abandonedAt = true, a.now
-		a.engine.Abandon(q.id)
+	if r := a.requests[len(a.requests)-1-n%len(a.requests)]; !r.abandoned && len(r.answers) == 0 {
+		r.abandoned, r.abandonedAt = true, a.now
+		a.engine.Abandon(r.id)
 	}
 }
 
-// tell puts an entry of the list into force.
+// updateEntry passes a changed entry to the engine.
 func (a *auditor) updateEntry(e Entry) {
 	a.recordEntry(e)
 	a.engine.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{e}})
@@ -420,7 +422,7 @@
 	a.draining[e.Name] = e.State == logic.Draining || e.State == logic.Gone && a.draining[e.Name]
 }
 
-// tellAll puts a whole list into force, which leaves out those whose bit is not set, and those that are gone.
+// updateWholeList passes a full list to the engine, without the members whose bit is not set and those that are gone.
 func (a *auditor) updateWholeList(bits int) {
 	l := List{Kind: logic.ListFull}
 	for i := range len(a.listed) {
@@ -457,7 +459,7 @@
 	case opFail:
 		a.engine.ListFailed(errors.New("down"))
 	case opHost:
-		if a.hostUp[e.Address] = x/6%3 > 0; !a.hostUp[e.Address] && x%2 == 0 { // it dies, and does not only fall silent
+		if a.hostUp[e.Address] = x/6%3 > 0; !a.hostUp[e.Address] && x%2 == 0 { // it dies and resets its connections
 			for _, c := range a.conns {
 				if c.address == e.Address && c.up {
 					c.notify(func() { c.clear(); c.listener.Down() })
@@ -498,13 +500,13 @@
 	}
 	a.calm = true
 	a.advance(4 * time.Second) // longer than any request
-	for _, q := range a.requests {
-		if len(q.answers) != 1 && !q.abandoned {
-			t.Errorf("request %d has the answers %v", q.number, q.answers)
+	for _, r := range a.requests {
+		if len(r.answers) != 1 && !r.abandoned {
+			t.Errorf("request %d has the answers %v", r.number, r.answers)
 		}
 	}
 	a.checkReleased()
-	a.advance(overdueKeptFor + 5*time.Second) // and than any connection stands idle
+	a.advance(overdueKeptFor + 5*time.Second) // and longer than any connection is kept idle
 	a.checkReleased()
 	for _, c := range a.conns {
 		if !c.closed && a.now-c.usedAt > 4*time.Second {
@@ -513,7 +515,7 @@
 	}
 }
 
-// resting looks at what stands idle: nothing leads to where no request may go.
+// checkIdleConns checks that no idle connection leads to a member or address to which no request may be sent.
 func (a *auditor) checkIdleConns() {
 	for _, m := range a.engine.members {
 		for _, l := range m.idleConns {
@@ -524,11 +526,11 @@
 	}
 }
 
-// returned asks for all that was taken: nothing is under way any more, so every slot, connection and timer has come back.
+// checkReleased checks, once nothing is open any more, that every slot, connection and timer was released.
 func (a *auditor) checkReleased() {
-	t, f := a.t, a.engine
-	if len(f.requests) > 0 || len(f.openNames) > 0 || f.openStreams > 0 || f.OutstandingAnswers() > 0 {
-		t.Errorf("%d requests are kept, %d names, %d streams", len(f.requests), len(f.openNames), f.openStreams)
+	t, e := a.t, a.engine
+	if len(e.requests) > 0 || len(e.openNames) > 0 || e.openStreams > 0 || e.OutstandingAnswers() > 0 {
+		t.Errorf("%d requests are kept, %d names, %d streams", len(e.requests), len(e.openNames), e.openStreams)
 	}
 	open := 0
 	for _, c := range a.conns {
@@ -537,7 +539,7 @@
 		}
 	}
 	held := 0
-	for _, m := range f.members {
+	for _, m := range e.members {
 		held += len(m.conns)
 		if m.probeConn != nil {
 			held++
@@ -550,20 +552,20 @@
 				t.Errorf("an attempt still waits for a connection to %s", m.name)
 			}
 		}
-		if v, ok := f.router.Member(a.now, m.id); ok && v.Out > 0 {
+		if v, ok := e.router.Member(a.now, m.id); ok && v.Out > 0 {
 			t.Errorf("%d of %s's slots are not returned", v.Out, m.name)
 		}
 	}
-	if f.openConns != open || held != open {
-		t.Errorf("%d connections are open, %d counted, %d held", open, f.openConns, held)
+	if e.openConns != open || held != open {
+		t.Errorf("%d connections are open, %d counted, %d held", open, e.openConns, held)
 	}
-	if n := len(f.Deadlines.heap); n > open+2 {
+	if n := len(e.Deadlines.heap); n > open+2 {
 		t.Errorf("%d timers are set for %d connections", n, open)
 	}
 }
 
-// TestEveryEnding plays random scripts: requests, clients that leave, lists that change, databases that die, hang, reset, move and start anew,
-// under random settings. What it must never see is in Send, answer and returned.
+// TestEveryEnding runs random scripts of requests, clients that disconnect, changes of the list, and databases that
+// die, hang, reset, move and restart, with random settings. The checks are in Send, answer and checkReleased.
 func TestEveryEnding(t *testing.T) {
 	was := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
--- a/internal/state/gate_test.go
+++ b/internal/state/gate_test.go
@@ -7,7 +7,7 @@
 	"havenproxy/logic"
 )
 
-// door is a gate that the test opens and shuts.
+// fakeGate is a Gate whose decision the test sets.
 type fakeGate struct {
 	policy  uint64
 	verdict GateDecision
@@ -19,7 +19,7 @@
 	return d.policy, d.verdict
 }
 
-// told is a caller that notes the policy that it was taken under.
+// policyCaller is a Caller that records the policies under which its request was admitted.
 type policyCaller struct {
 	caller
 	policies []uint64
@@ -27,82 +27,83 @@
 
 func (c *policyCaller) SetPolicy(policy uint64) { c.policies = append(c.policies, policy) }
 
-func (b *harness) submit(c Caller, wait time.Duration) logic.RequestID {
-	id, err := b.e.Submit(Request{Class: "any", Wait: wait, Command: command{}, Caller: c})
+func (h *harness) submit(c Caller, wait time.Duration) logic.RequestID {
+	id, err := h.e.Submit(Request{Class: "any", Wait: wait, Command: command{}, Caller: c})
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return id
 }
 
-// Requests that come while a change is at its point wait, and are taken under the new policy, each once and in their order.
-func TestWhatWaitsAtThePointIsTakenUnderTheNewPolicy(t *testing.T) {
-	b := newHarness(t, 4)
+// Requests submitted while the policy changes wait, and are admitted under the new policy, each once and in order.
+func TestWaitingRequestsAdmittedUnderNewPolicy(t *testing.T) {
+	h := newHarness(t, 4)
 	g := &fakeGate{policy: 1}
-	b.e.SetGate(g)
+	h.e.SetGate(g)
 	var a, c, gone policyCaller
-	b.submit(&a, time.Second)
+	h.submit(&a, time.Second)
 	g.verdict = GateWait
-	b.submit(&c, time.Second)
-	id := b.submit(&gone, time.Second)
-	b.e.Abandon(id)
-	if b.e.GateQueueLength() != 2 || len(b.calls) != 2 { // one request, and one that was abandoned
-		t.Fatalf("%d wait, the router was told %v", b.e.GateQueueLength(), b.calls)
+	h.submit(&c, time.Second)
+	id := h.submit(&gone, time.Second)
+	h.e.Abandon(id)
+	if h.e.GateQueueLength() != 2 || len(h.calls) != 2 { // one request, and one abandonment
+		t.Fatalf("%d wait, the router was told %v", h.e.GateQueueLength(), h.calls)
 	}
-	b.now += 30 * time.Millisecond
-	b.e.GateChanged() // not yet
+	h.now += 30 * time.Millisecond
+	h.e.GateChanged() // the gate has not opened yet
 	g.policy, g.verdict = 2, GateOpen
-	b.e.GateChanged()
-	b.advance(time.Second)
-	if len(a.policies) != 1 || a.policies[0] != 1 || len(c.policies) != 1 || c.policies[0] != 2 || len(gone.policies)+b.e.GateQueueLength() != 0 {
-		t.Errorf("taken under %v, %v and %v, %d wait", a.policies, c.policies, gone.policies, b.e.GateQueueLength())
+	h.e.GateChanged()
+	h.advance(time.Second)
+	if len(a.policies) != 1 || a.policies[0] != 1 || len(c.policies) != 1 || c.policies[0] != 2 || len(gone.policies)+h.e.GateQueueLength() != 0 {
+		t.Errorf("taken under %v, %v and %v, %d wait", a.policies, c.policies, gone.policies, h.e.GateQueueLength())
 	}
 	c.wantAnswers(t)
-	b.wantCalls("request", "abandoned", "request") // and none of who has gone
-	if want := clockBase + time.Second; b.lastRequest.Deadline != want-networkAllowance {
-		t.Errorf("its time ends at %v, want %v: it runs while it waits", b.lastRequest.Deadline, want-networkAllowance)
+	h.wantCalls("request", "abandoned", "request") // none for the abandoned one
+	if want := clockBase + time.Second; h.lastRequest.Deadline != want-networkAllowance {
+		t.Errorf("its time ends at %v, want %v: it runs while it waits", h.lastRequest.Deadline, want-networkAllowance)
 	}
 }
 
-// What waits for 100 ms, or for half of its time, is refused then, with a hint: not held back until a change is over.
-func TestNothingWaitsLongAtThePoint(t *testing.T) {
-	b := newHarness(t, 4)
+// A request that has waited for 100 ms, or for half of its client's wait, is refused with a hint. It does not wait
+// until the change of policy is over.
+func TestGateWaitLimited(t *testing.T) {
+	h := newHarness(t, 4)
 	g := &fakeGate{verdict: GateWait}
-	b.e.SetGate(g)
+	h.e.SetGate(g)
 	var long, short, later policyCaller
-	b.submit(&long, time.Second)
-	b.submit(&short, 80*time.Millisecond)
-	b.advance(39 * time.Millisecond)
+	h.submit(&long, time.Second)
+	h.submit(&short, 80*time.Millisecond)
+	h.advance(39 * time.Millisecond)
 	short.wantAnswers(t)
-	b.advance(time.Millisecond)
+	h.advance(time.Millisecond)
 	short.wantAnswers(t, "refused 100ms")
-	b.submit(&later, time.Second)
-	b.advance(60 * time.Millisecond)
+	h.submit(&later, time.Second)
+	h.advance(60 * time.Millisecond)
 	long.wantAnswers(t, "refused 100ms")
 	later.wantAnswers(t)
-	b.advance(40 * time.Millisecond)
+	h.advance(40 * time.Millisecond)
 	later.wantAnswers(t, "refused 100ms")
 	g.verdict = GateOpen
-	b.e.GateChanged()
-	if len(long.policies)+len(short.policies)+len(later.policies)+b.e.GateQueueLength()+b.e.Pending() != 0 {
+	h.e.GateChanged()
+	if len(long.policies)+len(short.policies)+len(later.policies)+h.e.GateQueueLength()+h.e.Pending() != 0 {
 		t.Error("what was refused is taken")
 	}
 }
 
-// Who can't know the policy refuses at once, what waits as well, and the clock is read anew for each request.
-func TestWithoutThePolicyNothingIsTaken(t *testing.T) {
-	b := newHarness(t, 4)
+// A proxy that does not know the policy refuses new and waiting requests at once. The clock is read for each request.
+func TestClosedGateRefuses(t *testing.T) {
+	h := newHarness(t, 4)
 	g := &fakeGate{verdict: GateWait}
-	b.e.SetGate(g)
+	h.e.SetGate(g)
 	var a, c policyCaller
-	b.submit(&a, time.Second)
+	h.submit(&a, time.Second)
 	g.verdict = GateClosed
-	b.e.GateChanged()
+	h.e.GateChanged()
 	a.wantAnswers(t, "refused 200ms")
-	b.now += time.Minute // it stood still
-	b.submit(&c, time.Second)
+	h.now += time.Minute // the process was paused
+	h.submit(&c, time.Second)
 	c.wantAnswers(t, "refused 200ms")
-	if len(b.calls) > 0 || g.asked[len(g.asked)-1] != b.now || b.e.Counters.GateRefused != 2 || b.e.Pending() != 0 {
-		t.Errorf("the router was told %v; asked for %v at %v", b.calls, g.asked, b.now)
+	if len(h.calls) > 0 || g.asked[len(g.asked)-1] != h.now || h.e.Counters.GateRefused != 2 || h.e.Pending() != 0 {
+		t.Errorf("the router was told %v; asked for %v at %v", h.calls, g.asked, h.now)
 	}
 }
--- a/internal/state/late_test.go
+++ b/internal/state/late_test.go
@@ -5,32 +5,34 @@
 	"time"
 )
 
-// Guards against incident 38 going unseen: an answer that comes behind its client's time is counted as late, one in time is not.
-func TestAnswersBehindTheirTimeAreCounted(t *testing.T) {
-	b := newHarness(t, 9)
+// Guards against incident 38 going unnoticed: a request answered after the end of its client's wait is counted as
+// late, one answered in time is not.
+func TestLateAnswersCounted(t *testing.T) {
+	h := newHarness(t, 9)
 	in := func(wait time.Duration) {
-		id, err := b.e.Submit(Request{Name: "r", Class: "any", Wait: wait, Command: command{}, Caller: &caller{}})
+		id, err := h.e.Submit(Request{Name: "r", Class: "any", Wait: wait, Command: command{}, Caller: &caller{}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.now += 300 * time.Millisecond
-		b.e.Refuse(id, 0)
+		h.now += 300 * time.Millisecond
+		h.e.Refuse(id, 0)
 	}
-	if in(time.Second); b.e.Counters.AnsweredLate != 0 {
+	if in(time.Second); h.e.Counters.AnsweredLate != 0 {
 		t.Error("an answer in time is counted as late")
 	}
-	if in(238 * time.Millisecond); b.e.Counters.AnsweredLate != 1 {
+	if in(238 * time.Millisecond); h.e.Counters.AnsweredLate != 1 {
 		t.Error("an answer behind its client's time is not counted")
 	}
 }
 
-// A request that waited in the loop's queue has that much less time: its attempts and its databases are told what its client has left.
-func TestTimeInTheQueueCounts(t *testing.T) {
-	b := newHarness(t, 9)
-	if _, err := b.e.Submit(Request{Class: "any", Wait: time.Second, ReceivedAt: b.now - 300*time.Millisecond, Command: command{}, Caller: &caller{}}); err != nil {
+// The time that a request waited in the event loop's queue counts: its attempts and databases get the time that its
+// client has left.
+func TestQueueTimeCounts(t *testing.T) {
+	h := newHarness(t, 9)
+	if _, err := h.e.Submit(Request{Class: "any", Wait: time.Second, ReceivedAt: h.now - 300*time.Millisecond, Command: command{}, Caller: &caller{}}); err != nil {
 		t.Fatal(err)
 	}
-	if left := b.lastRequest.Deadline - b.now; left != 700*time.Millisecond-networkAllowance {
+	if left := h.lastRequest.Deadline - h.now; left != 700*time.Millisecond-networkAllowance {
 		t.Errorf("%v are left, want %v", left, 700*time.Millisecond-networkAllowance)
 	}
 }
--- a/internal/state/logins/logins_test.go
+++ b/internal/state/logins/logins_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestGuessingWaitsLongerEachTime(t *testing.T) {
+func TestRepeatedFailuresWaitLonger(t *testing.T) {
 	g := New(Config{FreeFailures: 3, FirstWait: time.Second, MaxWait: 8 * time.Second, ForgetAfter: time.Minute})
 	who, now := Login{"10.0.0.1", "a"}, time.Duration(0)
 	for range 3 {
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestARightPasswordClearsTheRecord(t *testing.T) {
+func TestSuccessClearsFailures(t *testing.T) {
 	g := New(Config{FreeFailures: 1})
 	who := Login{"p", "u"}
 	g.Failed(1, who)
@@ -56,8 +56,8 @@
 	}
 }
 
-// Names that somebody makes up take no more room than there is.
-func TestPeersAreBounded(t *testing.T) {
+// Invented user names take a bounded amount of memory.
+func TestRecordsBounded(t *testing.T) {
 	g := New(Config{MaxPeers: 10, FreeFailures: 1})
 	for i := range 1000 {
 		g.Failed(time.Duration(i), Login{"p", strconv.Itoa(i)})
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestCostlyChecksAreBounded(t *testing.T) {
+func TestConcurrentChecksBounded(t *testing.T) {
 	g := New(Config{MaxChecks: 5, MaxChecksPerPeer: 2})
 	for i, want := range []bool{true, true, false} {
 		if g.StartCheck("a") != want {
--- a/internal/state/prepared/budget_test.go
+++ b/internal/state/prepared/budget_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-func TestARoomAndItsShares(t *testing.T) {
+func TestBudgetAndShares(t *testing.T) {
 	r := NewBudget(3000)
 	a, b := r.NewShare(3, 2000), r.NewShare(100, 100000)
-	text := strings.Repeat("x", 100) // 400 bytes with what goes round it
+	text := strings.Repeat("x", 100) // 400 bytes including the overhead
 	for range 3 {
 		if err := a.CheckFits(text); err != nil {
 			t.Fatal(err)
--- a/internal/state/prepared/metadata_test.go
+++ b/internal/state/prepared/metadata_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Against a plain map: what is given is what was learned last, no older than it may be, and the room is kept.
-func TestShapesKeepTheirRoom(t *testing.T) {
+// Compares the cache with a map: it returns the latest answer, none older than the limit, and keeps its size limit.
+func TestMetadataCacheLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most, room := rapid.IntRange(1, 5).Draw(t, "most"), rapid.IntRange(40, 120).Draw(t, "room")
 		s := NewMetadataCache(most, room, time.Second)
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestALargeShapeIsNotKept(t *testing.T) {
+func TestLargeMetadataNotCached(t *testing.T) {
 	s := NewMetadataCache(10, 400, time.Second)
 	s.Put(1, 1, "a", make([]byte, 50))
 	s.Put(1, 1, "b", make([]byte, 200))
--- a/internal/state/prepared/prepared_test.go
+++ b/internal/state/prepared/prepared_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Against a model of a few lines: the cache never holds more than its bound, and names each number to close once.
-func TestTheCacheClosesWhatItDrops(t *testing.T) {
+// Compares the cache with a simple model: it never holds more than its capacity, and returns each ID to close once.
+func TestCacheClosesEvictedStatements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 5).Draw(t, "most")
 		c := New(most)
@@ -22,7 +22,7 @@
 				}
 				if rapid.IntRange(0, 5).Draw(t, "forget") == 0 {
 					c.Remove(text)
-					delete(open, id) // the server doesn't know it
+					delete(open, id) // the server no longer knows it
 				}
 				continue
 			}
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestAServerThatForgetsGetsItOnceMore(t *testing.T) {
+func TestUnknownStatementPreparedOnceMore(t *testing.T) {
 	c := New(4)
 	r := Execution{Text: "a"}
 	if s, _ := r.Next(c); s != Prepare || r.Sent {
--- a/internal/state/shortage_test.go
+++ b/internal/state/shortage_test.go
@@ -7,62 +7,63 @@
 	"havenproxy/logic"
 )
 
-// Guards against incident 38: a check for which no connection may be opened was taken for its database's silence. It says nothing of the
-// database, and the router is told so.
-func TestACheckWithoutRoomForItsConnectionIsNoSilence(t *testing.T) {
-	b := newHarness(t, 0)
-	b.e.Probe(b.id("one"))
-	if b.probe.Result != logic.Moot || b.probe.Member != b.id("one") {
-		t.Errorf("the router was told result %d, want %d", b.probe.Result, logic.Moot)
+// Guards against incident 38: a health check for which no connection may be opened was taken for silence of its
+// database. It says nothing about the database, and the router must be told so.
+func TestCheckWithoutConnectionIsNotSilence(t *testing.T) {
+	h := newHarness(t, 0)
+	h.e.Probe(h.id("one"))
+	if h.probe.Result != logic.Moot || h.probe.Member != h.id("one") {
+		t.Errorf("the router was told result %d, want %d", h.probe.Result, logic.Moot)
 	}
-	if b.e.membersByName["one"].silent {
+	if h.e.membersByName["one"].silent {
 		t.Error("the database counts as silent, and was never asked")
 	}
 }
 
-// Guards against incident 38: an attempt for which no connection may be opened was told as a failure of its database.
-func TestAnAttemptWithoutRoomForItsConnectionBlamesNobody(t *testing.T) {
-	b := newHarness(t, 0)
-	b.submitAndSend(&caller{})
-	b.wantCalls("request", outcomeCall(logic.Moot, false))
+// Guards against incident 38: an attempt for which no connection may be opened was reported as a failure of its
+// database.
+func TestAttemptWithoutConnectionIsNotFailure(t *testing.T) {
+	h := newHarness(t, 0)
+	h.submitAndSend(&caller{})
+	h.wantCalls("request", outcomeCall(logic.Moot, false))
 }
 
-// A dial that fails for want of something on this machine, such as a descriptor, is treated like one that was never made.
-func TestAConnectionThatThisMachineCantOpenBlamesNobody(t *testing.T) {
-	b := newHarness(t, 9)
-	b.e.Probe(b.id("one"))
-	b.conns[0].listener.NotOpened()
-	if b.probe.Result != logic.Moot || b.e.membersByName["one"].silent || b.e.openConns != 0 {
-		t.Errorf("a check: result %d, silent %v, %d connections counted", b.probe.Result, b.e.membersByName["one"].silent, b.e.openConns)
+// A dial that fails because of a local error, such as a lack of descriptors, is treated like one that was never made.
+func TestLocalDialErrorIsNotFailure(t *testing.T) {
+	h := newHarness(t, 9)
+	h.e.Probe(h.id("one"))
+	h.conns[0].listener.NotOpened()
+	if h.probe.Result != logic.Moot || h.e.membersByName["one"].silent || h.e.openConns != 0 {
+		t.Errorf("a check: result %d, silent %v, %d connections counted", h.probe.Result, h.e.membersByName["one"].silent, h.e.openConns)
 	}
-	b.calls = nil
-	b.submitAndSend(&caller{})
-	b.conns[1].listener.NotOpened()
-	b.wantCalls("request", outcomeCall(logic.Moot, false))
-	if b.e.Counters.ConnectionsNotOpened != 2 {
-		t.Errorf("%d connections are counted as without room, want 2", b.e.Counters.ConnectionsNotOpened)
+	h.calls = nil
+	h.submitAndSend(&caller{})
+	h.conns[1].listener.NotOpened()
+	h.wantCalls("request", outcomeCall(logic.Moot, false))
+	if h.e.Counters.ConnectionsNotOpened != 2 {
+		t.Errorf("%d connections are counted as without room, want 2", h.e.Counters.ConnectionsNotOpened)
 	}
 }
 
-// Guards against incident 38: making room for a connection searched every database, for each check and attempt. It takes the connection that
-// has been idle for longest, and not one that was used since.
-func TestRoomIsMadeByTheConnectionThatIsIdleForLongest(t *testing.T) {
-	b := newHarness(t, 2)
-	b.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "three", Address: "a:3", State: logic.Ready}}})
+// Guards against incident 38: finding a connection to evict searched all databases, for each check and attempt. The
+// connection that has been idle for the longest time is evicted, not one that was used since.
+func TestLongestIdleConnectionEvicted(t *testing.T) {
+	h := newHarness(t, 2)
+	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "three", Address: "a:3", State: logic.Ready}}})
 	send := func(name string) {
-		id, err := b.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
+		id, err := h.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.e.Send(id, b.id(name), time.Second)
+		h.e.Send(id, h.id(name), time.Second)
 	}
 	serve := func(c *conn) {
-		b.advance(time.Millisecond)
+		h.advance(time.Millisecond)
 		c.listener.Reply(Reply{Result: logic.OK})
 	}
 	send("one")
 	send("two")
-	one, two := b.conns[0], b.conns[1]
+	one, two := h.conns[0], h.conns[1]
 	one.listener.Up()
 	two.listener.Up()
 	serve(one)
@@ -70,21 +71,22 @@
 	send("one")
 	serve(one)
 	send("three")
-	if len(b.conns) != 3 || !two.closed || one.closed {
-		t.Errorf("%d connections; closed: one %v, two %v; want the one that was idle for longest, two", len(b.conns), one.closed, two.closed)
+	if len(h.conns) != 3 || !two.closed || one.closed {
+		t.Errorf("%d connections; closed: one %v, two %v; want the one that was idle for longest, two", len(h.conns), one.closed, two.closed)
 	}
 	send("two")
-	if len(b.conns) != 4 || !one.closed {
-		t.Errorf("%d connections; closed: one %v; it was the next", len(b.conns), one.closed)
+	if len(h.conns) != 4 || !one.closed {
+		t.Errorf("%d connections; closed: one %v; it was the next", len(h.conns), one.closed)
 	}
 	send("one")
-	if b.e.Counters.ConnectionsNotOpened != 1 {
+	if h.e.Counters.ConnectionsNotOpened != 1 {
 		t.Error("room was found though no connection is idle")
 	}
 }
 
-// Making room takes as long before thousands of databases as before a few: it allocates nothing and looks at one connection.
-func BenchmarkMakeRoom(b *testing.B) {
+// BenchmarkEvictConn shows that finding a connection to evict takes the same time for thousands of databases as for a
+// few: it allocates nothing and examines one connection.
+func BenchmarkEvictConn(b *testing.B) {
 	f, err := New(Config{Logic: logic.Config{Tick: 1, Classes: []logic.Class{{Name: "any", Aim: 1e9, Limit: 1e9}}}, MaxConnections: 1}, NewClock(), nil)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -12,9 +12,9 @@
 	"havenproxy/logic"
 )
 
-// bench is a front whose router is played by the test, with a clock and connections of the test's own.
+// harness is an engine with a fake router, clock and connections.
 type harness struct {
-	wallClockStep time.Duration // by which the wall clock was set since
+	wallClockStep time.Duration // adjustment of the wall clock since the start
 	t             *testing.T
 	e             *Engine
 	now           time.Duration
@@ -31,45 +31,45 @@
 	facts          []peers.Fact
 }
 
-func (b *harness) Now() time.Duration  { return b.now }
-func (b *harness) Unix() time.Duration { return b.now + b.wallClockStep + 1767225600*time.Second }
+func (h *harness) Now() time.Duration  { return h.now }
+func (h *harness) Unix() time.Duration { return h.now + h.wallClockStep + 1767225600*time.Second }
 
-func (b *harness) log(format string, args ...any) {
-	if b.depth > 0 {
-		b.t.Errorf("the router is called from within its own call")
+func (h *harness) log(format string, args ...any) {
+	if h.depth > 0 {
+		h.t.Errorf("the router is called from within its own call")
 	}
-	b.calls = append(b.calls, fmt.Sprintf(format, args...))
+	h.calls = append(h.calls, fmt.Sprintf(format, args...))
 }
 
-func (b *harness) Members(_ time.Duration, l logic.List) { b.lastList = l }
-func (b *harness) Request(_ time.Duration, q logic.Request) {
-	b.log("request")
-	b.depth++
-	if b.lastRequest = q; b.onRequest != nil {
-		b.onRequest()
+func (h *harness) Members(_ time.Duration, l logic.List) { h.lastList = l }
+func (h *harness) Request(_ time.Duration, q logic.Request) {
+	h.log("request")
+	h.depth++
+	if h.lastRequest = q; h.onRequest != nil {
+		h.onRequest()
 	}
-	b.depth--
+	h.depth--
 }
-func (b *harness) Started(time.Duration, logic.RequestID, int) {}
-func (b *harness) Outcome(_ time.Duration, o logic.Outcome) {
-	b.lastOutcome = o
-	b.log("outcome %d finished=%v", o.Result, o.Finished)
+func (h *harness) Started(time.Duration, logic.RequestID, int) {}
+func (h *harness) Outcome(_ time.Duration, o logic.Outcome) {
+	h.lastOutcome = o
+	h.log("outcome %d finished=%v", o.Result, o.Finished)
 }
-func (b *harness) Probed(_ time.Duration, p logic.Probed)   { b.probe = p; b.log("probed %d", p.Result) }
-func (b *harness) Timer(time.Duration, logic.TimerID)       { b.log("timer") }
-func (b *harness) Abandoned(time.Duration, logic.RequestID) { b.log("abandoned") }
-func (b *harness) Witness(_ time.Duration, _ logic.MemberID, what handover.Testimony, opened time.Duration) {
-	b.log("%s %v", [...]string{"answered", "ended", "mute"}[what], opened-clockBase)
+func (h *harness) Probed(_ time.Duration, p logic.Probed)   { h.probe = p; h.log("probed %d", p.Result) }
+func (h *harness) Timer(time.Duration, logic.TimerID)       { h.log("timer") }
+func (h *harness) Abandoned(time.Duration, logic.RequestID) { h.log("abandoned") }
+func (h *harness) Witness(_ time.Duration, _ logic.MemberID, what handover.Testimony, opened time.Duration) {
+	h.log("%s %v", [...]string{"answered", "ended", "mute"}[what], opened-clockBase)
 }
-func (b *harness) Heard(_ time.Duration, facts []peers.Fact) {
-	b.facts = append([]peers.Fact(nil), facts...)
+func (h *harness) Heard(_ time.Duration, facts []peers.Fact) {
+	h.facts = append([]peers.Fact(nil), facts...)
 }
-func (b *harness) Watch(bool)          {}
-func (b *harness) Fetch()              {}
-func (b *harness) AbandonedDials() int { return b.abandonedDials }
-func (b *harness) Open(address string, _ int, to Listener) Conn {
+func (h *harness) Watch(bool)          {}
+func (h *harness) Fetch()              {}
+func (h *harness) AbandonedDials() int { return h.abandonedDials }
+func (h *harness) Open(address string, _ int, to Listener) Conn {
 	c := &conn{address: address, listener: to}
-	b.conns = append(b.conns, c)
+	h.conns = append(h.conns, c)
 	return c
 }
 
@@ -79,7 +79,7 @@
 	sent     int
 	probes   int
 	closed   bool
-	dirty    bool // something has come that nobody asked for
+	dirty    bool // unexpected data has been received
 	err      error
 }
 
@@ -106,393 +106,394 @@
 }
 
 func newHarness(t *testing.T, links int) *harness {
-	b := &harness{t: t, now: clockBase}
+	h := &harness{t: t, now: clockBase}
 	class := func(name string, read logic.Freshness) logic.Class {
 		return logic.Class{Name: name, Read: read, MaxAge: time.Second, Aim: time.Second, Limit: 2 * time.Second}
 	}
 	f, err := New(Config{Logic: logic.Config{Tick: time.Millisecond, Classes: []logic.Class{class("any", logic.Any),
 		class("session", logic.Session)}}, Zones: []string{"x", "y"}, IdleClose: 10 * time.Second,
-		ConnectTimeout: 250 * time.Millisecond, MaxConnections: links}, b, b)
+		ConnectTimeout: 250 * time.Millisecond, MaxConnections: links}, h, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.e, f.events = f, b
-	f.Start(b, List{Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Ready},
+	h.e, f.events = f, h
+	f.Start(h, List{Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Ready},
 		{Name: "two", Address: "a:2", Zone: "?", State: logic.Ready}}})
-	return b
+	return h
 }
 
-func (b *harness) id(name string) logic.MemberID { return b.e.membersByName[name].id }
+func (h *harness) id(name string) logic.MemberID { return h.e.membersByName[name].id }
 
-// take lets a request in and sends its first attempt to the first member.
-func (b *harness) submitAndSend(c *caller) logic.RequestID {
-	id, err := b.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c})
+// submitAndSend submits a request and sends its first attempt to the first member.
+func (h *harness) submitAndSend(c *caller) logic.RequestID {
+	id, err := h.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c})
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	b.e.Send(id, b.id("one"), 500*time.Millisecond)
+	h.e.Send(id, h.id("one"), 500*time.Millisecond)
 	return id
 }
 
-func (b *harness) wantCalls(events ...string) {
-	b.t.Helper()
-	if got := strings.Join(b.calls, ", "); got != strings.Join(events, ", ") {
-		b.t.Errorf("the router was told: %s; want: %s", got, strings.Join(events, ", "))
+func (h *harness) wantCalls(events ...string) {
+	h.t.Helper()
+	if got := strings.Join(h.calls, ", "); got != strings.Join(events, ", ") {
+		h.t.Errorf("the router was told: %s; want: %s", got, strings.Join(events, ", "))
 	}
-	b.calls = nil
+	h.calls = nil
 }
 
-func (b *harness) advance(d time.Duration) {
-	b.now += d
-	b.e.Deadlines.Run(b.now)
+func (h *harness) advance(d time.Duration) {
+	h.now += d
+	h.e.Deadlines.Run(h.now)
 }
 
 func outcomeCall(r logic.Result, finished bool) string {
 	return fmt.Sprintf("outcome %d finished=%v", r, finished)
 }
 
-func TestServedOnceAndConnectionKept(t *testing.T) {
-	b, c := newHarness(t, 9), &caller{}
-	id := b.submitAndSend(c)
-	b.conns[0].listener.Up()
-	b.conns[0].listener.Reply(Reply{Result: logic.OK, Body: []byte("v"), Role: logic.RoleReplica, Position: 1767225600000})
-	b.e.Refuse(id, time.Second) // too late: it has its answer
-	b.e.Fail(id)
+func TestRequestServedOnceAndConnectionReused(t *testing.T) {
+	h, c := newHarness(t, 9), &caller{}
+	id := h.submitAndSend(c)
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK, Body: []byte("v"), Role: logic.RoleReplica, Position: 1767225600000})
+	h.e.Refuse(id, time.Second) // it is already answered
+	h.e.Fail(id)
 	c.wantAnswers(t, "served v")
-	b.wantCalls("request", outcomeCall(logic.OK, true))
-	if b.lastOutcome.Position != 0 && b.lastOutcome.Position != b.now-(b.Unix()-1767225600*time.Second) {
-		t.Errorf("position %v", b.lastOutcome.Position)
+	h.wantCalls("request", outcomeCall(logic.OK, true))
+	if h.lastOutcome.Position != 0 && h.lastOutcome.Position != h.now-(h.Unix()-1767225600*time.Second) {
+		t.Errorf("position %v", h.lastOutcome.Position)
 	}
-	b.submitAndSend(&caller{})
-	if len(b.conns) != 1 || b.conns[0].sent != 2 {
-		t.Errorf("%d connections, %d requests on the first", len(b.conns), b.conns[0].sent)
+	h.submitAndSend(&caller{})
+	if len(h.conns) != 1 || h.conns[0].sent != 2 {
+		t.Errorf("%d connections, %d requests on the first", len(h.conns), h.conns[0].sent)
 	}
-	if b.e.Pending() != 1 {
-		t.Errorf("%d requests pending", b.e.Pending())
+	if h.e.Pending() != 1 {
+		t.Errorf("%d requests pending", h.e.Pending())
 	}
 }
 
-// Whether the last byte was written tells what never ran from what may have.
-func TestHowAConnectionFailsDecidesTheOutcome(t *testing.T) {
+// Whether the last byte was written distinguishes a request that cannot have run from one that may have.
+func TestConnectionFailureDeterminesOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(b *harness)
+		do   func(h *harness)
 		want logic.Result
 	}{
-		"refused":        {func(b *harness) { b.conns[0].listener.Refused() }, logic.ConnectFailed},
-		"reset on dial":  {func(b *harness) { b.conns[0].listener.Down() }, logic.ConnectFailed},
-		"never up":       {func(b *harness) { b.advance(250 * time.Millisecond) }, logic.ConnectFailed},
-		"turned away":    {func(b *harness) { b.conns[0].listener.Reply(Reply{Result: logic.Full}) }, logic.Full},
-		"unwelcome":      {func(b *harness) { b.conns[0].listener.Reply(Reply{Result: logic.Failed}) }, logic.ConnectFailed},
-		"not written":    {func(b *harness) { b.conns[0].err = errors.New("broken"); b.conns[0].listener.Up() }, logic.ConnectFailed},
-		"broken behind":  {func(b *harness) { b.conns[0].listener.Up(); b.conns[0].listener.Down() }, logic.Reset},
-		"silent":         {func(b *harness) { b.conns[0].listener.Up(); b.advance(500 * time.Millisecond) }, logic.TimedOut},
-		"called off":     {func(b *harness) { b.conns[0].listener.Up(); b.e.Cancel(1, 0) }, logic.Cancelled},
-		"called off yet": {func(b *harness) { b.e.Cancel(1, 0) }, logic.Cancelled},
+		"refused":        {func(h *harness) { h.conns[0].listener.Refused() }, logic.ConnectFailed},
+		"reset on dial":  {func(h *harness) { h.conns[0].listener.Down() }, logic.ConnectFailed},
+		"never up":       {func(h *harness) { h.advance(250 * time.Millisecond) }, logic.ConnectFailed},
+		"turned away":    {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Full}) }, logic.Full},
+		"unwelcome":      {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Failed}) }, logic.ConnectFailed},
+		"not written":    {func(h *harness) { h.conns[0].err = errors.New("broken"); h.conns[0].listener.Up() }, logic.ConnectFailed},
+		"broken behind":  {func(h *harness) { h.conns[0].listener.Up(); h.conns[0].listener.Down() }, logic.Reset},
+		"silent":         {func(h *harness) { h.conns[0].listener.Up(); h.advance(500 * time.Millisecond) }, logic.TimedOut},
+		"called off":     {func(h *harness) { h.conns[0].listener.Up(); h.e.Cancel(1, 0) }, logic.Cancelled},
+		"called off yet": {func(h *harness) { h.e.Cancel(1, 0) }, logic.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newHarness(t, 9)
-			b.submitAndSend(&caller{})
-			c.do(b)
-			b.wantCalls("request", outcomeCall(c.want, false))
-			if b.lastOutcome.Refused != (name == "refused") {
-				t.Errorf("told that nothing listens there: %v", b.lastOutcome.Refused)
+			h := newHarness(t, 9)
+			h.submitAndSend(&caller{})
+			c.do(h)
+			h.wantCalls("request", outcomeCall(c.want, false))
+			if h.lastOutcome.Refused != (name == "refused") {
+				t.Errorf("told that nothing listens there: %v", h.lastOutcome.Refused)
 			}
-			if !b.conns[0].closed {
+			if !h.conns[0].closed {
 				t.Error("the connection is still open: what comes on it would be taken for the next answer")
 			}
-			b.conns[0].listener.Up()
-			b.conns[0].listener.Reply(Reply{Result: logic.OK})
-			b.conns[0].listener.Down()
-			b.wantCalls()
+			h.conns[0].listener.Up()
+			h.conns[0].listener.Reply(Reply{Result: logic.OK})
+			h.conns[0].listener.Down()
+			h.wantCalls()
 		})
 	}
 }
 
-// Nothing goes out on a connection on which something has come that nobody asked for. What came instead of an
-// answer ends the attempt, which may have run; a member that spoils a probe's answer lives all the same.
-func TestSpoiltConnectionsCarryNothing(t *testing.T) {
-	b := newHarness(t, 9)
-	b.submitAndSend(&caller{})
-	b.conns[0].listener.Up()
-	b.conns[0].dirty = true // a second copy behind the answer, which counts
-	b.conns[0].listener.Reply(Reply{Result: logic.OK})
-	b.submitAndSend(&caller{})
-	b.conns[1].listener.Up()
-	b.conns[1].listener.Reply(Reply{Result: logic.OK})
-	b.conns[1].dirty = true // it came late
-	b.submitAndSend(&caller{})
-	if !b.conns[0].closed || !b.conns[1].closed || b.conns[0].sent+b.conns[1].sent != 2 {
-		t.Errorf("closed: %v, %v; sent: %d, %d", b.conns[0].closed, b.conns[1].closed, b.conns[0].sent, b.conns[1].sent)
-	}
-	b.conns[2].listener.Up()
-	b.calls = nil
-	b.conns[2].listener.ProtocolError()
-	b.e.Probe(b.id("two"))
-	b.conns[3].listener.Up()
-	b.conns[3].listener.ProtocolError()
-	b.wantCalls(outcomeCall(logic.Reset, false), fmt.Sprintf("probed %d", logic.Failed))
-}
-
-// Two open requests of one name would be one to the databases, and one client would get the other's answer.
-func TestNameOfAnOpenRequestIsNotTakenAgain(t *testing.T) {
-	b := newHarness(t, 9)
+// Nothing is sent on a connection on which unexpected data has arrived. Data that is not a valid answer ends the
+// attempt, which may have run; a member that sends it as the answer to a probe still counts as alive.
+func TestConnectionWithUnexpectedDataNotReused(t *testing.T) {
+	h := newHarness(t, 9)
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.conns[0].dirty = true // a duplicate follows the valid answer
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.submitAndSend(&caller{})
+	h.conns[1].listener.Up()
+	h.conns[1].listener.Reply(Reply{Result: logic.OK})
+	h.conns[1].dirty = true // it arrived late
+	h.submitAndSend(&caller{})
+	if !h.conns[0].closed || !h.conns[1].closed || h.conns[0].sent+h.conns[1].sent != 2 {
+		t.Errorf("closed: %v, %v; sent: %d, %d", h.conns[0].closed, h.conns[1].closed, h.conns[0].sent, h.conns[1].sent)
+	}
+	h.conns[2].listener.Up()
+	h.calls = nil
+	h.conns[2].listener.ProtocolError()
+	h.e.Probe(h.id("two"))
+	h.conns[3].listener.Up()
+	h.conns[3].listener.ProtocolError()
+	h.wantCalls(outcomeCall(logic.Reset, false), fmt.Sprintf("probed %d", logic.Failed))
+}
+
+// Databases would deduplicate two open requests with the same name, and one client would get the other's answer.
+func TestDuplicateNameOfOpenRequestRejected(t *testing.T) {
+	h := newHarness(t, 9)
 	named := Request{Name: "n", Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}}
-	id, err := b.e.Submit(named)
+	id, err := h.e.Submit(named)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = b.e.Submit(named); err != ErrDuplicateName {
+	if _, err = h.e.Submit(named); err != ErrDuplicateName {
 		t.Errorf("taken twice: %v", err)
 	}
-	b.e.Fail(id)
-	if _, err = b.e.Submit(named); err != nil || len(b.e.openNames) != 1 {
-		t.Errorf("%v, %d names", err, len(b.e.openNames))
+	h.e.Fail(id)
+	if _, err = h.e.Submit(named); err != nil || len(h.e.openNames) != 1 {
+		t.Errorf("%v, %d names", err, len(h.e.openNames))
 	}
 }
 
-// A request that databases can't use fails at once, and no member is blamed for it.
-func TestUnfitRequestFailsWithoutBlame(t *testing.T) {
-	b, c := newHarness(t, 9), &caller{}
-	b.submitAndSend(c)
-	b.conns[0].listener.Up()
-	b.conns[0].listener.Reply(Reply{Result: logic.Failed, BadRequest: true})
+// An invalid request fails at once, and its member is not at fault.
+func TestInvalidRequestDoesNotBlameMember(t *testing.T) {
+	h, c := newHarness(t, 9), &caller{}
+	h.submitAndSend(c)
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.Failed, BadRequest: true})
 	c.wantAnswers(t, "failed")
-	b.wantCalls("request", outcomeCall(logic.Cancelled, true))
+	h.wantCalls("request", outcomeCall(logic.Cancelled, true))
 }
 
-// Databases come and go under new names all day; news of one that has gone left it in memory for good.
-func TestMembersThatAreGoneAreForgotten(t *testing.T) {
-	b := newHarness(t, 9)
-	id := b.submitAndSend(&caller{})
-	b.conns[0].listener.Up()
-	b.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Gone},
+// Databases come and go under new names all day. A list that removed one used to leave it in memory forever.
+func TestGoneMembersForgotten(t *testing.T) {
+	h := newHarness(t, 9)
+	id := h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Gone},
 		{Name: "two", Address: "a:2", State: logic.Gone}}})
-	if len(b.e.members) != 1 || len(b.e.membersByName) != 1 {
-		t.Errorf("%d members, %d names; one still owes an answer", len(b.e.members), len(b.e.membersByName))
+	if len(h.e.members) != 1 || len(h.e.membersByName) != 1 {
+		t.Errorf("%d members, %d names; one still owes an answer", len(h.e.members), len(h.e.membersByName))
 	}
-	b.e.Cancel(id, 0)
-	if len(b.e.members) != 0 || len(b.e.membersByName) != 0 {
-		t.Errorf("%d members, %d names are left", len(b.e.members), len(b.e.membersByName))
+	h.e.Cancel(id, 0)
+	if len(h.e.members) != 0 || len(h.e.membersByName) != 0 {
+		t.Errorf("%d members, %d names are left", len(h.e.members), len(h.e.membersByName))
 	}
 }
 
-// A connection that is given up while it is made holds its descriptor until the dial has ended. Those that fail by
-// themselves hold none: counted for good, they left no room for any connection.
-func TestConnectionsInTheMakingAreCounted(t *testing.T) {
-	b := newHarness(t, 1)
+// A connection that is closed while it is being established holds its descriptor until the dial has ended, one that
+// fails by itself does not. Counting the latter forever used to leave no room for any connection.
+func TestOpeningConnectionsCounted(t *testing.T) {
+	h := newHarness(t, 1)
 	for range 9 {
-		b.submitAndSend(&caller{})
-		b.conns[len(b.conns)-1].listener.Down()
+		h.submitAndSend(&caller{})
+		h.conns[len(h.conns)-1].listener.Down()
 	}
-	if len(b.conns) != 9 || b.e.openConns != 0 {
-		t.Errorf("%d connections opened, %d counted", len(b.conns), b.e.openConns)
+	if len(h.conns) != 9 || h.e.openConns != 0 {
+		t.Errorf("%d connections opened, %d counted", len(h.conns), h.e.openConns)
 	}
-	b.abandonedDials = 1
-	if b.submitAndSend(&caller{}); len(b.conns) != 9 {
+	h.abandonedDials = 1
+	if h.submitAndSend(&caller{}); len(h.conns) != 9 {
 		t.Errorf("there was no descriptor for another connection")
 	}
 }
 
-func TestNeverTwoAttemptsAtOnce(t *testing.T) {
-	b := newHarness(t, 9)
-	id := b.submitAndSend(&caller{})
-	b.e.Send(id, b.id("two"), time.Second)
-	if b.wantCalls("request", outcomeCall(logic.Moot, false)); len(b.conns) != 1 {
-		t.Errorf("%d connections", len(b.conns))
+func TestNoConcurrentAttempts(t *testing.T) {
+	h := newHarness(t, 9)
+	id := h.submitAndSend(&caller{})
+	h.e.Send(id, h.id("two"), time.Second)
+	if h.wantCalls("request", outcomeCall(logic.Moot, false)); len(h.conns) != 1 {
+		t.Errorf("%d connections", len(h.conns))
 	}
 }
 
-// What a router's action brings about at once must not come back to it before it has returned.
-func TestTheRouterIsNotCalledFromWithinItself(t *testing.T) {
-	b, c := newHarness(t, 0), &caller{} // no room for any connection
-	b.onRequest = func() { b.e.Send(1, b.id("one"), time.Second); b.e.Probe(b.id("one")) }
-	if _, err := b.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c}); err != nil {
+// Events caused immediately by a router's action must not be passed to the router before its call has returned.
+func TestRouterNotCalledRecursively(t *testing.T) {
+	h, c := newHarness(t, 0), &caller{} // no room for any connection
+	h.onRequest = func() { h.e.Send(1, h.id("one"), time.Second); h.e.Probe(h.id("one")) }
+	if _, err := h.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c}); err != nil {
 		t.Fatal(err)
 	}
-	b.wantCalls("request", outcomeCall(logic.Moot, false), fmt.Sprintf("probed %d", logic.Moot))
-	b.e.Refuse(1, time.Millisecond)
+	h.wantCalls("request", outcomeCall(logic.Moot, false), fmt.Sprintf("probed %d", logic.Moot))
+	h.e.Refuse(1, time.Millisecond)
 	c.wantAnswers(t, "refused 1ms")
 }
 
-func TestAbandonedRequestHasNoAnswer(t *testing.T) {
-	b, c := newHarness(t, 9), &caller{}
-	id := b.submitAndSend(c)
-	b.conns[0].listener.Up()
-	b.e.Abandon(id)
-	b.conns[0].listener.Reply(Reply{Result: logic.OK})
+func TestAbandonedRequestNotAnswered(t *testing.T) {
+	h, c := newHarness(t, 9), &caller{}
+	id := h.submitAndSend(c)
+	h.conns[0].listener.Up()
+	h.e.Abandon(id)
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
 	c.wantAnswers(t)
-	if b.wantCalls("request", "abandoned", outcomeCall(logic.OK, true)); b.e.Pending() != 0 {
-		t.Errorf("%d requests pending", b.e.Pending())
+	if h.wantCalls("request", "abandoned", outcomeCall(logic.OK, true)); h.e.Pending() != 0 {
+		t.Errorf("%d requests pending", h.e.Pending())
 	}
 }
 
-// A database closes connections that stand idle, and a request that crosses the close is lost.
-func TestIdleConnectionsAreDroppedInTime(t *testing.T) {
-	b := newHarness(t, 9)
-	b.submitAndSend(&caller{})
-	b.conns[0].listener.Up()
-	b.conns[0].listener.Reply(Reply{Result: logic.OK})
-	if b.advance(8 * time.Second); b.conns[0].closed {
+// A database closes idle connections; a request that is sent at that moment is lost.
+func TestIdleConnectionsClosedBeforeDatabaseDoes(t *testing.T) {
+	h := newHarness(t, 9)
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	if h.advance(8 * time.Second); h.conns[0].closed {
 		t.Error("closed early")
 	}
-	if b.advance(time.Second); !b.conns[0].closed {
+	if h.advance(time.Second); !h.conns[0].closed {
 		t.Error("kept until the database closes it")
 	}
-	b.submitAndSend(&caller{})
-	b.conns[1].listener.Up()
-	b.conns[1].listener.Reply(Reply{Result: logic.OK})
-	b.conns[1].listener.Down()
-	if b.submitAndSend(&caller{}); len(b.conns) != 3 {
+	h.submitAndSend(&caller{})
+	h.conns[1].listener.Up()
+	h.conns[1].listener.Reply(Reply{Result: logic.OK})
+	h.conns[1].listener.Down()
+	if h.submitAndSend(&caller{}); len(h.conns) != 3 {
 		t.Error("a connection seen closed was used again")
 	}
 }
 
-func TestAConnectionThatFallsFreeServesWhoWaits(t *testing.T) {
-	b := newHarness(t, 9)
-	b.submitAndSend(&caller{})
-	b.conns[0].listener.Up()
-	b.submitAndSend(&caller{})
-	b.conns[0].listener.Reply(Reply{Result: logic.OK})
-	if b.conns[0].sent != 2 || b.conns[1].sent != 0 {
-		t.Errorf("%d and %d requests sent", b.conns[0].sent, b.conns[1].sent)
+func TestReleasedConnectionServesWaitingAttempt(t *testing.T) {
+	h := newHarness(t, 9)
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	if h.conns[0].sent != 2 || h.conns[1].sent != 0 {
+		t.Errorf("%d and %d requests sent", h.conns[0].sent, h.conns[1].sent)
 	}
-	b.conns[1].listener.Up() // kept for the next
-	if b.submitAndSend(&caller{}); len(b.conns) != 2 || b.conns[1].sent != 1 {
-		t.Errorf("%d connections, %d requests on the second", len(b.conns), b.conns[1].sent)
+	h.conns[1].listener.Up() // kept for the next attempt
+	if h.submitAndSend(&caller{}); len(h.conns) != 2 || h.conns[1].sent != 1 {
+		t.Errorf("%d connections, %d requests on the second", len(h.conns), h.conns[1].sent)
 	}
 }
 
-func TestFullTableMakesRoomByAnIdleConnection(t *testing.T) {
-	b := newHarness(t, 1)
-	b.submitAndSend(&caller{})
-	b.conns[0].listener.Up()
-	b.conns[0].listener.Reply(Reply{Result: logic.OK})
-	b.e.Probe(b.id("two"))
-	if !b.conns[0].closed || len(b.conns) != 2 {
-		t.Errorf("%d connections, the idle one closed: %v", len(b.conns), b.conns[0].closed)
+func TestIdleConnectionEvictedAtLimit(t *testing.T) {
+	h := newHarness(t, 1)
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.e.Probe(h.id("two"))
+	if !h.conns[0].closed || len(h.conns) != 2 {
+		t.Errorf("%d connections, the idle one closed: %v", len(h.conns), h.conns[0].closed)
 	}
 }
 
-// A ping is the way there and back, without the start of its connection.
-func TestProbeMeasuresThePingAlone(t *testing.T) {
-	b := newHarness(t, 9)
-	b.e.Probe(b.id("one"))
-	b.advance(100 * time.Millisecond)
-	b.conns[0].listener.Up()
-	b.advance(2 * time.Millisecond)
-	b.conns[0].listener.Reply(Reply{Result: logic.OK, Load: Load{Known: true, Role: logic.RolePrimary, Position: 1767312000.05, Queue: -1}})
-	if p := b.probe; p.Took != 2*time.Millisecond || p.Report.Role != logic.RolePrimary || len(b.conns) != 1 {
+// A ping measures the round trip, without the establishment of the connection.
+func TestProbeExcludesConnectTime(t *testing.T) {
+	h := newHarness(t, 9)
+	h.e.Probe(h.id("one"))
+	h.advance(100 * time.Millisecond)
+	h.conns[0].listener.Up()
+	h.advance(2 * time.Millisecond)
+	h.conns[0].listener.Reply(Reply{Result: logic.OK, Load: Load{Known: true, Role: logic.RolePrimary, Position: 1767312000.05, Queue: -1}})
+	if p := h.probe; p.Took != 2*time.Millisecond || p.Report.Role != logic.RolePrimary || len(h.conns) != 1 {
 		t.Errorf("%+v", p)
 	}
 	want := clockBase + 50*time.Millisecond
-	if p := b.probe.Report.Position; p > want || p < want-2*time.Microsecond {
+	if p := h.probe.Report.Position; p > want || p < want-2*time.Microsecond {
 		t.Errorf("position %v, want %v or a little below", p, want)
 	}
-	b.e.Probe(b.id("one"))
-	if b.conns[0].probes != 2 {
+	h.e.Probe(h.id("one"))
+	if h.conns[0].probes != 2 {
 		t.Error("the second probe did not use the connection of the first")
 	}
-	b.advance(probeTimeout)
-	if b.probe.Result != logic.TimedOut {
-		t.Errorf("%+v", b.probe)
+	h.advance(probeTimeout)
+	if h.probe.Result != logic.TimedOut {
+		t.Errorf("%+v", h.probe)
 	}
 }
 
-// The connection of an overdue probe stays, one for each member: a late answer proves that the process never ended. Its end
-// proves nothing, and is no outcome of anything.
-func TestAnOverdueProbesConnectionBearsWitness(t *testing.T) {
+// The connection of a probe that timed out is kept, one for each member: a late answer proves that the process did
+// not restart. Its end proves nothing, and is not reported as an outcome.
+func TestConnectionOfOverdueProbeKept(t *testing.T) {
 	for _, how := range []string{"answer", "end", "noise", "never", "drain"} {
-		b := newHarness(t, 9)
+		h := newHarness(t, 9)
 		probe := func() *conn {
-			b.e.Probe(b.id("one"))
-			c := b.conns[len(b.conns)-1]
+			h.e.Probe(h.id("one"))
+			c := h.conns[len(h.conns)-1]
 			c.listener.Up()
 			return c
 		}
 		first := probe()
-		b.advance(probeTimeout)
+		h.advance(probeTimeout)
 		second := probe()
-		b.advance(probeTimeout)
-		b.wantCalls("probed 4", "probed 4")
-		if first.closed || !second.closed || len(b.conns) != 2 || second.probes != 1 || first.probes != 1 {
-			t.Fatalf("%s: closed %v and %v, %d connections", how, first.closed, second.closed, len(b.conns))
+		h.advance(probeTimeout)
+		h.wantCalls("probed 4", "probed 4")
+		if first.closed || !second.closed || len(h.conns) != 2 || second.probes != 1 || first.probes != 1 {
+			t.Fatalf("%s: closed %v and %v, %d connections", how, first.closed, second.closed, len(h.conns))
 		}
 		switch how {
 		case "answer":
 			first.listener.Reply(Reply{Result: logic.OK})
-			b.wantCalls("answered 0s")
+			h.wantCalls("answered 0s")
 		case "end":
 			first.listener.Down()
 		case "noise":
 			first.listener.ProtocolError()
 		case "never":
-			b.advance(overdueKeptFor)
+			h.advance(overdueKeptFor)
 		case "drain":
-			b.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Draining}}})
+			h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Draining}}})
 		}
-		b.calls = nil
-		if !first.closed || b.e.Connections() != 0 || b.e.membersByName["one"].overdueConn != nil {
-			t.Errorf("%s: closed %v, %d links", how, first.closed, b.e.Connections())
+		h.calls = nil
+		if !first.closed || h.e.Connections() != 0 || h.e.membersByName["one"].overdueConn != nil {
+			t.Errorf("%s: closed %v, %d links", how, first.closed, h.e.Connections())
 		}
 	}
 }
 
-// One that comes back keeps its id: the router may still hold what it knows of it.
-func TestAMemberThatReturnsIsKnownByTheSameID(t *testing.T) {
-	b := newHarness(t, 9)
-	before := b.id("two")
-	b.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Gone}}})
-	if b.e.membersByName["two"] != nil {
+// A member that returns keeps its ID, as the router may still have state for it.
+func TestReturningMemberKeepsID(t *testing.T) {
+	h := newHarness(t, 9)
+	before := h.id("two")
+	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Gone}}})
+	if h.e.membersByName["two"] != nil {
 		t.Error("one that is gone is kept")
 	}
-	b.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Ready}}})
-	if after := b.id("two"); after != before {
+	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Ready}}})
+	if after := h.id("two"); after != before {
 		t.Errorf("id %v, was %v", after, before)
 	}
 }
 
-func TestListIsPassedOnWithMovesAndLeavers(t *testing.T) {
-	b := newHarness(t, 9)
-	if e := b.lastList.Entries; b.lastList.Kind != logic.ListCached || len(e) != 2 || e[0].Zone != 1 || e[1].Zone != -1 || e[0].Born != 0 {
-		t.Fatalf("%+v", b.lastList)
+func TestListChangesPassedToRouter(t *testing.T) {
+	h := newHarness(t, 9)
+	if e := h.lastList.Entries; h.lastList.Kind != logic.ListCached || len(e) != 2 || e[0].Zone != 1 || e[1].Zone != -1 || e[0].Born != 0 {
+		t.Fatalf("%+v", h.lastList)
 	}
-	b.submitAndSend(&caller{})
-	b.conns[0].listener.Up()
-	b.conns[0].listener.Reply(Reply{Result: logic.OK})
-	b.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Ready,
-		Started: b.Unix() - time.Second}}})
-	if e := b.lastList.Entries; len(e) != 1 || e[0].ID != b.id("one") || e[0].Born != b.now-time.Second {
-		t.Errorf("%+v", b.lastList)
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Ready,
+		Started: h.Unix() - time.Second}}})
+	if e := h.lastList.Entries; len(e) != 1 || e[0].ID != h.id("one") || e[0].Born != h.now-time.Second {
+		t.Errorf("%+v", h.lastList)
 	}
-	if !b.conns[0].closed {
+	if !h.conns[0].closed {
 		t.Error("an idle connection to the old address is kept")
 	}
-	if b.submitAndSend(&caller{}); b.conns[len(b.conns)-1].address != "a:9" {
+	if h.submitAndSend(&caller{}); h.conns[len(h.conns)-1].address != "a:9" {
 		t.Error("the old address is used")
 	}
-	b.e.UpdateList(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Draining}}})
-	if b.e.membersByName["two"] != nil || b.lastList.Kind != logic.ListFull {
+	h.e.UpdateList(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Draining}}})
+	if h.e.membersByName["two"] != nil || h.lastList.Kind != logic.ListFull {
 		t.Error("who is left out of a whole list is still known")
 	}
 }
 
-// An age of 0 would mean that there was no commit; one rounded up to the next millisecond may lie ahead.
-func TestTokenIsNeverOlderThanTheCommit(t *testing.T) {
-	b := newHarness(t, 9)
+// An age of 0 would mean that there was no commit; a commit time rounded up to the next millisecond may lie in the
+// future.
+func TestTokenAge(t *testing.T) {
+	h := newHarness(t, 9)
 	for after, want := range map[time.Duration]time.Duration{0: 0, -time.Second: time.Second, time.Millisecond: 1} {
 		in := Request{Class: "session", Wait: time.Second, Session: 7, Command: command{}, Caller: &caller{}}
 		if after != 0 {
-			in.LastCommit = int64((b.Unix() + after) / time.Millisecond)
+			in.LastCommit = int64((h.Unix() + after) / time.Millisecond)
 		}
-		if b.e.Submit(in); b.lastRequest.TokenAge != want || b.lastRequest.Session != 7 {
-			t.Errorf("commit at now%+v: age %v, want %v", after, b.lastRequest.TokenAge, want)
+		if h.e.Submit(in); h.lastRequest.TokenAge != want || h.lastRequest.Session != 7 {
+			t.Errorf("commit at now%+v: age %v, want %v", after, h.lastRequest.TokenAge, want)
 		}
 	}
-	b.e.Submit(Request{Class: "any", Wait: time.Second, Session: 7, LastCommit: 1, Command: command{}, Caller: &caller{}})
-	if b.lastRequest.Session != 0 || b.lastRequest.TokenAge != 0 || b.lastRequest.Deadline >= b.now+time.Second {
-		t.Errorf("%+v: the key names a session in classes that have them only", b.lastRequest)
+	h.e.Submit(Request{Class: "any", Wait: time.Second, Session: 7, LastCommit: 1, Command: command{}, Caller: &caller{}})
+	if h.lastRequest.Session != 0 || h.lastRequest.TokenAge != 0 || h.lastRequest.Deadline >= h.now+time.Second {
+		t.Errorf("%+v: the key names a session in classes that have them only", h.lastRequest)
 	}
-	if _, err := b.e.Submit(Request{Class: "unheard"}); err == nil || b.e.Pending() != 4 {
+	if _, err := h.e.Submit(Request{Class: "unheard"}); err == nil || h.e.Pending() != 4 {
 		t.Error("an unknown class was taken")
 	}
 }
@@ -512,17 +513,18 @@
 	}
 }
 
-// Behind a cut the witness is asked once more, as what was sent into the cut may be lost: its answer proves that nobody
-// restarted, its end is a sign of a restart, and that it stays, silent, one of a cut.
-func TestAWitnessIsAskedAgain(t *testing.T) {
+// After a partition the overdue connection is probed once more, as data sent during the partition may be lost. An
+// answer proves that the database did not restart, the connection's end is a sign of a restart, and silence a sign of
+// a partition.
+func TestOverdueConnectionProbedAgain(t *testing.T) {
 	for how, want := range map[string]string{"answer": "answered 0s", "end": "ended 0s", "silence": "mute 0s", "write": "ended 0s"} {
-		b := newHarness(t, 9)
-		b.e.Probe(b.id("one"))
-		first := b.conns[0]
+		h := newHarness(t, 9)
+		h.e.Probe(h.id("one"))
+		first := h.conns[0]
 		first.listener.Up()
-		b.advance(probeTimeout)
-		b.e.Probe(b.id("one"))
-		second := b.conns[1]
+		h.advance(probeTimeout)
+		h.e.Probe(h.id("one"))
+		second := h.conns[1]
 		second.listener.Up()
 		if first.probes != 1 {
 			t.Fatalf("asked %d times in the silence", first.probes)
@@ -530,7 +532,7 @@
 		if how == "write" {
 			first.err = errors.New("broken pipe")
 		}
-		b.calls = nil
+		h.calls = nil
 		second.listener.Reply(Reply{Result: logic.OK})
 		switch how {
 		case "answer":
@@ -538,33 +540,33 @@
 		case "end":
 			first.listener.Down()
 		case "silence":
-			b.e.Probe(b.id("one")) // which asks it no third time
+			h.e.Probe(h.id("one")) // which does not probe it a third time
 			second.listener.Reply(Reply{Result: logic.OK})
-			b.calls = b.calls[1:]
-			b.advance(secondProbeTimeout)
+			h.calls = h.calls[1:]
+			h.advance(secondProbeTimeout)
 		}
-		b.wantCalls("probed 0", want)
-		if first.probes != 2 || !first.closed || b.e.membersByName["one"].overdueConn != nil {
+		h.wantCalls("probed 0", want)
+		if first.probes != 2 || !first.closed || h.e.membersByName["one"].overdueConn != nil {
 			t.Errorf("%s: asked %d times, closed %v", how, first.probes, first.closed)
 		}
 	}
 }
 
-// Where connections are scarce one to a database serves probes and requests in turn: kept apart, those for probes took 60 of a
-// proxy's 90, and requests opened and closed the other 30 all day.
-func TestScarceConnectionsServeProbesAndRequests(t *testing.T) {
-	b := newHarness(t, 3)
-	b.e.Probe(b.id("one"))
-	b.conns[0].listener.Up()
-	b.conns[0].listener.Reply(Reply{Result: logic.OK})
-	b.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
-	b.e.Send(b.lastRequest.ID, b.id("one"), time.Second)
-	if len(b.conns) != 1 || b.conns[0].sent != 1 {
-		t.Fatalf("%d connections, %d requests on the first", len(b.conns), b.conns[0].sent)
+// If connections are scarce, one connection to a database serves probes and requests in turn. Separate ones for
+// probes took 60 of a proxy's 90 connections, and requests opened and closed the other 30 all day.
+func TestFewConnectionsServeProbesAndRequests(t *testing.T) {
+	h := newHarness(t, 3)
+	h.e.Probe(h.id("one"))
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
+	h.e.Send(h.lastRequest.ID, h.id("one"), time.Second)
+	if len(h.conns) != 1 || h.conns[0].sent != 1 {
+		t.Fatalf("%d connections, %d requests on the first", len(h.conns), h.conns[0].sent)
 	}
-	b.conns[0].listener.Reply(Reply{Result: logic.OK})
-	b.e.Probe(b.id("one"))
-	if len(b.conns) != 1 || b.conns[0].probes != 2 {
-		t.Fatalf("%d connections, %d probes on the first", len(b.conns), b.conns[0].probes)
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.e.Probe(h.id("one"))
+	if len(h.conns) != 1 || h.conns[0].probes != 2 {
+		t.Fatalf("%d connections, %d probes on the first", len(h.conns), h.conns[0].probes)
 	}
 }
--- a/internal/state/unlisted_test.go
+++ b/internal/state/unlisted_test.go
@@ -8,9 +8,10 @@
 	"havenproxy/logic"
 )
 
-// A request may name any group. One that no list has named must not be kept: bad clients could fill the memory.
-func TestAMillionUnlistedGroupsAreRefusedAndNotKept(t *testing.T) {
-	f, err := New(Config{Logic: logic.Config{Tick: 1, Classes: []logic.Class{{Name: "any", Aim: 1e9, Limit: 1e9}}}}, NewClock(), nil)
+// A request may name any group. State for groups that are not listed must not be kept, or faulty clients could fill
+// the memory.
+func TestRequestsForUnlistedGroupsNotKept(t *testing.T) {
+	e, err := New(Config{Logic: logic.Config{Tick: 1, Classes: []logic.Class{{Name: "any", Aim: 1e9, Limit: 1e9}}}}, NewClock(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,17 +24,17 @@
 	}
 	before := heap()
 	for i := range 1_000_000 {
-		if _, err := f.Submit(Request{Class: "any", Group: i + 1, Wait: 1e9, Caller: refused}); err != nil {
+		if _, err := e.Submit(Request{Class: "any", Group: i + 1, Wait: 1e9, Caller: refused}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if after := heap(); after > before+1<<20 {
 		t.Errorf("they hold %d bytes", after-before)
 	}
-	if refused.n != 1_000_000 || f.Pending() != 0 || len(f.router.Groups()) != 0 {
-		t.Errorf("%d refused, %d pending, %d groups", refused.n, f.Pending(), len(f.router.Groups()))
+	if refused.n != 1_000_000 || e.Pending() != 0 || len(e.router.Groups()) != 0 {
+		t.Errorf("%d refused, %d pending, %d groups", refused.n, e.Pending(), len(e.router.Groups()))
 	}
-	runtime.KeepAlive(f)
+	runtime.KeepAlive(e)
 }
 
 type refusals struct{ n int }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -13,7 +13,7 @@
 
 var classes = []string{"stok-bakis", "kayit-yaz"}
 
-// sink is a file in memory. A slow one takes nothing before it is let go.
+// memoryFile is a file in memory. With unblock set, each write waits for that channel.
 type memoryFile struct {
 	bytes.Buffer
 	unblock chan struct{}
@@ -35,7 +35,7 @@
 
 const began = 1_700_000_000 * time.Second
 
-// written gives a trace of these requests.
+// writeTrace returns a trace of the given requests.
 func writeTrace(cfg Config, list []Record) *memoryFile {
 	out := &memoryFile{}
 	w := NewWriter(cfg, out, classes, began)
@@ -55,13 +55,13 @@
 	return list
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	salt := Salt("a secret of 16 b")
 	rapid.Check(t, func(t *rapid.T) {
 		var list, want []Record
 		at := time.Duration(0)
 		for range rapid.IntRange(0, 300).Draw(t, "records") {
-			at += time.Duration(rapid.IntRange(-50_000, 900_000).Draw(t, "gap")) * time.Microsecond // clocks are set back, too
+			at += time.Duration(rapid.IntRange(-50_000, 900_000).Draw(t, "gap")) * time.Microsecond // clocks may be set back
 			r := Record{At: at, Class: rapid.IntRange(0, 1).Draw(t, "class"), Group: rapid.IntRange(0, 1<<20).Draw(t, "group"), Session: rapid.Uint64().Draw(t, "session"),
 				Retry: rapid.Bool().Draw(t, "retry"), Write: rapid.Bool().Draw(t, "write"), Wait: time.Duration(rapid.IntRange(0, 9999).Draw(t, "wait")) * time.Millisecond,
 				Size: rapid.IntRange(0, 1<<16).Draw(t, "size")}
@@ -86,8 +86,9 @@
 	})
 }
 
-// A trace that is cut off at any byte gives whole blocks, and says that it was cut; never a record that was not written.
-func TestCutOffAnywhere(t *testing.T) {
+// A trace that is truncated at any byte returns its complete blocks and reports the truncation; it never returns a
+// record that was not written.
+func TestTruncation(t *testing.T) {
 	whole := writeTrace(Config{}, makeRecords(2000)).Bytes()
 	all, err := ReadAll(bytes.NewReader(whole))
 	if err != nil || len(all.Records) != 2000 || all.Truncated || all.BackwardSteps != 0 {
@@ -115,8 +116,8 @@
 	}
 }
 
-// Any byte that is turned costs its block, and is noticed.
-func TestDamageIsNoticed(t *testing.T) {
+// Any changed byte is noticed and costs its own block at most.
+func TestCorruptionDetected(t *testing.T) {
 	whole := writeTrace(Config{Salt: Salt("a secret of 16 b")}, makeRecords(2000)).Bytes()
 	all, _ := ReadAll(bytes.NewReader(whole))
 	rapid.Check(t, func(t *rapid.T) {
@@ -133,7 +134,7 @@
 	})
 }
 
-func TestOtherVersionsAndOtherFiles(t *testing.T) {
+func TestOtherVersionsAndFormats(t *testing.T) {
 	b := writeTrace(Config{}, makeRecords(10)).Bytes()
 	b[7] = 9
 	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrVersion) || err.Error() != "a trace of another version: 9, this program reads 1" {
@@ -142,7 +143,7 @@
 	if _, err := ReadAll(bytes.NewReader([]byte("#!/bin/sh\nexit 0\n"))); !errors.Is(err, ErrNotTrace) {
 		t.Error(err)
 	}
-	// A class that the head doesn't name, and a flag that this version doesn't know.
+	// A class that the header does not name, and a flag that this version does not know.
 	for want, r := range map[error]Record{ErrCorrupt: {Class: 2}} {
 		e := encoder{}
 		e.add(&r)
@@ -156,21 +157,22 @@
 	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrVersion) {
 		t.Error(err)
 	}
-	// A block that claims a gigabyte is not believed.
+	// A block with a length of 1 GiB is rejected.
 	b = append(h.append(nil), 0, 0, 0, 64, 1, 2, 3, 4)
 	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrCorrupt) {
 		t.Error(err)
 	}
 }
 
-func TestTimeThatRunsBackwards(t *testing.T) {
+func TestBackwardSteps(t *testing.T) {
 	got, err := ReadAll(&writeTrace(Config{}, []Record{{At: time.Second}, {At: 400 * time.Millisecond}, {At: 2 * time.Second}}).Buffer)
 	if err != nil || got.BackwardSteps != 1 || len(got.Records) != 3 || got.Records[1].At != time.Second || got.Records[2].At != 2*time.Second {
 		t.Errorf("%v, %+v", err, got)
 	}
 }
 
-// The sample takes whole sessions; the file stops at its size; the salt hides sessions, and is not in the file.
+// The sample consists of whole sessions, the file stops at its maximum size, and the salt hides sessions and is not
+// in the file.
 func TestSampleSizeAndSalt(t *testing.T) {
 	var list []Record
 	for i := range 20000 {
@@ -218,11 +220,11 @@
 	}
 }
 
-// A disk that stands still costs records, and no request's time; one that fails is told, once.
-func TestADiskThatIsSlowOrBroken(t *testing.T) {
+// A stalled disk costs records but does not delay requests; a failing one is reported by Close.
+func TestSlowOrFailingDisk(t *testing.T) {
 	slow := &memoryFile{unblock: make(chan struct{})}
 	w := NewWriter(Config{}, slow, classes, began)
-	for i := range 400000 { // some 6 MB: far more than may wait
+	for i := range 400000 { // about 6 MB, far more than may wait
 		w.Add(Record{At: began + time.Duration(i)*time.Microsecond, Session: uint64(i)})
 	}
 	if w.Dropped == 0 || w.Recorded == 0 || w.Recorded > 2*maxWaitingBytes/10 {
