--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -12,80 +12,83 @@
 	"havenproxy/logic"
 )
 
-// bench is a front whose router is played by the test, with a clock and connections of the test's own.
-type bench struct {
-	step  time.Duration // by which the wall clock was set since
-	t     *testing.T
-	f     *Engine
-	now   time.Duration
-	conns []*conn
-	told  []string
-	probe logic.ProbeEnd
-	last  logic.Outcome
-	list  logic.MemberList
-	req   logic.Request
-	onReq func()
-	depth int
-
-	givenUp int
-	facts   []peers.Report
-}
-
-func (b *bench) Now() time.Duration  { return b.now }
-func (b *bench) Unix() time.Duration { return b.now + b.step + 1767225600*time.Second }
-
-func (b *bench) note(format string, args ...any) {
-	if b.depth > 0 {
-		b.t.Errorf("the router is called from within its own call")
-	}
-	b.told = append(b.told, fmt.Sprintf(format, args...))
-}
-
-func (b *bench) Members(_ time.Duration, l logic.MemberList) { b.list = l }
-func (b *bench) Request(_ time.Duration, q logic.Request) {
-	b.note("request")
-	b.depth++
-	if b.req = q; b.onReq != nil {
-		b.onReq()
-	}
-	b.depth--
-}
-func (b *bench) ResponseStarted(time.Duration, logic.RequestID, int) {}
-func (b *bench) Outcome(_ time.Duration, o logic.Outcome) {
-	b.last = o
-	b.note("outcome %d finished=%v", o.Result, o.Finished)
-}
-func (b *bench) Probed(_ time.Duration, p logic.ProbeEnd) { b.probe = p; b.note("probed %d", p.Result) }
-func (b *bench) Timer(time.Duration, logic.TimerID)       { b.note("timer") }
-func (b *bench) Abandoned(time.Duration, logic.RequestID) { b.note("abandoned") }
-func (b *bench) ConnectionEvidence(_ time.Duration, _ logic.MemberID, what handover.ConnectionEvidence, opened time.Duration) {
-	b.note("%s %v", [...]string{"answered", "ended", "mute"}[what], opened-clockBase)
-}
-func (b *bench) PeerReports(_ time.Duration, facts []peers.Report) {
-	b.facts = append([]peers.Report(nil), facts...)
-}
-func (b *bench) Watch(bool)          {}
-func (b *bench) Fetch()              {}
-func (b *bench) AbandonedDials() int { return b.givenUp }
-func (b *bench) Open(address string, _ int, to Listener) Conn {
-	c := &conn{address: address, to: to}
-	b.conns = append(b.conns, c)
+// harness is an engine with a fake router, clock and connections.
+type harness struct {
+	wallClockStep time.Duration // adjustment of the wall clock since the start
+	t             *testing.T
+	e             *Engine
+	now           time.Duration
+	conns         []*conn
+	calls         []string
+	probe         logic.ProbeEnd
+	lastOutcome   logic.Outcome
+	lastList      logic.MemberList
+	lastRequest   logic.Request
+	onRequest     func()
+	depth         int
+
+	abandonedDials int
+	facts          []peers.Report
+}
+
+func (h *harness) Now() time.Duration  { return h.now }
+func (h *harness) Unix() time.Duration { return h.now + h.wallClockStep + 1767225600*time.Second }
+
+func (h *harness) log(format string, args ...any) {
+	if h.depth > 0 {
+		h.t.Errorf("the router is called from within its own call")
+	}
+	h.calls = append(h.calls, fmt.Sprintf(format, args...))
+}
+
+func (h *harness) Members(_ time.Duration, l logic.MemberList) { h.lastList = l }
+func (h *harness) Request(_ time.Duration, q logic.Request) {
+	h.log("request")
+	h.depth++
+	if h.lastRequest = q; h.onRequest != nil {
+		h.onRequest()
+	}
+	h.depth--
+}
+func (h *harness) ResponseStarted(time.Duration, logic.RequestID, int) {}
+func (h *harness) Outcome(_ time.Duration, o logic.Outcome) {
+	h.lastOutcome = o
+	h.log("outcome %d finished=%v", o.Result, o.Finished)
+}
+func (h *harness) Probed(_ time.Duration, p logic.ProbeEnd) {
+	h.probe = p
+	h.log("probed %d", p.Result)
+}
+func (h *harness) Timer(time.Duration, logic.TimerID)       { h.log("timer") }
+func (h *harness) Abandoned(time.Duration, logic.RequestID) { h.log("abandoned") }
+func (h *harness) ConnectionEvidence(_ time.Duration, _ logic.MemberID, what handover.ConnectionEvidence, opened time.Duration) {
+	h.log("%s %v", [...]string{"answered", "ended", "mute"}[what], opened-clockBase)
+}
+func (h *harness) PeerReports(_ time.Duration, facts []peers.Report) {
+	h.facts = append([]peers.Report(nil), facts...)
+}
+func (h *harness) Watch(bool)          {}
+func (h *harness) Fetch()              {}
+func (h *harness) AbandonedDials() int { return h.abandonedDials }
+func (h *harness) Open(address string, _ int, to Listener) Conn {
+	c := &conn{address: address, listener: to}
+	h.conns = append(h.conns, c)
 	return c
 }
 
 type conn struct {
-	address string
-	to      Listener
-	sent    int
-	probes  int
-	closed  bool
-	loud    bool // something has come that nobody asked for
-	err     error
+	address  string
+	listener Listener
+	sent     int
+	probes   int
+	closed   bool
+	dirty    bool // unexpected data has been received
+	err      error
 }
 
 func (c *conn) Send(Command, time.Duration) error { c.sent++; return c.err }
 func (c *conn) Probe() error                      { c.probes++; return c.err }
-func (c *conn) Reusable() bool                    { return !c.loud }
+func (c *conn) Reusable() bool                    { return !c.dirty }
 func (c *conn) Close()                            { c.closed = true }
 
 type command struct{}
@@ -98,401 +101,402 @@
 func (c *caller) Refused(d time.Duration) { c.answers = append(c.answers, "refused "+d.String()) }
 func (c *caller) BadRequest([]byte)       { c.Failed() }
 func (c *caller) Failed()                 { c.answers = append(c.answers, "failed") }
-func (c *caller) want(t *testing.T, s ...string) {
+func (c *caller) wantAnswers(t *testing.T, s ...string) {
 	t.Helper()
 	if fmt.Sprint(c.answers) != fmt.Sprint(s) {
 		t.Errorf("answers %q, want %q", c.answers, s)
 	}
 }
 
-func newBench(t *testing.T, links int) *bench {
-	b := &bench{t: t, now: clockBase}
+func newHarness(t *testing.T, links int) *harness {
+	h := &harness{t: t, now: clockBase}
 	class := func(name string, read logic.Freshness) logic.Class {
 		return logic.Class{Name: name, Read: read, MaxAge: time.Second, Aim: time.Second, Limit: 2 * time.Second}
 	}
 	f, err := New(Config{Logic: logic.Config{Tick: time.Millisecond, Classes: []logic.Class{class("any", logic.Any),
 		class("session", logic.Session)}}, Zones: []string{"x", "y"}, IdleClose: 10 * time.Second,
-		ConnectTimeout: 250 * time.Millisecond, MaxConnections: links}, b, b)
+		ConnectTimeout: 250 * time.Millisecond, MaxConnections: links}, h, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.f, f.router = f, b
-	f.Start(b, List{Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Ready},
+	h.e, f.events = f, h
+	f.Start(h, List{Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Ready},
 		{Name: "two", Address: "a:2", Zone: "?", State: logic.Ready}}})
-	return b
+	return h
 }
 
-func (b *bench) id(name string) logic.MemberID { return b.f.names[name].id }
+func (h *harness) id(name string) logic.MemberID { return h.e.membersByName[name].id }
 
-// take lets a request in and sends its first attempt to the first member.
-func (b *bench) take(c *caller) logic.RequestID {
-	id, err := b.f.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c})
+// submitAndSend submits a request and sends its first attempt to the first member.
+func (h *harness) submitAndSend(c *caller) logic.RequestID {
+	id, err := h.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c})
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	b.f.Send(id, b.id("one"), 500*time.Millisecond)
+	h.e.Send(id, h.id("one"), 500*time.Millisecond)
 	return id
 }
 
-func (b *bench) want(events ...string) {
-	b.t.Helper()
-	if got := strings.Join(b.told, ", "); got != strings.Join(events, ", ") {
-		b.t.Errorf("the router was told: %s; want: %s", got, strings.Join(events, ", "))
+func (h *harness) wantCalls(events ...string) {
+	h.t.Helper()
+	if got := strings.Join(h.calls, ", "); got != strings.Join(events, ", ") {
+		h.t.Errorf("the router was told: %s; want: %s", got, strings.Join(events, ", "))
 	}
-	b.told = nil
+	h.calls = nil
 }
 
-func (b *bench) pass(d time.Duration) {
-	b.now += d
-	b.f.Deadlines.Run(b.now)
+func (h *harness) advance(d time.Duration) {
+	h.now += d
+	h.e.Deadlines.Run(h.now)
 }
 
-func outcome(r logic.Result, finished bool) string {
+func outcomeCall(r logic.Result, finished bool) string {
 	return fmt.Sprintf("outcome %d finished=%v", r, finished)
 }
 
-func TestServedOnceAndConnectionKept(t *testing.T) {
-	b, c := newBench(t, 9), &caller{}
-	id := b.take(c)
-	b.conns[0].to.Up()
-	b.conns[0].to.Reply(Reply{Result: logic.OK, Body: []byte("v"), Role: logic.RoleReplica, Position: 1767225600000})
-	b.f.Refuse(id, time.Second) // too late: it has its answer
-	b.f.Fail(id)
-	c.want(t, "served v")
-	b.want("request", outcome(logic.OK, true))
-	if b.last.Position != 0 && b.last.Position != b.now-(b.Unix()-1767225600*time.Second) {
-		t.Errorf("position %v", b.last.Position)
+func TestRequestServedOnceAndConnectionReused(t *testing.T) {
+	h, c := newHarness(t, 9), &caller{}
+	id := h.submitAndSend(c)
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK, Body: []byte("v"), Role: logic.RoleReplica, Position: 1767225600000})
+	h.e.Refuse(id, time.Second) // it is already answered
+	h.e.Fail(id)
+	c.wantAnswers(t, "served v")
+	h.wantCalls("request", outcomeCall(logic.OK, true))
+	if h.lastOutcome.Position != 0 && h.lastOutcome.Position != h.now-(h.Unix()-1767225600*time.Second) {
+		t.Errorf("position %v", h.lastOutcome.Position)
 	}
-	b.take(&caller{})
-	if len(b.conns) != 1 || b.conns[0].sent != 2 {
-		t.Errorf("%d connections, %d requests on the first", len(b.conns), b.conns[0].sent)
+	h.submitAndSend(&caller{})
+	if len(h.conns) != 1 || h.conns[0].sent != 2 {
+		t.Errorf("%d connections, %d requests on the first", len(h.conns), h.conns[0].sent)
 	}
-	if b.f.Pending() != 1 {
-		t.Errorf("%d requests pending", b.f.Pending())
+	if h.e.Pending() != 1 {
+		t.Errorf("%d requests pending", h.e.Pending())
 	}
 }
 
-// Whether the last byte was written tells what never ran from what may have.
-func TestHowAConnectionFailsDecidesTheOutcome(t *testing.T) {
+// Whether the last byte was written distinguishes a request that cannot have run from one that may have.
+func TestConnectionFailureDeterminesOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(b *bench)
+		do   func(h *harness)
 		want logic.Result
 	}{
-		"refused":        {func(b *bench) { b.conns[0].to.Refused() }, logic.ConnectFailed},
-		"reset on dial":  {func(b *bench) { b.conns[0].to.Down() }, logic.ConnectFailed},
-		"never up":       {func(b *bench) { b.pass(250 * time.Millisecond) }, logic.ConnectFailed},
-		"turned away":    {func(b *bench) { b.conns[0].to.Reply(Reply{Result: logic.Rejected}) }, logic.Rejected},
-		"unwelcome":      {func(b *bench) { b.conns[0].to.Reply(Reply{Result: logic.Failed}) }, logic.ConnectFailed},
-		"not written":    {func(b *bench) { b.conns[0].err = errors.New("broken"); b.conns[0].to.Up() }, logic.ConnectFailed},
-		"broken behind":  {func(b *bench) { b.conns[0].to.Up(); b.conns[0].to.Down() }, logic.Reset},
-		"silent":         {func(b *bench) { b.conns[0].to.Up(); b.pass(500 * time.Millisecond) }, logic.TimedOut},
-		"called off":     {func(b *bench) { b.conns[0].to.Up(); b.f.Cancel(1, 0) }, logic.Cancelled},
-		"called off yet": {func(b *bench) { b.f.Cancel(1, 0) }, logic.Cancelled},
+		"refused":        {func(h *harness) { h.conns[0].listener.Refused() }, logic.ConnectFailed},
+		"reset on dial":  {func(h *harness) { h.conns[0].listener.Down() }, logic.ConnectFailed},
+		"never up":       {func(h *harness) { h.advance(250 * time.Millisecond) }, logic.ConnectFailed},
+		"turned away":    {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Rejected}) }, logic.Rejected},
+		"unwelcome":      {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Failed}) }, logic.ConnectFailed},
+		"not written":    {func(h *harness) { h.conns[0].err = errors.New("broken"); h.conns[0].listener.Up() }, logic.ConnectFailed},
+		"broken behind":  {func(h *harness) { h.conns[0].listener.Up(); h.conns[0].listener.Down() }, logic.Reset},
+		"silent":         {func(h *harness) { h.conns[0].listener.Up(); h.advance(500 * time.Millisecond) }, logic.TimedOut},
+		"called off":     {func(h *harness) { h.conns[0].listener.Up(); h.e.Cancel(1, 0) }, logic.Cancelled},
+		"called off yet": {func(h *harness) { h.e.Cancel(1, 0) }, logic.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 9)
-			b.take(&caller{})
-			c.do(b)
-			b.want("request", outcome(c.want, false))
-			if b.last.DialRefused != (name == "refused") {
-				t.Errorf("told that nothing listens there: %v", b.last.DialRefused)
+			h := newHarness(t, 9)
+			h.submitAndSend(&caller{})
+			c.do(h)
+			h.wantCalls("request", outcomeCall(c.want, false))
+			if h.lastOutcome.DialRefused != (name == "refused") {
+				t.Errorf("told that nothing listens there: %v", h.lastOutcome.DialRefused)
 			}
-			if !b.conns[0].closed {
+			if !h.conns[0].closed {
 				t.Error("the connection is still open: what comes on it would be taken for the next answer")
 			}
-			b.conns[0].to.Up()
-			b.conns[0].to.Reply(Reply{Result: logic.OK})
-			b.conns[0].to.Down()
-			b.want()
+			h.conns[0].listener.Up()
+			h.conns[0].listener.Reply(Reply{Result: logic.OK})
+			h.conns[0].listener.Down()
+			h.wantCalls()
 		})
 	}
 }
 
-// Nothing goes out on a connection on which something has come that nobody asked for. What came instead of an
-// answer ends the attempt, which may have run; a member that spoils a probe's answer lives all the same.
-func TestSpoiltConnectionsCarryNothing(t *testing.T) {
-	b := newBench(t, 9)
-	b.take(&caller{})
-	b.conns[0].to.Up()
-	b.conns[0].loud = true // a second copy behind the answer, which counts
-	b.conns[0].to.Reply(Reply{Result: logic.OK})
-	b.take(&caller{})
-	b.conns[1].to.Up()
-	b.conns[1].to.Reply(Reply{Result: logic.OK})
-	b.conns[1].loud = true // it came late
-	b.take(&caller{})
-	if !b.conns[0].closed || !b.conns[1].closed || b.conns[0].sent+b.conns[1].sent != 2 {
-		t.Errorf("closed: %v, %v; sent: %d, %d", b.conns[0].closed, b.conns[1].closed, b.conns[0].sent, b.conns[1].sent)
-	}
-	b.conns[2].to.Up()
-	b.told = nil
-	b.conns[2].to.ProtocolError()
-	b.f.Probe(b.id("two"))
-	b.conns[3].to.Up()
-	b.conns[3].to.ProtocolError()
-	b.want(outcome(logic.Reset, false), fmt.Sprintf("probed %d", logic.Failed))
-}
-
-// Two open requests of one name would be one to the databases, and one client would get the other's answer.
-func TestNameOfAnOpenRequestIsNotTakenAgain(t *testing.T) {
-	b := newBench(t, 9)
+// Nothing is sent on a connection on which unexpected data has arrived. Data that is not a valid answer ends the
+// attempt, which may have run; a member that sends it as the answer to a probe still counts as alive.
+func TestConnectionWithUnexpectedDataNotReused(t *testing.T) {
+	h := newHarness(t, 9)
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.conns[0].dirty = true // a duplicate follows the valid answer
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.submitAndSend(&caller{})
+	h.conns[1].listener.Up()
+	h.conns[1].listener.Reply(Reply{Result: logic.OK})
+	h.conns[1].dirty = true // it arrived late
+	h.submitAndSend(&caller{})
+	if !h.conns[0].closed || !h.conns[1].closed || h.conns[0].sent+h.conns[1].sent != 2 {
+		t.Errorf("closed: %v, %v; sent: %d, %d", h.conns[0].closed, h.conns[1].closed, h.conns[0].sent, h.conns[1].sent)
+	}
+	h.conns[2].listener.Up()
+	h.calls = nil
+	h.conns[2].listener.ProtocolError()
+	h.e.Probe(h.id("two"))
+	h.conns[3].listener.Up()
+	h.conns[3].listener.ProtocolError()
+	h.wantCalls(outcomeCall(logic.Reset, false), fmt.Sprintf("probed %d", logic.Failed))
+}
+
+// Databases would deduplicate two open requests with the same name, and one client would get the other's answer.
+func TestDuplicateNameOfOpenRequestRejected(t *testing.T) {
+	h := newHarness(t, 9)
 	named := Request{Name: "n", Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}}
-	id, err := b.f.Submit(named)
+	id, err := h.e.Submit(named)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = b.f.Submit(named); err != ErrDuplicateName {
+	if _, err = h.e.Submit(named); err != ErrDuplicateName {
 		t.Errorf("taken twice: %v", err)
 	}
-	b.f.Fail(id)
-	if _, err = b.f.Submit(named); err != nil || len(b.f.named) != 1 {
-		t.Errorf("%v, %d names", err, len(b.f.named))
+	h.e.Fail(id)
+	if _, err = h.e.Submit(named); err != nil || len(h.e.openNames) != 1 {
+		t.Errorf("%v, %d names", err, len(h.e.openNames))
 	}
 }
 
-// A request that databases can't use fails at once, and no member is blamed for it.
-func TestUnfitRequestFailsWithoutBlame(t *testing.T) {
-	b, c := newBench(t, 9), &caller{}
-	b.take(c)
-	b.conns[0].to.Up()
-	b.conns[0].to.Reply(Reply{Result: logic.Failed, BadRequest: true})
-	c.want(t, "failed")
-	b.want("request", outcome(logic.Cancelled, true))
+// An invalid request fails at once, and its member is not at fault.
+func TestInvalidRequestDoesNotBlameMember(t *testing.T) {
+	h, c := newHarness(t, 9), &caller{}
+	h.submitAndSend(c)
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.Failed, BadRequest: true})
+	c.wantAnswers(t, "failed")
+	h.wantCalls("request", outcomeCall(logic.Cancelled, true))
 }
 
-// Databases come and go under new names all day; news of one that has gone left it in memory for good.
-func TestMembersThatAreGoneAreForgotten(t *testing.T) {
-	b := newBench(t, 9)
-	id := b.take(&caller{})
-	b.conns[0].to.Up()
-	b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Gone},
+// Databases come and go under new names all day. A list that removed one used to leave it in memory forever.
+func TestGoneMembersForgotten(t *testing.T) {
+	h := newHarness(t, 9)
+	id := h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Gone},
 		{Name: "two", Address: "a:2", State: logic.Gone}}})
-	if len(b.f.members) != 1 || len(b.f.names) != 1 {
-		t.Errorf("%d members, %d names; one still owes an answer", len(b.f.members), len(b.f.names))
+	if len(h.e.members) != 1 || len(h.e.membersByName) != 1 {
+		t.Errorf("%d members, %d names; one still owes an answer", len(h.e.members), len(h.e.membersByName))
 	}
-	b.f.Cancel(id, 0)
-	if len(b.f.members) != 0 || len(b.f.names) != 0 {
-		t.Errorf("%d members, %d names are left", len(b.f.members), len(b.f.names))
+	h.e.Cancel(id, 0)
+	if len(h.e.members) != 0 || len(h.e.membersByName) != 0 {
+		t.Errorf("%d members, %d names are left", len(h.e.members), len(h.e.membersByName))
 	}
 }
 
-// A connection that is given up while it is made holds its descriptor until the dial has ended. Those that fail by
-// themselves hold none: counted for good, they left no room for any connection.
-func TestConnectionsInTheMakingAreCounted(t *testing.T) {
-	b := newBench(t, 1)
+// A connection that is closed while it is being established holds its descriptor until the dial has ended, one that
+// fails by itself does not. Counting the latter forever used to leave no room for any connection.
+func TestOpeningConnectionsCounted(t *testing.T) {
+	h := newHarness(t, 1)
 	for range 9 {
-		b.take(&caller{})
-		b.conns[len(b.conns)-1].to.Down()
+		h.submitAndSend(&caller{})
+		h.conns[len(h.conns)-1].listener.Down()
 	}
-	if len(b.conns) != 9 || b.f.links != 0 {
-		t.Errorf("%d connections opened, %d counted", len(b.conns), b.f.links)
+	if len(h.conns) != 9 || h.e.openConns != 0 {
+		t.Errorf("%d connections opened, %d counted", len(h.conns), h.e.openConns)
 	}
-	b.givenUp = 1
-	if b.take(&caller{}); len(b.conns) != 9 {
+	h.abandonedDials = 1
+	if h.submitAndSend(&caller{}); len(h.conns) != 9 {
 		t.Errorf("there was no descriptor for another connection")
 	}
 }
 
-func TestNeverTwoAttemptsAtOnce(t *testing.T) {
-	b := newBench(t, 9)
-	id := b.take(&caller{})
-	b.f.Send(id, b.id("two"), time.Second)
-	if b.want("request", outcome(logic.NotSent, false)); len(b.conns) != 1 {
-		t.Errorf("%d connections", len(b.conns))
+func TestNoConcurrentAttempts(t *testing.T) {
+	h := newHarness(t, 9)
+	id := h.submitAndSend(&caller{})
+	h.e.Send(id, h.id("two"), time.Second)
+	if h.wantCalls("request", outcomeCall(logic.NotSent, false)); len(h.conns) != 1 {
+		t.Errorf("%d connections", len(h.conns))
 	}
 }
 
-// What a router's action brings about at once must not come back to it before it has returned.
-func TestTheRouterIsNotCalledFromWithinItself(t *testing.T) {
-	b, c := newBench(t, 0), &caller{} // no room for any connection
-	b.onReq = func() { b.f.Send(1, b.id("one"), time.Second); b.f.Probe(b.id("one")) }
-	if _, err := b.f.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c}); err != nil {
+// Events caused immediately by a router's action must not be passed to the router before its call has returned.
+func TestRouterNotCalledRecursively(t *testing.T) {
+	h, c := newHarness(t, 0), &caller{} // no room for any connection
+	h.onRequest = func() { h.e.Send(1, h.id("one"), time.Second); h.e.Probe(h.id("one")) }
+	if _, err := h.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c}); err != nil {
 		t.Fatal(err)
 	}
-	b.want("request", outcome(logic.NotSent, false), fmt.Sprintf("probed %d", logic.NotSent))
-	b.f.Refuse(1, time.Millisecond)
-	c.want(t, "refused 1ms")
+	h.wantCalls("request", outcomeCall(logic.NotSent, false), fmt.Sprintf("probed %d", logic.NotSent))
+	h.e.Refuse(1, time.Millisecond)
+	c.wantAnswers(t, "refused 1ms")
 }
 
-func TestAbandonedRequestHasNoAnswer(t *testing.T) {
-	b, c := newBench(t, 9), &caller{}
-	id := b.take(c)
-	b.conns[0].to.Up()
-	b.f.Abandon(id)
-	b.conns[0].to.Reply(Reply{Result: logic.OK})
-	c.want(t)
-	if b.want("request", "abandoned", outcome(logic.OK, true)); b.f.Pending() != 0 {
-		t.Errorf("%d requests pending", b.f.Pending())
+func TestAbandonedRequestNotAnswered(t *testing.T) {
+	h, c := newHarness(t, 9), &caller{}
+	id := h.submitAndSend(c)
+	h.conns[0].listener.Up()
+	h.e.Abandon(id)
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	c.wantAnswers(t)
+	if h.wantCalls("request", "abandoned", outcomeCall(logic.OK, true)); h.e.Pending() != 0 {
+		t.Errorf("%d requests pending", h.e.Pending())
 	}
 }
 
-// A database closes connections that stand idle, and a request that crosses the close is lost.
-func TestIdleConnectionsAreDroppedInTime(t *testing.T) {
-	b := newBench(t, 9)
-	b.take(&caller{})
-	b.conns[0].to.Up()
-	b.conns[0].to.Reply(Reply{Result: logic.OK})
-	if b.pass(8 * time.Second); b.conns[0].closed {
+// A database closes idle connections; a request that is sent at that moment is lost.
+func TestIdleConnectionsClosedBeforeDatabaseDoes(t *testing.T) {
+	h := newHarness(t, 9)
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	if h.advance(8 * time.Second); h.conns[0].closed {
 		t.Error("closed early")
 	}
-	if b.pass(time.Second); !b.conns[0].closed {
+	if h.advance(time.Second); !h.conns[0].closed {
 		t.Error("kept until the database closes it")
 	}
-	b.take(&caller{})
-	b.conns[1].to.Up()
-	b.conns[1].to.Reply(Reply{Result: logic.OK})
-	b.conns[1].to.Down()
-	if b.take(&caller{}); len(b.conns) != 3 {
+	h.submitAndSend(&caller{})
+	h.conns[1].listener.Up()
+	h.conns[1].listener.Reply(Reply{Result: logic.OK})
+	h.conns[1].listener.Down()
+	if h.submitAndSend(&caller{}); len(h.conns) != 3 {
 		t.Error("a connection seen closed was used again")
 	}
 }
 
-func TestAConnectionThatFallsFreeServesWhoWaits(t *testing.T) {
-	b := newBench(t, 9)
-	b.take(&caller{})
-	b.conns[0].to.Up()
-	b.take(&caller{})
-	b.conns[0].to.Reply(Reply{Result: logic.OK})
-	if b.conns[0].sent != 2 || b.conns[1].sent != 0 {
-		t.Errorf("%d and %d requests sent", b.conns[0].sent, b.conns[1].sent)
+func TestReleasedConnectionServesWaitingAttempt(t *testing.T) {
+	h := newHarness(t, 9)
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	if h.conns[0].sent != 2 || h.conns[1].sent != 0 {
+		t.Errorf("%d and %d requests sent", h.conns[0].sent, h.conns[1].sent)
 	}
-	b.conns[1].to.Up() // kept for the next
-	if b.take(&caller{}); len(b.conns) != 2 || b.conns[1].sent != 1 {
-		t.Errorf("%d connections, %d requests on the second", len(b.conns), b.conns[1].sent)
+	h.conns[1].listener.Up() // kept for the next attempt
+	if h.submitAndSend(&caller{}); len(h.conns) != 2 || h.conns[1].sent != 1 {
+		t.Errorf("%d connections, %d requests on the second", len(h.conns), h.conns[1].sent)
 	}
 }
 
-func TestFullTableMakesRoomByAnIdleConnection(t *testing.T) {
-	b := newBench(t, 1)
-	b.take(&caller{})
-	b.conns[0].to.Up()
-	b.conns[0].to.Reply(Reply{Result: logic.OK})
-	b.f.Probe(b.id("two"))
-	if !b.conns[0].closed || len(b.conns) != 2 {
-		t.Errorf("%d connections, the idle one closed: %v", len(b.conns), b.conns[0].closed)
+func TestIdleConnectionEvictedAtLimit(t *testing.T) {
+	h := newHarness(t, 1)
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.e.Probe(h.id("two"))
+	if !h.conns[0].closed || len(h.conns) != 2 {
+		t.Errorf("%d connections, the idle one closed: %v", len(h.conns), h.conns[0].closed)
 	}
 }
 
-// A ping is the way there and back, without the start of its connection.
-func TestProbeMeasuresThePingAlone(t *testing.T) {
-	b := newBench(t, 9)
-	b.f.Probe(b.id("one"))
-	b.pass(100 * time.Millisecond)
-	b.conns[0].to.Up()
-	b.pass(2 * time.Millisecond)
-	b.conns[0].to.Reply(Reply{Result: logic.OK, Load: Load{Known: true, Role: logic.RolePrimary, Position: 1767312000.05, Queue: -1}})
-	if p := b.probe; p.Elapsed != 2*time.Millisecond || p.Report.Role != logic.RolePrimary || len(b.conns) != 1 {
+// A ping measures the round trip, without the establishment of the connection.
+func TestProbeExcludesConnectTime(t *testing.T) {
+	h := newHarness(t, 9)
+	h.e.Probe(h.id("one"))
+	h.advance(100 * time.Millisecond)
+	h.conns[0].listener.Up()
+	h.advance(2 * time.Millisecond)
+	h.conns[0].listener.Reply(Reply{Result: logic.OK, Load: Load{Known: true, Role: logic.RolePrimary, Position: 1767312000.05, Queue: -1}})
+	if p := h.probe; p.Elapsed != 2*time.Millisecond || p.Report.Role != logic.RolePrimary || len(h.conns) != 1 {
 		t.Errorf("%+v", p)
 	}
 	want := clockBase + 50*time.Millisecond
-	if p := b.probe.Report.Position; p > want || p < want-2*time.Microsecond {
+	if p := h.probe.Report.Position; p > want || p < want-2*time.Microsecond {
 		t.Errorf("position %v, want %v or a little below", p, want)
 	}
-	b.f.Probe(b.id("one"))
-	if b.conns[0].probes != 2 {
+	h.e.Probe(h.id("one"))
+	if h.conns[0].probes != 2 {
 		t.Error("the second probe did not use the connection of the first")
 	}
-	b.pass(probeTimeout)
-	if b.probe.Result != logic.TimedOut {
-		t.Errorf("%+v", b.probe)
+	h.advance(probeTimeout)
+	if h.probe.Result != logic.TimedOut {
+		t.Errorf("%+v", h.probe)
 	}
 }
 
-// The connection of an overdue probe stays, one for each member: a late answer proves that the process never ended. Its end
-// proves nothing, and is no outcome of anything.
-func TestAnOverdueProbesConnectionBearsWitness(t *testing.T) {
+// The connection of a probe that timed out is kept, one for each member: a late answer proves that the process did
+// not restart. Its end proves nothing, and is not reported as an outcome.
+func TestConnectionOfOverdueProbeKept(t *testing.T) {
 	for _, how := range []string{"answer", "end", "noise", "never", "drain"} {
-		b := newBench(t, 9)
+		h := newHarness(t, 9)
 		probe := func() *conn {
-			b.f.Probe(b.id("one"))
-			c := b.conns[len(b.conns)-1]
-			c.to.Up()
+			h.e.Probe(h.id("one"))
+			c := h.conns[len(h.conns)-1]
+			c.listener.Up()
 			return c
 		}
 		first := probe()
-		b.pass(probeTimeout)
+		h.advance(probeTimeout)
 		second := probe()
-		b.pass(probeTimeout)
-		b.want("probed 4", "probed 4")
-		if first.closed || !second.closed || len(b.conns) != 2 || second.probes != 1 || first.probes != 1 {
-			t.Fatalf("%s: closed %v and %v, %d connections", how, first.closed, second.closed, len(b.conns))
+		h.advance(probeTimeout)
+		h.wantCalls("probed 4", "probed 4")
+		if first.closed || !second.closed || len(h.conns) != 2 || second.probes != 1 || first.probes != 1 {
+			t.Fatalf("%s: closed %v and %v, %d connections", how, first.closed, second.closed, len(h.conns))
 		}
 		switch how {
 		case "answer":
-			first.to.Reply(Reply{Result: logic.OK})
-			b.want("answered 0s")
+			first.listener.Reply(Reply{Result: logic.OK})
+			h.wantCalls("answered 0s")
 		case "end":
-			first.to.Down()
+			first.listener.Down()
 		case "noise":
-			first.to.ProtocolError()
+			first.listener.ProtocolError()
 		case "never":
-			b.pass(witnessFor)
+			h.advance(overdueKeptFor)
 		case "drain":
-			b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Draining}}})
+			h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Draining}}})
 		}
-		b.told = nil
-		if !first.closed || b.f.Connections() != 0 || b.f.names["one"].witness != nil {
-			t.Errorf("%s: closed %v, %d links", how, first.closed, b.f.Connections())
+		h.calls = nil
+		if !first.closed || h.e.Connections() != 0 || h.e.membersByName["one"].overdueConn != nil {
+			t.Errorf("%s: closed %v, %d links", how, first.closed, h.e.Connections())
 		}
 	}
 }
 
-// One that comes back keeps its id: the router may still hold what it knows of it.
-func TestAMemberThatReturnsIsKnownByTheSameID(t *testing.T) {
-	b := newBench(t, 9)
-	before := b.id("two")
-	b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Gone}}})
-	if b.f.names["two"] != nil {
+// A member that returns keeps its ID, as the router may still have state for it.
+func TestReturningMemberKeepsID(t *testing.T) {
+	h := newHarness(t, 9)
+	before := h.id("two")
+	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Gone}}})
+	if h.e.membersByName["two"] != nil {
 		t.Error("one that is gone is kept")
 	}
-	b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Ready}}})
-	if after := b.id("two"); after != before {
+	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Ready}}})
+	if after := h.id("two"); after != before {
 		t.Errorf("id %v, was %v", after, before)
 	}
 }
 
-func TestListIsPassedOnWithMovesAndLeavers(t *testing.T) {
-	b := newBench(t, 9)
-	if e := b.list.Entries; b.list.Kind != logic.ListCached || len(e) != 2 || e[0].Zone != 1 || e[1].Zone != -1 || e[0].StartedAt != 0 {
-		t.Fatalf("%+v", b.list)
+func TestListChangesPassedToRouter(t *testing.T) {
+	h := newHarness(t, 9)
+	if e := h.lastList.Entries; h.lastList.Kind != logic.ListCached || len(e) != 2 || e[0].Zone != 1 || e[1].Zone != -1 || e[0].StartedAt != 0 {
+		t.Fatalf("%+v", h.lastList)
 	}
-	b.take(&caller{})
-	b.conns[0].to.Up()
-	b.conns[0].to.Reply(Reply{Result: logic.OK})
-	b.f.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Ready,
-		Started: b.Unix() - time.Second}}})
-	if e := b.list.Entries; len(e) != 1 || e[0].ID != b.id("one") || e[0].StartedAt != b.now-time.Second {
-		t.Errorf("%+v", b.list)
+	h.submitAndSend(&caller{})
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Ready,
+		Started: h.Unix() - time.Second}}})
+	if e := h.lastList.Entries; len(e) != 1 || e[0].ID != h.id("one") || e[0].StartedAt != h.now-time.Second {
+		t.Errorf("%+v", h.lastList)
 	}
-	if !b.conns[0].closed {
+	if !h.conns[0].closed {
 		t.Error("an idle connection to the old address is kept")
 	}
-	if b.take(&caller{}); b.conns[len(b.conns)-1].address != "a:9" {
+	if h.submitAndSend(&caller{}); h.conns[len(h.conns)-1].address != "a:9" {
 		t.Error("the old address is used")
 	}
-	b.f.UpdateList(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Draining}}})
-	if b.f.names["two"] != nil || b.list.Kind != logic.ListFull {
+	h.e.UpdateList(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Draining}}})
+	if h.e.membersByName["two"] != nil || h.lastList.Kind != logic.ListFull {
 		t.Error("who is left out of a whole list is still known")
 	}
 }
 
-// An age of 0 would mean that there was no commit; one rounded up to the next millisecond may lie ahead.
-func TestTokenIsNeverOlderThanTheCommit(t *testing.T) {
-	b := newBench(t, 9)
+// An age of 0 would mean that there was no commit; a commit time rounded up to the next millisecond may lie in the
+// future.
+func TestTokenAge(t *testing.T) {
+	h := newHarness(t, 9)
 	for after, want := range map[time.Duration]time.Duration{0: 0, -time.Second: time.Second, time.Millisecond: 1} {
 		in := Request{Class: "session", Wait: time.Second, Session: 7, Command: command{}, Caller: &caller{}}
 		if after != 0 {
-			in.LastCommit = int64((b.Unix() + after) / time.Millisecond)
+			in.LastCommit = int64((h.Unix() + after) / time.Millisecond)
 		}
-		if b.f.Submit(in); b.req.TokenAge != want || b.req.Session != 7 {
-			t.Errorf("commit at now%+v: age %v, want %v", after, b.req.TokenAge, want)
+		if h.e.Submit(in); h.lastRequest.TokenAge != want || h.lastRequest.Session != 7 {
+			t.Errorf("commit at now%+v: age %v, want %v", after, h.lastRequest.TokenAge, want)
 		}
 	}
-	b.f.Submit(Request{Class: "any", Wait: time.Second, Session: 7, LastCommit: 1, Command: command{}, Caller: &caller{}})
-	if b.req.Session != 0 || b.req.TokenAge != 0 || b.req.Deadline >= b.now+time.Second {
-		t.Errorf("%+v: the key names a session in classes that have them only", b.req)
+	h.e.Submit(Request{Class: "any", Wait: time.Second, Session: 7, LastCommit: 1, Command: command{}, Caller: &caller{}})
+	if h.lastRequest.Session != 0 || h.lastRequest.TokenAge != 0 || h.lastRequest.Deadline >= h.now+time.Second {
+		t.Errorf("%+v: the key names a session in classes that have them only", h.lastRequest)
 	}
-	if _, err := b.f.Submit(Request{Class: "unheard"}); err == nil || b.f.Pending() != 4 {
+	if _, err := h.e.Submit(Request{Class: "unheard"}); err == nil || h.e.Pending() != 4 {
 		t.Error("an unknown class was taken")
 	}
 }
@@ -512,59 +516,60 @@
 	}
 }
 
-// Behind a cut the witness is asked once more, as what was sent into the cut may be lost: its answer proves that nobody
-// restarted, its end is a sign of a restart, and that it stays, silent, one of a cut.
-func TestAWitnessIsAskedAgain(t *testing.T) {
+// After a partition the overdue connection is probed once more, as data sent during the partition may be lost. An
+// answer proves that the database did not restart, the connection's end is a sign of a restart, and silence a sign of
+// a partition.
+func TestOverdueConnectionProbedAgain(t *testing.T) {
 	for how, want := range map[string]string{"answer": "answered 0s", "end": "ended 0s", "silence": "mute 0s", "write": "ended 0s"} {
-		b := newBench(t, 9)
-		b.f.Probe(b.id("one"))
-		first := b.conns[0]
-		first.to.Up()
-		b.pass(probeTimeout)
-		b.f.Probe(b.id("one"))
-		second := b.conns[1]
-		second.to.Up()
+		h := newHarness(t, 9)
+		h.e.Probe(h.id("one"))
+		first := h.conns[0]
+		first.listener.Up()
+		h.advance(probeTimeout)
+		h.e.Probe(h.id("one"))
+		second := h.conns[1]
+		second.listener.Up()
 		if first.probes != 1 {
 			t.Fatalf("asked %d times in the silence", first.probes)
 		}
 		if how == "write" {
 			first.err = errors.New("broken pipe")
 		}
-		b.told = nil
-		second.to.Reply(Reply{Result: logic.OK})
+		h.calls = nil
+		second.listener.Reply(Reply{Result: logic.OK})
 		switch how {
 		case "answer":
-			first.to.Reply(Reply{Result: logic.OK})
+			first.listener.Reply(Reply{Result: logic.OK})
 		case "end":
-			first.to.Down()
+			first.listener.Down()
 		case "silence":
-			b.f.Probe(b.id("one")) // which asks it no third time
-			second.to.Reply(Reply{Result: logic.OK})
-			b.told = b.told[1:]
-			b.pass(muteAfter)
+			h.e.Probe(h.id("one")) // which does not probe it a third time
+			second.listener.Reply(Reply{Result: logic.OK})
+			h.calls = h.calls[1:]
+			h.advance(secondProbeTimeout)
 		}
-		b.want("probed 0", want)
-		if first.probes != 2 || !first.closed || b.f.names["one"].witness != nil {
+		h.wantCalls("probed 0", want)
+		if first.probes != 2 || !first.closed || h.e.membersByName["one"].overdueConn != nil {
 			t.Errorf("%s: asked %d times, closed %v", how, first.probes, first.closed)
 		}
 	}
 }
 
-// Where connections are scarce one to a database serves probes and requests in turn: kept apart, those for probes took 60 of a
-// proxy's 90, and requests opened and closed the other 30 all day.
-func TestScarceConnectionsServeProbesAndRequests(t *testing.T) {
-	b := newBench(t, 3)
-	b.f.Probe(b.id("one"))
-	b.conns[0].to.Up()
-	b.conns[0].to.Reply(Reply{Result: logic.OK})
-	b.f.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
-	b.f.Send(b.req.ID, b.id("one"), time.Second)
-	if len(b.conns) != 1 || b.conns[0].sent != 1 {
-		t.Fatalf("%d connections, %d requests on the first", len(b.conns), b.conns[0].sent)
+// If connections are scarce, one connection to a database serves probes and requests in turn. Separate ones for
+// probes took 60 of a proxy's 90 connections, and requests opened and closed the other 30 all day.
+func TestFewConnectionsServeProbesAndRequests(t *testing.T) {
+	h := newHarness(t, 3)
+	h.e.Probe(h.id("one"))
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: &caller{}})
+	h.e.Send(h.lastRequest.ID, h.id("one"), time.Second)
+	if len(h.conns) != 1 || h.conns[0].sent != 1 {
+		t.Fatalf("%d connections, %d requests on the first", len(h.conns), h.conns[0].sent)
 	}
-	b.conns[0].to.Reply(Reply{Result: logic.OK})
-	b.f.Probe(b.id("one"))
-	if len(b.conns) != 1 || b.conns[0].probes != 2 {
-		t.Fatalf("%d connections, %d probes on the first", len(b.conns), b.conns[0].probes)
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.e.Probe(h.id("one"))
+	if len(h.conns) != 1 || h.conns[0].probes != 2 {
+		t.Fatalf("%d connections, %d probes on the first", len(h.conns), h.conns[0].probes)
 	}
 }
