--- a/internal/handover/api.go
+++ b/internal/handover/api.go
@@ -1,7 +1,8 @@
-// Package handover follows who is primary of each group, and what to do with requests that need one while there is none:
-// hold them, or refuse them at once with a time to come back. It knows members by numbers and requests by what holding them
-// costs and earns; who sends what to whom is package logic's to decide, which asks it. It is pure: events and a clock are
-// handed in, and the same events give the same answers.
+// Package handover tracks the primary of each replication group and decides what happens to requests that need one while there is
+// none: they are held until a new primary is found, or refused at once with a retry hint. It knows members by number, and requests by
+// what holding them costs and is worth. Package logic, which calls it, decides which request goes to which member.
+//
+// The package does no I/O and reads no clock: callers pass in events and the time, and the same events give the same results.
 package handover
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Role is what a member was when it last spoke.
+// Role is the role that a member was last known to have.
 type Role uint8
 
 // The roles of a member.
@@ -19,104 +20,104 @@
 	Replica
 )
 
-// DiscoveryState is what the list says of a member.
+// DiscoveryState is a member's state in discovery.
 type DiscoveryState uint8
 
-// The kinds of presence.
+// The discovery states.
 const (
 	Unlisted DiscoveryState = iota
 	Ready
 	Draining
 )
 
-// Phase is where a group stands with its primary.
+// Phase is the stage of a group's failover.
 type Phase uint8
 
-// The phases. A switch begins with PhaseDraining or PhaseLost and ends with PhaseFound; what was held leaves while it is PhaseSettling.
+// The phases. A failover begins with PhaseDraining or PhaseLost and ends with PhaseFound. Held requests are released from PhaseFound on.
 const (
 	PhaseUndiscovered Phase = iota // no primary has been known yet
-	PhaseSteady                    // there is one
-	PhaseDraining                  // it drains, or has stepped down, and another is awaited
-	PhaseLost                      // it is silent or gone
-	PhaseElecting                  // it has been for longer than a blip takes
-	PhaseFound                     // another was named, or the same is back; no write has been served by it yet
-	PhaseSettling                  // one has
+	PhaseSteady                    // the group has a primary
+	PhaseDraining                  // the primary drains or has stepped down, and another is awaited
+	PhaseLost                      // the primary is silent or unlisted
+	PhaseElecting                  // the primary has been lost for longer than Config.Blip
+	PhaseFound                     // a primary was elected or has returned, but has served no write yet
+	PhaseSettling                  // it has served a write
 )
 
-// String names a phase.
+// String returns the phase as operators see it.
 func (p Phase) String() string {
 	return [...]string{"unheard", "steady", "drains", "lost", "electing", "found", "settling"}[p]
 }
 
-// Cause is why a group came to be without a primary. How long that lasts depends on it.
+// Cause is the reason why a group lost its primary. The duration of a failover depends on it.
 type Cause uint8
 
-// The causeCount.
+// The causes.
 const (
-	CausePlanned  Cause = iota // a drain was told, or the primary itself says that it is a replica now
-	CauseSilent                // it owes answers and gives none, or its connections end
-	CauseUnlisted              // the list has it no more
+	CausePlanned  Cause = iota // the primary drains, or reports that it is a replica
+	CauseSilent                // it does not answer, or its connections were closed
+	CauseUnlisted              // discovery does not list it any more
 	causeCount
 )
 
-// String names a cause.
+// String returns the cause as operators see it.
 func (c Cause) String() string { return [...]string{"planned", "silence", "absence"}[c] }
 
-// Prior is what is taken to be known of the length of a switch before any was seen.
+// Prior is the range that failover durations are assumed to have before any was observed.
 type Prior struct{ From, To time.Duration }
 
-// Config is the operator's settings. The zero value of a field takes the default that its comment names.
+// Config holds the operator's settings. A zero field takes the default that its comment names.
 type Config struct {
-	Hold bool // otherwise all is refused at once that needs a primary while there is none
+	Hold bool // hold requests while there is no primary; otherwise they are refused at once
 
-	Likely   float64 // a request is held if it is served in its time with this probability; 0.6
-	Keep     float64 // and let go once that has fallen below this; 0.45
-	LateCost float64 // of a request's worth, where it is refused after half of its time; 0.3
+	Likely   float64 // least probability of being served in time for a request to be held; default 0.6
+	Keep     float64 // a held request is refused once the probability falls below this; default 0.45
+	LateCost float64 // cost of refusing a request after half of its time, as a part of its worth; default 0.3
 
-	MostHeld  int           // requests of a group; 512
-	MostBytes int           // of them; 1 MiB
-	MostTime  time.Duration // of one; 3 s
+	MostHeld  int           // most requests held for a group; default 512
+	MostBytes int           // most bytes held for a group; default 1 MiB
+	MostTime  time.Duration // longest time that a request is held; default 3 s
 
-	Drain  Prior         // of a planned switch; 0.45 to 0.8 s
-	Death  Prior         // of any other; 2 to 7 s
-	Fade   time.Duration // half of an observation's weight is gone after it; 10 min
-	Blip   time.Duration // a primary silent for longer is being replaced; 1 s
-	Settle time.Duration // after its first write a new primary is no news any more; 2 s
-	Search time.Duration // between pings to a member while another primary is looked for; 50 ms
+	Drain  Prior         // prior duration of a planned failover; default 0.45 to 0.8 s
+	Death  Prior         // prior duration of any other failover; default 2 to 7 s
+	Fade   time.Duration // half-life of an observation's weight; default 10 min
+	Blip   time.Duration // a primary that is silent for longer is assumed to be replaced; default 1 s
+	Settle time.Duration // how long PhaseSettling lasts after the new primary's first write; default 2 s
+	Search time.Duration // interval of pings to a member while a primary is awaited; default 50 ms
 
-	Margin time.Duration // of a repeat against the window in which a group drops it: ways, and clocks; 100 ms
+	Margin time.Duration // safety margin of a repeat against the group's deduplication window, for network and clocks; default 100 ms
 }
 
-// WithDefaults fills in what is not set.
+// WithDefaults returns the configuration with a default for each field that is zero.
 func (c Config) WithDefaults() Config {
-	or(&c.Likely, 0.6)
-	or(&c.Keep, min(0.45, c.Likely))
-	or(&c.LateCost, 0.3)
-	or(&c.MostHeld, 512)
-	or(&c.MostBytes, 1<<20)
-	or(&c.MostTime, 3*time.Second)
-	or(&c.Drain, Prior{450 * time.Millisecond, 800 * time.Millisecond})
-	or(&c.Death, Prior{2 * time.Second, 7 * time.Second})
-	or(&c.Fade, 10*time.Minute)
-	or(&c.Blip, time.Second)
-	or(&c.Settle, 2*time.Second)
-	or(&c.Search, 50*time.Millisecond)
-	or(&c.Margin, 100*time.Millisecond)
+	setDefault(&c.Likely, 0.6)
+	setDefault(&c.Keep, min(0.45, c.Likely))
+	setDefault(&c.LateCost, 0.3)
+	setDefault(&c.MostHeld, 512)
+	setDefault(&c.MostBytes, 1<<20)
+	setDefault(&c.MostTime, 3*time.Second)
+	setDefault(&c.Drain, Prior{450 * time.Millisecond, 800 * time.Millisecond})
+	setDefault(&c.Death, Prior{2 * time.Second, 7 * time.Second})
+	setDefault(&c.Fade, 10*time.Minute)
+	setDefault(&c.Blip, time.Second)
+	setDefault(&c.Settle, 2*time.Second)
+	setDefault(&c.Search, 50*time.Millisecond)
+	setDefault(&c.Margin, 100*time.Millisecond)
 	return c
 }
 
-func or[T comparable](v *T, otherwise T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
-	if *v == zero {
-		*v = otherwise
+	if *field == zero {
+		*field = value
 	}
 }
 
-// Validate tells which setting makes no sense, after WithDefaults.
+// Validate returns an error for the first setting that is out of range. Call it after WithDefaults.
 func (c *Config) Validate() error {
-	for name, p := range map[string]Prior{"drain": c.Drain, "death": c.Death} {
-		if p.From < 0 || p.To <= p.From {
-			return fmt.Errorf("handover: %s is %v to %v, the second must be above the first", name, p.From, p.To)
+	for name, prior := range map[string]Prior{"drain": c.Drain, "death": c.Death} {
+		if prior.From < 0 || prior.To <= prior.From {
+			return fmt.Errorf("handover: %s is %v to %v, must not be negative, and the second must be above the first", name, prior.From, prior.To)
 		}
 	}
 	switch {
@@ -128,25 +129,25 @@
 	return nil
 }
 
-// Status is where a group stands, to be shown.
+// Status describes the present state of a group, for display.
 type Status struct {
 	Phase          Phase
-	Since          time.Duration // of the phase
+	Since          time.Duration // when the phase began
 	Primary        uint64        // 0 = none
-	RivalPrimaries int           // members beside it that claim to be primary
-	Held           int
+	RivalPrimaries int           // other members that claim to be primary
+	Held           int           // held requests
 	HeldBytes      int
-	ExpectedWait   time.Duration // until a primary is back, the middle of what is thought likely; 0 where there is one
-	Cause          Cause         // of the switch under way
+	ExpectedWait   time.Duration // median time until a primary is found; 0 if there is one
+	Cause          Cause         // of the failover in progress
 }
 
-// Failover is one that has ended.
+// Failover describes a failover that has ended.
 type Failover struct {
 	Group                  int
 	Cause                  Cause
 	OldPrimary, NewPrimary uint64
-	StartedAt              time.Duration // on the clock that was handed in
+	StartedAt              time.Duration // on the clock of the caller
 	Duration               time.Duration // until a primary was known again
-	MaxHeld                int           // requests that were held for it, at most at once
-	Refused                int           // and those refused for want of a primary
+	MaxHeld                int           // most requests that were held at once
+	Refused                int           // requests refused because there was no primary
 }
--- a/internal/handover/estimate.go
+++ b/internal/handover/estimate.go
@@ -9,106 +9,107 @@
 )
 
 const (
-	keptLengths = 64  // observations of a cause, of all groups
-	others      = 0.3 // weight of another group's switch against the own one's
-	priorPoints = 9   // a prior stands as so many observations,
-	priorWeight = 3.0 // of this weight together: a handful of switches outweighs it
-	beyond      = 0.3 // weight of 'longer than anything seen'
+	maxObservations  = 64  // kept of each cause, over all groups
+	otherGroupWeight = 0.3 // weight of another group's failover, relative to the group's own
+	priorPoints      = 9   // number of points that represent a prior
+	priorWeight      = 3.0 // their total weight: a few observations outweigh it
+	tailWeight       = 0.3 // weight of a duration beyond all observations
 )
 
-// estimator learns how long groups are without a primary, by cause. It is a weighted empirical distribution: the lengths
-// are few, and have no shape that one could count on (a hand-over, a detection and an election, a blip). Own switches count
-// more than other groups', new ones more than old ones; a prior from the settings fills in until there are some.
-type estimator struct {
-	cfg  *Config
-	seen [causeCount][]length
-	memo [causeCount]struct {
-		group int
-		at    time.Duration
-		n     int // observations that it holds
-		x, w  []float64
+// durationEstimator learns how long groups are without a primary, by cause. It keeps a weighted empirical distribution, as the durations
+// are few and have no known shape (they mix planned failovers, failure detection with an election, and short interruptions). Failovers of
+// the same group weigh more than those of others, and recent ones more than old ones. A prior from the settings stands in for missing ones.
+type durationEstimator struct {
+	cfg          *Config
+	observations [causeCount][]observation
+	cache        [causeCount]struct {
+		group           int
+		at              time.Duration
+		count           int // observations that the cached distribution contains
+		values, weights []float64
 	}
 	counts [causeCount]int
 }
 
-type length struct {
-	of    time.Duration
-	group int
-	at    time.Duration
+// observation is the duration of a failover that ended at a time.
+type observation struct {
+	duration time.Duration
+	group    int
+	at       time.Duration
 }
 
-func (e *estimator) configure(cfg *Config) {
+func (e *durationEstimator) configure(cfg *Config) {
 	e.cfg = cfg
-	for i := range e.memo {
-		e.memo[i].x = nil
+	for i := range e.cache {
+		e.cache[i].values = nil
 	}
 }
 
-func (e *estimator) add(c Cause, group int, of, at time.Duration) {
-	e.seen[c] = append(e.seen[c], length{of, group, at})
-	if len(e.seen[c]) > keptLengths {
-		e.seen[c] = e.seen[c][1:]
+func (e *durationEstimator) add(cause Cause, group int, duration, at time.Duration) {
+	e.observations[cause] = append(e.observations[cause], observation{duration, group, at})
+	if len(e.observations[cause]) > maxObservations {
+		e.observations[cause] = e.observations[cause][1:]
 	}
-	e.counts[c]++
+	e.counts[cause]++
 }
 
-// points gives the distribution's points in order, in seconds, with their weights. They are made anew when there is a new
-// observation, another group asks, or a tenth of the time over which they fade has passed.
-func (e *estimator) points(c Cause, group int, now time.Duration) (x, w []float64) {
-	m := &e.memo[c]
-	if m.x != nil && m.group == group && m.n == e.counts[c] && now-m.at < e.cfg.Fade/10 {
-		return m.x, m.w
+// distribution returns the durations in ascending order, in seconds, with their weights. The result is cached until there is another
+// observation, another group is asked for, or a tenth of Config.Fade has passed.
+func (e *durationEstimator) distribution(cause Cause, group int, now time.Duration) (values, weights []float64) {
+	cached := &e.cache[cause]
+	if cached.values != nil && cached.group == group && cached.count == e.counts[cause] && now-cached.at < e.cfg.Fade/10 {
+		return cached.values, cached.weights
 	}
-	m.group, m.at, m.n = group, now, e.counts[c]
-	m.x, m.w = m.x[:0], m.w[:0]
+	cached.group, cached.at, cached.count = group, now, e.counts[cause]
+	cached.values, cached.weights = cached.values[:0], cached.weights[:0]
 	prior := e.cfg.Death
-	if c == CausePlanned {
+	if cause == CausePlanned {
 		prior = e.cfg.Drain
 	}
 	for i := range priorPoints {
 		part := (float64(i) + 0.5) / priorPoints
-		m.x = append(m.x, prior.From.Seconds()+part*(prior.To-prior.From).Seconds())
-		m.w = append(m.w, priorWeight/priorPoints)
+		cached.values = append(cached.values, prior.From.Seconds()+part*(prior.To-prior.From).Seconds())
+		cached.weights = append(cached.weights, priorWeight/priorPoints)
 	}
-	for _, l := range e.seen[c] {
-		weight := math.Exp2(-float64(now-l.at) / float64(e.cfg.Fade))
-		if l.group != group {
-			weight *= others
+	for _, o := range e.observations[cause] {
+		weight := math.Exp2(-float64(now-o.at) / float64(e.cfg.Fade))
+		if o.group != group {
+			weight *= otherGroupWeight
 		}
-		m.x, m.w = append(m.x, l.of.Seconds()), append(m.w, weight)
+		cached.values, cached.weights = append(cached.values, o.duration.Seconds()), append(cached.weights, weight)
 	}
-	stat.SortWeighted(m.x, m.w)
-	return m.x, m.w
+	stat.SortWeighted(cached.values, cached.weights)
+	return cached.values, cached.weights
 }
 
-// within gives the probability that a switch which has lasted for so long ends within a further time. Beyond all that was
-// seen it may last for about as long again as it has: the tail of a length without a scale.
-func (e *estimator) within(c Cause, group int, now, elapsed, further time.Duration) float64 {
+// endsWithin returns the probability that a failover which has lasted for elapsed ends within a further time. One that lasts longer than
+// all observations has a scale-free tail: it lasts about as long again as it has.
+func (e *durationEstimator) endsWithin(cause Cause, group int, now, elapsed, further time.Duration) float64 {
 	if further <= 0 {
 		return 0
 	}
-	x, w := e.points(c, group, now)
+	values, weights := e.distribution(cause, group, now)
 	from, to := elapsed.Seconds(), (elapsed + further).Seconds()
 	total := 0.0
-	for _, v := range w {
-		total += v
+	for _, weight := range weights {
+		total += weight
 	}
-	below := total * stat.CDF(from, stat.Empirical, x, w)
-	upTo := total * stat.CDF(to, stat.Empirical, x, w)
-	tail := beyond * further.Seconds() / max(to, 1e-9)
-	return (upTo - below + tail) / max(total-below+beyond, 1e-9)
+	below := total * stat.CDF(from, stat.Empirical, values, weights)
+	upTo := total * stat.CDF(to, stat.Empirical, values, weights)
+	tail := tailWeight * further.Seconds() / max(to, 1e-9)
+	return (upTo - below + tail) / max(total-below+tailWeight, 1e-9)
 }
 
-// remaining gives the time within which a switch that has lasted for so long ends with a probability.
-func (e *estimator) remaining(c Cause, group int, now, elapsed time.Duration, p float64) time.Duration {
-	x, w := e.points(c, group, now)
-	i := sort.SearchFloat64s(x, elapsed.Seconds())
-	for i < len(x) && x[i] <= elapsed.Seconds() {
+// remaining returns the time within which a failover that has lasted for elapsed ends with probability p.
+func (e *durationEstimator) remaining(cause Cause, group int, now, elapsed time.Duration, p float64) time.Duration {
+	values, weights := e.distribution(cause, group, now)
+	i := sort.SearchFloat64s(values, elapsed.Seconds())
+	for i < len(values) && values[i] <= elapsed.Seconds() {
 		i++
 	}
-	if i == len(x) { // longer than all that was seen
+	if i == len(values) { // longer than all observations
 		return elapsed
 	}
-	left := stat.Quantile(p, stat.Empirical, x[i:], w[i:]) - elapsed.Seconds()
+	left := stat.Quantile(p, stat.Empirical, values[i:], weights[i:]) - elapsed.Seconds()
 	return time.Duration(max(left, 0) * 1e9)
 }
--- a/internal/handover/hold.go
+++ b/internal/handover/hold.go
@@ -6,182 +6,182 @@
 	"time"
 )
 
-// wayHome is what of a request's time is kept back: a served one has to come to its client.
-const wayHome = 5 * time.Millisecond
+// responseMargin is the part of a request's time that is reserved for returning the answer to the client.
+const responseMargin = 5 * time.Millisecond
 
-// leastHint keeps the refused from coming back at once where a primary is expected any moment.
-const leastHint = 50 * time.Millisecond
+// minRetryAfter keeps refused clients from retrying at once when a primary is expected any moment.
+const minRetryAfter = 50 * time.Millisecond
 
-// HeldRequest is a request that needs a primary, as far as holding it is concerned.
+// HeldRequest describes a request that needs a primary, as far as the decision to hold it depends on it.
 type HeldRequest struct {
 	ID              uint64
-	ReceivedAt      time.Duration // when it came
-	Deadline        time.Duration // when its client gives up; or, if it may have run, when a repeat is too late
-	ServiceTime     time.Duration // bare answer time,
-	SlowServiceTime time.Duration // and that of a slow answer, which must fit into what is left
-	Aim             time.Duration // answers within it earn the full worth,
-	LateFactor      float64       // later ones this part of it
+	ReceivedAt      time.Duration
+	Deadline        time.Duration // when the client gives up; or when a repeat would be too late, if the request may have run
+	ServiceTime     time.Duration // expected time of an answer without queueing
+	SlowServiceTime time.Duration // time of a slow answer, which must fit before the deadline
+	Aim             time.Duration // answers within it earn the full worth
+	LateFactor      float64       // later answers earn this part of it
 	Worth           float64
-	ShadowPrice     float64 // what a second of the group's work earns where there is none to spare; 0 = there is
+	ShadowPrice     float64 // worth that other requests would earn in a second of the group's work; 0 = it has spare capacity
 	Size            int     // bytes
-	MayHaveRun      bool    // it may have run: letting it go is a failure, whenever
-	AlreadyHeld     bool    // it is held already
-	QueuedAhead     int     // held requests that leave before it, where a primary is known,
-	Concurrency     int     // and how many that works on at once
+	MayHaveRun      bool    // refusing it is a failure, however early
+	AlreadyHeld     bool
+	QueuedAhead     int // held requests that are released before it, if a primary is known
+	Concurrency     int // requests that the new primary works on at once
 }
 
-// room is what holding takes.
-type room struct {
-	in    map[uint64]HeldRequest
+// heldRequests holds the requests of a group that wait for a primary.
+type heldRequests struct {
+	byID  map[uint64]HeldRequest
 	bytes int
 }
 
-// Hold decides on a request that finds no primary, or one that is new and full: whether it is held, and when its client is to
-// come back otherwise. pushed are requests that have to make room for it: they are to be refused at once.
-func (g *Group) Hold(now time.Duration, q HeldRequest) (ok bool, hint time.Duration, pushed []uint64) {
-	c := &g.h.cfg
-	if !c.Hold || !g.led || g.primary != nil && !g.HasNewPrimary() {
+// Hold decides whether a request is held that finds no primary, or a new primary at its limit. If not, retryAfter is when its client should
+// retry. evicted are held requests that have to be refused at once to make space for it.
+func (g *Group) Hold(now time.Duration, req HeldRequest) (ok bool, retryAfter time.Duration, evicted []uint64) {
+	c := &g.tracker.cfg
+	if !c.Hold || !g.hadPrimary || g.primary != nil && !g.HasNewPrimary() {
 		return false, 0, nil
 	}
-	if !g.pays(now, q) {
-		g.Release(q.ID)
+	if !g.worthHolding(now, req) {
+		g.Release(req.ID)
 		g.refused++
-		return false, g.hint(now), nil
+		return false, g.retryAfter(now), nil
 	}
-	g.Release(q.ID) // it may be there already
-	for len(g.room.in) >= c.MostHeld || g.room.bytes+q.Size > c.MostBytes {
-		least, found := g.least()
-		if !found || least.Worth >= q.Worth {
+	g.Release(req.ID) // in case that it is held already
+	for len(g.held.byID) >= c.MostHeld || g.held.bytes+req.Size > c.MostBytes {
+		least, found := g.leastValuable()
+		if !found || least.Worth >= req.Worth {
 			g.refused++
-			return false, g.hint(now), pushed
+			return false, g.retryAfter(now), evicted
 		}
 		g.Release(least.ID)
 		g.refused++
-		pushed = append(pushed, least.ID)
+		evicted = append(evicted, least.ID)
 	}
-	g.room.in[q.ID] = q
-	g.room.bytes += q.Size
-	g.held = max(g.held, len(g.room.in))
-	return true, 0, pushed
+	g.held.byID[req.ID] = req
+	g.held.bytes += req.Size
+	g.maxHeld = max(g.maxHeld, len(g.held.byID))
+	return true, 0, evicted
 }
 
-// pays weighs holding a request against refusing it now. It is held only if it is likely to be served in its time, and if
-// what it would earn outweighs what a late refusal would cost. It is asked again while it is held, so that one whose
-// chances have sunk goes at once, before half of its time where that can be.
-func (g *Group) pays(now time.Duration, q HeldRequest) bool {
-	c := &g.h.cfg
-	left := q.Deadline - now - max(q.SlowServiceTime, q.ServiceTime) - wayHome
-	if left <= 0 || now-q.ReceivedAt >= c.MostTime {
+// worthHolding reports whether holding a request is better than refusing it now: it must be likely to be served in time, and its expected
+// worth must outweigh the cost of a late refusal. Held requests are checked repeatedly, so that one whose chances have fallen is refused
+// early, before half of its time if possible.
+func (g *Group) worthHolding(now time.Duration, req HeldRequest) bool {
+	c := &g.tracker.cfg
+	left := req.Deadline - now - max(req.SlowServiceTime, req.ServiceTime) - responseMargin
+	if left <= 0 || now-req.ReceivedAt >= c.MostTime {
 		return false
 	}
-	p, soon := 1.0, 1.0
+	served, inAim := 1.0, 1.0 // probabilities
 	if g.primary == nil {
-		elapsed := now - g.from
-		p = g.h.lengths.within(g.cause, g.id, now, elapsed, left)
-		soon = g.h.lengths.within(g.cause, g.id, now, elapsed, q.ReceivedAt+q.Aim-now-q.ServiceTime-wayHome)
-	} else { // those before it go first, each of which takes its time
-		ahead := time.Duration(q.QueuedAhead) * q.ServiceTime / time.Duration(max(q.Concurrency, leastWidth))
-		if ahead > left {
+		elapsed := now - g.causeSince
+		served = g.tracker.durations.endsWithin(g.cause, g.id, now, elapsed, left)
+		inAim = g.tracker.durations.endsWithin(g.cause, g.id, now, elapsed, req.ReceivedAt+req.Aim-now-req.ServiceTime-responseMargin)
+	} else { // the requests before it are served first
+		queueTime := time.Duration(req.QueuedAhead) * req.ServiceTime / time.Duration(max(req.Concurrency, minConcurrency))
+		if queueTime > left {
 			return false
 		}
-		if now+ahead+q.ServiceTime+wayHome > q.ReceivedAt+q.Aim {
-			soon = 0
+		if now+queueTime+req.ServiceTime+responseMargin > req.ReceivedAt+req.Aim {
+			inAim = 0
 		}
 	}
-	need := c.Likely
-	if q.AlreadyHeld {
-		need = c.Keep
+	threshold := c.Likely
+	if req.AlreadyHeld {
+		threshold = c.Keep
 	}
-	if p < need {
+	if served < threshold {
 		return false
 	}
-	if q.MayHaveRun {
+	if req.MayHaveRun {
 		return true
 	}
-	earns := soon + q.LateFactor*(p-soon)
-	return earns*q.Worth >= (1-p)*c.LateCost*q.Worth+p*q.ShadowPrice*q.ServiceTime.Seconds()
+	worthFactor := inAim + req.LateFactor*(served-inAim)
+	return worthFactor*req.Worth >= (1-served)*c.LateCost*req.Worth+served*req.ShadowPrice*req.ServiceTime.Seconds()
 }
 
-// leastWidth is how many held requests a new primary is taken to work on at once, at least.
-const leastWidth = 3
+// minConcurrency is the least number of held requests that a new primary is assumed to work on at once.
+const minConcurrency = 3
 
-// least finds the held request that earns least.
-func (g *Group) least() (least HeldRequest, found bool) {
-	for _, x := range g.room.in {
-		if !found || x.Worth < least.Worth || x.Worth == least.Worth && order(x, least) > 0 {
-			least, found = x, true
+// leastValuable returns the held request with the lowest worth.
+func (g *Group) leastValuable() (least HeldRequest, found bool) {
+	for _, req := range g.held.byID {
+		if !found || req.Worth < least.Worth || req.Worth == least.Worth && byDeadline(req, least) > 0 {
+			least, found = req, true
 		}
 	}
 	return least, found
 }
 
-// Release takes a request out: it is sent, or its client has gone.
+// Release removes a request that is sent, or whose client has gone. It has no effect if the request is not held.
 func (g *Group) Release(id uint64) {
-	if q, ok := g.room.in[id]; ok {
-		g.room.bytes -= q.Size
-		delete(g.room.in, id)
+	if req, ok := g.held.byID[id]; ok {
+		g.held.bytes -= req.Size
+		delete(g.held.byID, id)
 	}
 }
 
-// latePart: of so many that leave, one is among those that come late anyway, while there are others. What a new primary bears
-// is least at its beginning, and an answer in its aim earns more than a late one; but nobody is to wait for nothing.
-const latePart = 4
+// lateInterval: one in so many released requests is one that misses its aim anyway, while there are others. A new primary has the least
+// capacity at first, and an answer within its aim earns more than a late one, but late requests must not starve.
+const lateInterval = 4
 
-// ReleaseOrder gives the held requests in the order in which they are to leave: those that can still be answered within their aims,
-// the most pressing first, with some of the others between, and then the others, the least time left first.
+// ReleaseOrder returns the IDs of the held requests in the order in which they should be sent: those that can still be answered within their
+// aims by urgency, interleaved with some of the late ones, and then the rest of the late ones by deadline.
 func (g *Group) ReleaseOrder(now time.Duration) []uint64 {
-	if len(g.room.in) == 0 {
+	if len(g.held.byID) == 0 {
 		return nil
 	}
-	var soon, late []HeldRequest
-	for _, q := range g.room.in {
-		if now+q.ServiceTime+wayHome <= q.ReceivedAt+q.Aim {
-			soon = append(soon, q)
+	var inAim, late []HeldRequest
+	for _, req := range g.held.byID {
+		if now+req.ServiceTime+responseMargin <= req.ReceivedAt+req.Aim {
+			inAim = append(inAim, req)
 		} else {
-			late = append(late, q)
+			late = append(late, req)
 		}
 	}
-	slices.SortFunc(soon, func(a, b HeldRequest) int {
+	slices.SortFunc(inAim, func(a, b HeldRequest) int {
 		return cmp.Or(cmp.Compare(a.ReceivedAt+a.Aim, b.ReceivedAt+b.Aim), cmp.Compare(a.ID, b.ID))
 	})
-	slices.SortFunc(late, order)
-	out := make([]uint64, 0, len(g.room.in))
-	for n := 1; len(soon)+len(late) > 0; n++ {
-		if len(soon) > 0 && (n%latePart != 0 || len(late) == 0) {
-			out, soon = append(out, soon[0].ID), soon[1:]
+	slices.SortFunc(late, byDeadline)
+	order := make([]uint64, 0, len(g.held.byID))
+	for n := 1; len(inAim)+len(late) > 0; n++ {
+		if len(inAim) > 0 && (n%lateInterval != 0 || len(late) == 0) {
+			order, inAim = append(order, inAim[0].ID), inAim[1:]
 		} else {
-			out, late = append(out, late[0].ID), late[1:]
+			order, late = append(order, late[0].ID), late[1:]
 		}
 	}
-	return out
+	return order
 }
 
-// HeldCount tells how many requests are held.
-func (g *Group) HeldCount() int { return len(g.room.in) }
+// HeldCount returns how many requests are held.
+func (g *Group) HeldCount() int { return len(g.held.byID) }
 
-// NeedsTick tells that something is to be done by time alone: a switch goes on, or something is held.
+// NeedsTick reports whether the group's state can change by time alone: a failover is in progress, or requests are held.
 func (g *Group) NeedsTick() bool {
-	return g.phase != PhaseSteady && g.phase != PhaseUndiscovered || len(g.room.in) > 0
+	return g.phase != PhaseSteady && g.phase != PhaseUndiscovered || len(g.held.byID) > 0
 }
 
-// HasNewPrimary tells that a primary is new: what finds it full may be held until it has room.
+// HasNewPrimary reports whether a primary was found recently. Requests may then be held until it has capacity for them.
 func (g *Group) HasNewPrimary() bool { return g.phase == PhaseFound || g.phase == PhaseSettling }
 
-// hint is when the refused are to come back: when a primary is more likely than not.
-func (g *Group) hint(now time.Duration) time.Duration {
-	if g.primary != nil || !g.led {
+// retryAfter returns the time after which refused clients should retry: the median time until a primary is found.
+func (g *Group) retryAfter(now time.Duration) time.Duration {
+	if g.primary != nil || !g.hadPrimary {
 		return 0
 	}
-	return max(g.h.lengths.remaining(g.cause, g.id, now, now-g.from, 0.5), leastHint)
+	return max(g.tracker.durations.remaining(g.cause, g.id, now, now-g.causeSince, 0.5), minRetryAfter)
 }
 
-// ResendDeadline gives until when a repeat of a guarded request may be under way whose first attempt may have run: its last byte
-// went out at first, so it was applied no earlier, and the group drops repeats for window from then. A repeat may wait in
-// the database's queue up to its deadline and takes its work behind that, slow as it may be; margin covers the ways and
-// the clocks. Before its class has been answered, work is a guess: it counts as a third of the window at most.
-func (c *Config) ResendDeadline(first, window, work time.Duration) time.Duration {
-	return first + window - min(work, window/3) - c.Margin
+// ResendDeadline returns until when a deduplicated request that may have run may be sent again. Its last byte was first sent at firstSent, so
+// it was applied no earlier, and the group drops repeats for window from then. A repeat may wait in the database's queue until its deadline
+// and may take up to work after that; Margin covers network and clocks. As work is a guess until the class has been answered, it counts as a
+// third of the window at most.
+func (c *Config) ResendDeadline(firstSent, window, work time.Duration) time.Duration {
+	return firstSent + window - min(work, window/3) - c.Margin
 }
 
-// Config gives the settings in force.
-func (h *Tracker) Config() *Config { return &h.cfg }
+// Config returns the settings in force.
+func (t *Tracker) Config() *Config { return &t.cfg }
