--- a/internal/run/tier.go
+++ b/internal/run/tier.go
@@ -18,11 +18,11 @@
 	p.front.Reduce(own.Levels)
 	p.front.Handover(own.Handover)
 	p.front.Tune(own.Tuning)
-	p.server.TellPolicy(own.Tier.Tell)
+	p.server.TellPolicy(own.Tier.TellClients)
 	p.log = slog.Default()
 	p.tier = net.JoinTier(p.loop, p.clock, p.front, net.TierConfig{Name: cmp.Or(own.Tier.Name, cfg.Name), Planners: own.Tier.Planners,
 		Rollout: own.Tier.Rollout, Seed: cfg.Settings.Config.Seed, Nonce: rand.Uint64(), Check: p.agrees, Into: p.enforce,
-		Health: net.HealthConfig{Zone: zoneName(cfg), ChecksPerSecond: own.Tier.Checks, BytesPerSecond: own.Tier.ReportBytes}})
+		Health: net.HealthConfig{Zone: zoneName(cfg), ChecksPerSecond: own.Tier.ChecksPerSecond, BytesPerSecond: own.Tier.ReportBytesPerSecond}})
 	p.server.Belongs(p.tier)
 }
 
@@ -38,7 +38,7 @@
 func (p *proxy) agrees(_ rollout.Number, text []byte) string {
 	next, err := policy.Decode(text)
 	if err == nil {
-		here := policy.Running{InUse: func(name string) bool {
+		here := policy.LocalState{InUse: func(name string) bool {
 			for _, c := range p.front.Classes() {
 				if c.Name == name {
 					return c.Taken > 0
@@ -78,7 +78,7 @@
 		return
 	}
 	c := p.front.Config()
-	c.Classes, c.MaxAttempts, c.MayComeBack, c.MaxComeBack = next.Classes, next.MaxAttempts, next.MayComeBack, next.MaxComeBack
+	c.Classes, c.MaxAttempts, c.EnableRetryAfter, c.MaxRetryAfter = next.Classes, next.MaxAttempts, next.MayComeBack, next.MaxComeBack
 	p.front.Reload(c)
 	for _, k := range next.Classes {
 		p.patience = min(max(p.patience, k.Limit), longestPatience)
@@ -88,8 +88,8 @@
 	p.front.Tune(next.Tuning)
 }
 
-// Policy makes a tier's policy of an operator's file and the classes of a configuration.
-func Policy(config, file string) (*policy.Policy, error) {
+// LoadPolicy makes a tier's policy of an operator's file and the classes of a configuration.
+func LoadPolicy(config, file string) (*policy.Policy, error) {
 	_, document, err := readDocument(config, func() {})
 	if err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	c := cfg.Settings.Config
-	p := &policy.Policy{Classes: c.Classes, MaxAttempts: c.MaxAttempts, MayComeBack: c.MayComeBack, MaxComeBack: c.MaxComeBack, Levels: own.Levels,
+	p := &policy.Policy{Classes: c.Classes, MaxAttempts: c.MaxAttempts, MayComeBack: c.EnableRetryAfter, MaxComeBack: c.MaxRetryAfter, Levels: own.Levels,
 		Handover: own.Handover, Tuning: own.Tuning}
-	return p, p.Check(policy.Running{})
+	return p, p.Check(policy.LocalState{})
 }
