--- a/internal/membership/api.go
+++ b/internal/membership/api.go
@@ -1,11 +1,11 @@
-// Package membership merges what catalogues say of the databases (discovery, Consul, a static list) with what the databases
-// themselves show, into one view. What is seen outranks what is told: a database that answers is in use whatever a catalogue
-// says of its health, and one that vanished from a catalogue is kept as long as it answers. The one thing that is always
-// believed is a drain: nobody gains by obeying it in vain for long, and everybody loses by not obeying.
+// Package membership merges the databases that catalogues list (discovery, Consul, a static list) with what the proxy observes of the
+// databases into one view. Observation outranks the catalogues: a database that answers is in use whatever health a catalogue reports,
+// and one that vanished from a catalogue is kept while it answers. A drain is the exception and is always obeyed: obeying a mistaken
+// drain costs little, and ignoring a real one harms every request to that database.
 //
-// Catalogues flap and break. A member's news is damped as route flaps are in BGP (C. Villamizar, R. Chandra and R. Govindan, "BGP
+// Catalogues flap and fail. Changes of a member are damped as route flaps are in BGP (C. Villamizar, R. Chandra and R. Govindan, "BGP
 // Route Flap Damping", RFC 2439, 1998), and a catalogue that loses a large part of its members at once is itself doubted (Envoy's
-// "panic threshold"). The package is pure: events and a clock are handed in.
+// "panic threshold"). The package does no I/O and reads no clock: callers pass in events and the time.
 package membership
 
 import (
@@ -13,25 +13,25 @@
 	"time"
 )
 
-// Health is what a catalogue says of a member.
+// Health is the health of a member as a catalogue reports it.
 type Health uint8
 
 // The kinds of health.
 const (
 	Passing     Health = iota
-	Warning            // in use all the same
-	Critical           // its checks fail; whether it answers is seen here
-	Draining           // it wants nothing new: always believed
-	Maintenance        // an operator has taken it out: as a drain
-	Terminated         // it is gone, by the word of a catalogue that binds
+	Warning            // treated as Passing
+	Critical           // the catalogue's checks fail; the member is still used if it answers
+	Draining           // the member must get no new requests; always obeyed
+	Maintenance        // an operator has taken the member out of service; treated as Draining
+	Terminated         // an authoritative catalogue reports that the member no longer exists
 )
 
-// String names a health.
+// String returns the health in lower case.
 func (h Health) String() string {
 	return [...]string{"passing", "warning", "critical", "draining", "maintenance", "terminated"}[h]
 }
 
-// Role is a catalogue's hint.
+// Role is the role of a database as a catalogue reports it. It is only a hint.
 type Role uint8
 
 // The roles.
@@ -41,40 +41,41 @@
 	Replica
 )
 
-// String names a role.
+// String returns the role in lower case; empty for NoRole.
 func (r Role) String() string { return [...]string{"", "primary", "replica"}[r] }
 
-// Listing is what a catalogue says of one member.
+// Listing is a catalogue's entry for one member.
 type Listing struct {
 	ID      string
-	Address string // IP:port; names are not looked up
+	Address string // IP:port; host names are not resolved
 	Zone    string
 	Group   int
 	Health  Health
 	Role    Role
 	Weight  float64
-	Started time.Duration // Unix time; 0 = long ago, or not told
+	Started time.Duration // Unix time; 0 = long ago, or unknown
 }
 
 // Update is one answer of a catalogue.
 type Update struct {
-	Complete bool // all its members; otherwise only those that have changed, or are terminated
+	Complete bool // Listings holds all members; otherwise only those that have changed or are terminated
 	Listings []Listing
-	Index    uint64        // of the answer, for show
-	Lag      time.Duration // how long the answering server has not heard of its leader; 0 = it leads, or doesn't tell
-	NoLeader bool          // it knows of no leader
-	Skipped  int           // entries that could not be read
+	Index    uint64        // index of the answer, for display only
+	Lag      time.Duration // time since the answering server's last contact with its leader; 0 = it leads, or the time is unknown
+	NoLeader bool          // the answering server has no leader
+	Skipped  int           // entries that could not be parsed
 }
 
-// Trust says how far a catalogue goes.
+// Trust configures how far a catalogue is trusted.
 type Trust struct {
-	// Authoritative: its word is the platform's order, in both directions; nothing is damped, doubted or kept.
+	// Authoritative catalogues decide alone whether the members that they list are in use: nothing is damped, doubted, or kept after it
+	// is delisted.
 	Authoritative bool
-	// Weight of its word against other catalogues' where they differ, from 0 to 1; 0 = 0.8.
+	// Weight is compared with the weights of other catalogues where they contradict each other, from 0 to 1; 0 = 0.8.
 	Weight float64
 }
 
-// State is what becomes of a member.
+// State is the state of a member in the view.
 type State uint8
 
 // The states.
@@ -84,103 +85,103 @@
 	StateDraining
 )
 
-// String names a state.
+// String returns the state in lower case, as operators read it.
 func (s State) String() string { return [...]string{"gone", "ready", "draining"}[s] }
 
-// Config is the operator's settings. The zero value of a field takes the default that its comment names.
+// Config holds the operator's settings. A field that is 0 takes the default that its comment names.
 type Config struct {
-	AliveTimeout         time.Duration // so long behind an answer a member counts as answering; 3 s
-	UnlistedTimeout      time.Duration // a member that no catalogue lists and that doesn't answer is dropped after it; 10 s
-	AliveUnlistedTimeout time.Duration // one that does answer is kept for so long; 10 min
-	CriticalTimeout      time.Duration // one that all call critical, and that doesn't answer, is dropped after it; 30 s
-	RenameTimeout        time.Duration // a new id at an old address is the same process if an old connection answers within it; 1 s
-
-	PanicFraction   float64       // a catalogue that loses more than this part of its members at once is doubted; 0.5
-	PanicDuration   time.Duration // for so long at most; 1 min
-	PanicMinMembers int           // with so many members or more; 4
-
-	FlapPenalty       float64       // penalty of one change for the worse or the better; 1000
-	SuppressThreshold float64       // above it a member's news is not followed; 3000
-	ReuseThreshold    float64       // below it it is again; 750
-	MaxPenalty        float64       // no penalty is higher; 12000
-	PenaltyHalfLife   time.Duration // in which a penalty halves; 15 s
-
-	WeightHalfLife time.Duration // a catalogue's word loses half of its weight for each such time without contact; 30 s
+	AliveTimeout         time.Duration // a member counts as alive for this long after an answer; default 3 s
+	UnlistedTimeout      time.Duration // a member that no catalogue lists and that doesn't answer is removed after it; default 10 s
+	AliveUnlistedTimeout time.Duration // a member that no catalogue lists and that answers is removed after it; default 10 min
+	CriticalTimeout      time.Duration // a member that all catalogues report as critical and that doesn't answer is removed after it; default 30 s
+	RenameTimeout        time.Duration // a new ID at a known address is the same process if an old connection answers within it; default 1 s
+
+	PanicFraction   float64       // a catalogue that loses more than this fraction of its members at once is doubted; default 0.5
+	PanicDuration   time.Duration // maximum duration of a doubt; default 1 min
+	PanicMinMembers int           // minimum number of members for a doubt; default 4
+
+	FlapPenalty       float64       // penalty for each change of health; default 1000
+	SuppressThreshold float64       // above this penalty a member's listings are ignored; default 3000
+	ReuseThreshold    float64       // below this penalty they are used again; default 750
+	MaxPenalty        float64       // default 12000
+	PenaltyHalfLife   time.Duration // half-life of the penalty; default 15 s
+
+	WeightHalfLife time.Duration // half-life of a catalogue's weight while it doesn't answer; default 30 s
 }
 
-func or[T comparable](v *T, otherwise T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
-	if *v == zero {
-		*v = otherwise
+	if *field == zero {
+		*field = value
 	}
 }
 
-// WithDefaults fills in what is not set.
+// WithDefaults returns the configuration with the default for each field that is 0.
 func (c Config) WithDefaults() Config {
-	or(&c.AliveTimeout, 3*time.Second)
-	or(&c.UnlistedTimeout, 10*time.Second)
-	or(&c.AliveUnlistedTimeout, 10*time.Minute)
-	or(&c.CriticalTimeout, 30*time.Second)
-	or(&c.RenameTimeout, time.Second)
-	or(&c.PanicFraction, 0.5)
-	or(&c.PanicDuration, time.Minute)
-	or(&c.PanicMinMembers, 4)
-	or(&c.FlapPenalty, 1000)
-	or(&c.SuppressThreshold, 3000)
-	or(&c.ReuseThreshold, 750)
-	or(&c.MaxPenalty, 12000)
-	or(&c.PenaltyHalfLife, 15*time.Second)
-	or(&c.WeightHalfLife, 30*time.Second)
+	setDefault(&c.AliveTimeout, 3*time.Second)
+	setDefault(&c.UnlistedTimeout, 10*time.Second)
+	setDefault(&c.AliveUnlistedTimeout, 10*time.Minute)
+	setDefault(&c.CriticalTimeout, 30*time.Second)
+	setDefault(&c.RenameTimeout, time.Second)
+	setDefault(&c.PanicFraction, 0.5)
+	setDefault(&c.PanicDuration, time.Minute)
+	setDefault(&c.PanicMinMembers, 4)
+	setDefault(&c.FlapPenalty, 1000)
+	setDefault(&c.SuppressThreshold, 3000)
+	setDefault(&c.ReuseThreshold, 750)
+	setDefault(&c.MaxPenalty, 12000)
+	setDefault(&c.PenaltyHalfLife, 15*time.Second)
+	setDefault(&c.WeightHalfLife, 30*time.Second)
 	return c
 }
 
-// Check tells what makes no sense, after WithDefaults.
+// Check returns an error if values are out of range or contradict each other. It must be called on the result of WithDefaults.
 func (c *Config) Check() error {
 	switch {
 	case c.PanicFraction <= 0 || c.PanicFraction > 1:
-		return fmt.Errorf("membership: panic is %v, above 0 and at most 1 was expected", c.PanicFraction)
+		return fmt.Errorf("membership: panic is %v, must be above 0 and at most 1", c.PanicFraction)
 	case c.ReuseThreshold >= c.SuppressThreshold || c.SuppressThreshold > c.MaxPenalty:
 		return fmt.Errorf("membership: reuse %v, suppress %v, most %v: each must be below the next", c.ReuseThreshold, c.SuppressThreshold, c.MaxPenalty)
 	case c.AliveUnlistedTimeout < c.UnlistedTimeout:
-		return fmt.Errorf("membership: keep is %v, it must not be below lost, which is %v", c.AliveUnlistedTimeout, c.UnlistedTimeout)
+		return fmt.Errorf("membership: keep is %v, must not be below lost, which is %v", c.AliveUnlistedTimeout, c.UnlistedTimeout)
 	}
 	return nil
 }
 
-// Entry is a member as the view has it.
+// Entry is the view's entry for a member.
 type Entry struct {
-	ID          string // the first one that it was known by
+	ID          string // the first ID under which the member was listed
 	Address     string
 	Zone        string
 	Group       int
 	State       State
-	Role        Role // a hint, of the weightiest catalogue that gives one
+	Role        Role // a hint, from the catalogue with the highest weight that reports a role
 	Weight      float64
-	Started     time.Duration // Unix time, as told; 0 = long ago, or not told
-	RestartedAt time.Duration // on the clock that is handed in: since when it is taken for a new process, by what is seen; 0 = it is not
-	Reason      string        // what decided the state
-	Evidence    []Evidence    // all that is known, the weightiest first; of Snapshot only
+	Started     time.Duration // Unix time, as listed; 0 = long ago, or unknown
+	RestartedAt time.Duration // when a new process was detected, on the caller's clock; 0 = none was
+	Reason      string        // of the state
+	Evidence    []Evidence    // sorted by decreasing confidence; set by Explain only
 }
 
-// Evidence is one thing that somebody says, or that was seen.
+// Evidence is a catalogue's statement on a member or an observation of it.
 type Evidence struct {
 	Source     string
 	Claim      string
-	Age        time.Duration // since it was first said so
+	Age        time.Duration // since the claim last changed
 	Confidence float64       // from 0 to 1
 }
 
-// Catalogue is a source, to be shown.
+// Catalogue is the state of a catalogue, for operators.
 type Catalogue struct {
 	Name         string
 	Members      int
 	Index        uint64
 	SinceContact time.Duration // since the last answer; negative = never
-	Lag          time.Duration // that answer's own lag
+	Lag          time.Duration // of that answer
 	Failures     int           // since the last answer
 	Doubted      bool
-	DoubtCount   int // how often it was
-	Skipped      int // entries that could not be used: names for addresses, ids or addresses given twice
-	Suppressed   int // members whose news is not followed now
+	DoubtCount   int // number of doubts so far
+	Skipped      int // listings that could not be used: host names, and duplicate IDs or addresses
+	Suppressed   int // members whose listings are damped now
 	LastError    string
 }
--- a/internal/membership/catalogue.go
+++ b/internal/membership/catalogue.go
@@ -7,60 +7,61 @@
 	"time"
 )
 
-type source struct {
-	name         string
-	trust        Trust
-	hasAnswered  bool // it has answered
-	lastContact  time.Duration
-	index        uint64
-	behind       time.Duration
-	failures     int
-	lastErr      string
-	skipped      int
-	listed       int
-	doubtedSince time.Duration // since when; 0 = it is not
-	listedBefore int           // how many it listed before the doubt
-	doubts       int
-	dropped      bool
+// catalogueState is the state of a catalogue.
+type catalogueState struct {
+	name              string
+	trust             Trust
+	hasAnswered       bool
+	lastContact       time.Duration
+	index             uint64
+	lag               time.Duration
+	failures          int
+	lastError         string
+	skipped           int
+	listed            int
+	doubtedSince      time.Duration // 0 = it is not doubted
+	listedBeforeDoubt int           // members that it listed before the doubt
+	doubtCount        int
+	dropped           bool
 }
 
-// AddCatalogue registers a catalogue before its first Update, or changes how far it is trusted.
-func (m *Members) AddCatalogue(name string, t Trust) {
-	if t.Weight == 0 {
-		t.Weight = 0.8
+// AddCatalogue registers a catalogue before its first Update, or changes its Trust.
+func (m *Members) AddCatalogue(name string, trust Trust) {
+	if trust.Weight == 0 {
+		trust.Weight = 0.8
 	}
-	if s := m.sourceIndex(name); s >= 0 {
-		m.sources[s].trust, m.sources[s].dropped = t, false
+	if i := m.catalogueIndex(name); i >= 0 {
+		m.catalogues[i].trust, m.catalogues[i].dropped = trust, false
 		return
 	}
-	m.sources = append(m.sources, &source{name: name, trust: t})
+	m.catalogues = append(m.catalogues, &catalogueState{name: name, trust: trust})
 }
 
-func (m *Members) sourceIndex(name string) int {
-	return slices.IndexFunc(m.sources, func(s *source) bool { return s.name == name })
+func (m *Members) catalogueIndex(name string) int {
+	return slices.IndexFunc(m.catalogues, func(catalogue *catalogueState) bool { return catalogue.name == name })
 }
 
-// DropCatalogue removes a catalogue that another replaces. Its members are treated as no longer listed.
+// DropCatalogue removes a catalogue that has been replaced by another. Its members are treated as no longer listed.
 func (m *Members) DropCatalogue(now time.Duration, name string) {
-	i := m.sourceIndex(name)
-	if i < 0 || m.sources[i].dropped {
+	i := m.catalogueIndex(name)
+	if i < 0 || m.catalogues[i].dropped {
 		return
 	}
-	m.sources[i].dropped, m.sources[i].listed, m.sources[i].hasAnswered = true, 0, false
-	for _, x := range m.order {
-		if s := x.report(i); s.listed {
-			s.listed, s.delistedAt = false, now
-			x.enqueue()
+	m.catalogues[i].dropped, m.catalogues[i].listed, m.catalogues[i].hasAnswered = true, 0, false
+	for _, member := range m.ordered {
+		if report := member.report(i); report.listed {
+			report.listed, report.delistedAt = false, now
+			member.enqueue()
 		}
 	}
 	m.processQueue(now)
 }
 
-// CatalogueFailed records that a catalogue could not be queried. Its last reports stay in force and lose weight with time.
+// CatalogueFailed records that a query of a catalogue failed. Its last listings remain valid and lose weight with time.
 func (m *Members) CatalogueFailed(now time.Duration, name string, why string) {
-	if i := m.sourceIndex(name); i >= 0 {
-		m.sources[i].failures++
-		m.sources[i].lastErr = why
+	if i := m.catalogueIndex(name); i >= 0 {
+		m.catalogues[i].failures++
+		m.catalogues[i].lastError = why
 	}
 	m.processQueue(now)
 }
@@ -68,119 +69,120 @@
 // memberSet is a set of members.
 type memberSet map[*Member]struct{}
 
-func (s memberSet) has(x *Member) bool {
-	_, ok := s[x]
+func (s memberSet) has(h *Member) bool {
+	_, ok := s[h]
 	return ok
 }
 
 // Update handles a catalogue's answer.
-func (m *Members) Update(now time.Duration, name string, n Update) {
-	i := m.sourceIndex(name)
-	if i < 0 || m.sources[i].dropped {
+func (m *Members) Update(now time.Duration, name string, update Update) {
+	i := m.catalogueIndex(name)
+	if i < 0 || m.catalogues[i].dropped {
 		return
 	}
-	src := m.sources[i]
-	if n.NoLeader && !src.trust.Authoritative {
-		m.updateWithoutLeader(now, i, n)
+	catalogue := m.catalogues[i]
+	if update.NoLeader && !catalogue.trust.Authoritative {
+		m.updateWithoutLeader(now, i, update)
 		m.processQueue(now)
 		return
 	}
-	src.hasAnswered, src.lastContact, src.index, src.behind, src.failures = true, now, n.Index, n.Lag, 0
-	src.skipped += n.Skipped
-	seen := m.receiveFacts(now, i, n.Listings)
-	if n.Complete {
-		m.delistMissing(now, i, seen)
+	catalogue.hasAnswered, catalogue.lastContact, catalogue.index, catalogue.lag, catalogue.failures = true, now, update.Index, update.Lag, 0
+	catalogue.skipped += update.Skipped
+	listed := m.receiveListings(now, i, update.Listings)
+	if update.Complete {
+		m.delistMissing(now, i, listed)
 	}
-	src.listed = 0
-	for _, x := range m.order {
-		if x.report(i).listed {
-			src.listed++
+	catalogue.listed = 0
+	for _, member := range m.ordered {
+		if member.report(i).listed {
+			catalogue.listed++
 		}
 	}
-	if src.doubtedSince > 0 && float64(src.listed) >= (1-m.config.PanicFraction/2)*float64(src.listedBefore) {
+	if catalogue.doubtedSince > 0 && float64(catalogue.listed) >= (1-m.config.PanicFraction/2)*float64(catalogue.listedBeforeDoubt) {
 		m.endDoubt(now, i)
 	}
 	m.processQueue(now)
 }
 
-// updateWithoutLeader handles an answer of a catalogue that has no leader: it may be out of date, and only what takes a known member out of
-// use for a while is believed.
-func (m *Members) updateWithoutLeader(now time.Duration, i int, n Update) {
-	src := m.sources[i]
-	src.failures++
-	src.lastErr = "it knows of no leader"
-	for _, f := range n.Listings {
-		if f.Health < Draining || f.Health == Terminated {
+// updateWithoutLeader handles an answer of a catalogue that has no leader. It may be out of date, so only drains and maintenance of known
+// members are accepted.
+func (m *Members) updateWithoutLeader(now time.Duration, i int, update Update) {
+	catalogue := m.catalogues[i]
+	catalogue.failures++
+	catalogue.lastError = "the catalogue has no leader"
+	for _, listing := range update.Listings {
+		if listing.Health < Draining || listing.Health == Terminated {
 			continue
 		}
-		if x := m.byID[f.ID]; x != nil && x.Address == f.Address {
-			x.receive(now, i, f)
+		if member := m.byID[listing.ID]; member != nil && member.Address == listing.Address {
+			member.receive(now, i, listing)
 		}
 	}
 }
 
-// receiveFacts applies what a catalogue lists, and returns the members that it lists.
-func (m *Members) receiveFacts(now time.Duration, i int, facts []Listing) memberSet {
-	src := m.sources[i]
+// receiveListings applies a catalogue's listings and returns the members that it lists.
+func (m *Members) receiveListings(now time.Duration, i int, facts []Listing) memberSet {
+	catalogue := m.catalogues[i]
 	seen := memberSet{}
-	for _, f := range facts {
-		if f.Health == Terminated {
-			if x := m.byID[f.ID]; x != nil {
-				x.delist(now, i)
-				x.report(i).Health = Terminated
+	for _, listing := range facts {
+		if listing.Health == Terminated {
+			if member := m.byID[listing.ID]; member != nil {
+				member.delist(now, i)
+				member.report(i).Health = Terminated
 			}
 			continue
 		}
-		if _, err := netip.ParseAddrPort(f.Address); err != nil && !src.trust.Authoritative {
-			src.skipped++ // a host name; names are not resolved here
+		if _, err := netip.ParseAddrPort(listing.Address); err != nil && !catalogue.trust.Authoritative {
+			catalogue.skipped++ // a host name, which is not resolved
 			continue
 		}
-		x := m.find(now, i, f)
-		if x == nil || seen.has(x) { // two entries with one address, or an ID given twice: the first one counts
-			src.skipped++
+		member := m.findOrAdd(now, i, listing)
+		if member == nil || seen.has(member) { // a duplicate address or ID: the first listing is used
+			catalogue.skipped++
 			continue
 		}
-		seen[x] = struct{}{}
-		x.receive(now, i, f)
+		seen[member] = struct{}{}
+		member.receive(now, i, listing)
 	}
 	return seen
 }
 
-// delistMissing handles the members that a complete list lacks. If too many are missing at once, the catalogue is doubted; that is decided
-// before any of them is delisted, so that none is dropped on a doubted list.
+// delistMissing delists the members that a complete list lacks. If too many are missing at once, the catalogue is doubted; that is decided
+// before any of them is delisted, so that none is removed on account of a doubted list.
 func (m *Members) delistMissing(now time.Duration, i int, seen memberSet) {
-	src := m.sources[i]
+	catalogue := m.catalogues[i]
 	var missing []*Member
-	for _, x := range m.order {
-		if x.report(i).listed && !seen.has(x) {
-			missing = append(missing, x)
+	for _, member := range m.ordered {
+		if member.report(i).listed && !seen.has(member) {
+			missing = append(missing, member)
 		}
 	}
-	tooMany := src.listed >= m.config.PanicMinMembers && float64(len(missing)) > m.config.PanicFraction*float64(src.listed)
-	if tooMany && !src.trust.Authoritative && src.doubtedSince == 0 {
-		src.doubtedSince, src.listedBefore = now, src.listed
-		src.doubts++
+	tooMany := catalogue.listed >= m.config.PanicMinMembers && float64(len(missing)) > m.config.PanicFraction*float64(catalogue.listed)
+	if tooMany && !catalogue.trust.Authoritative && catalogue.doubtedSince == 0 {
+		catalogue.doubtedSince, catalogue.listedBeforeDoubt = now, catalogue.listed
+		catalogue.doubtCount++
 	}
-	for _, x := range missing {
-		x.delist(now, i)
+	for _, member := range missing {
+		member.delist(now, i)
 	}
 }
 
 // endDoubt ends the doubt in a catalogue. The members that it doesn't list count as delisted from now on.
 func (m *Members) endDoubt(now time.Duration, i int) {
-	m.sources[i].doubtedSince = 0
-	for _, x := range m.order {
-		if s := x.report(i); !s.listed && s.delistedAt > 0 {
-			s.delistedAt = now
-			x.enqueue()
+	m.catalogues[i].doubtedSince = 0
+	for _, member := range m.ordered {
+		if report := member.report(i); !report.listed && report.delistedAt > 0 {
+			report.delistedAt = now
+			member.enqueue()
 		}
 	}
 }
 
-// weight is that of a source's word: less, the longer it has not been heard.
-func (s *source) weight(now, half time.Duration) float64 {
-	if !s.hasAnswered || s.dropped {
+// weight returns the weight of the catalogue's listings. It decays exponentially with the time since the last contact, with the given
+// half-life.
+func (c *catalogueState) weight(now, half time.Duration) float64 {
+	if !c.hasAnswered || c.dropped {
 		return 0
 	}
-	return s.trust.Weight * math.Exp2(-float64(now-s.lastContact+s.behind)/float64(half))
+	return c.trust.Weight * math.Exp2(-float64(now-c.lastContact+c.lag)/float64(half))
 }
--- a/internal/membership/decide.go
+++ b/internal/membership/decide.go
@@ -6,102 +6,102 @@
 	"time"
 )
 
-// waits tells of a member whose state may change by time alone.
-func (x *Member) isTimeDependent() bool {
-	if x.absentSince > 0 || x.failingSince > 0 || x.renamedAt > 0 || x.Entry.State == StateRemoved {
+// isTimeDependent reports whether the member's state may change without an event.
+func (member *Member) isTimeDependent() bool {
+	if member.absentSince > 0 || member.failingSince > 0 || member.renamedAt > 0 || member.Entry.State == StateRemoved {
 		return true
 	}
-	return slices.ContainsFunc(x.reports, func(s report) bool { return s.damped })
+	return slices.ContainsFunc(member.reports, func(r report) bool { return r.damped })
 }
 
-func (x *Member) isAlive(now time.Duration) bool {
-	return x.lastAlive > 0 && !x.silent && now-x.lastAlive <= x.members.config.AliveTimeout
+func (member *Member) isAlive(now time.Duration) bool {
+	return member.lastAlive > 0 && !member.silent && now-member.lastAlive <= member.members.config.AliveTimeout
 }
 
-// decide says what becomes of a member, and why.
-func (x *Member) decide(now time.Duration) (State, string) {
-	c := &x.members.config
+// decide returns the state of the member and the reason for it.
+func (member *Member) decide(now time.Duration) (State, string) {
+	config := &member.members.config
 	listed, passing, critical, doubted, damped := "", "", "", "", ""
-	lost := time.Duration(0)
-	for i := range x.reports {
-		s, src := &x.reports[i], x.members.sources[i]
-		if s.damped && s.decayedPenalty(now, c.PenaltyHalfLife) < c.ReuseThreshold {
-			s.damped = false
+	lastDelisted := time.Duration(0)
+	for i := range member.reports {
+		report, catalogue := &member.reports[i], member.members.catalogues[i]
+		if report.damped && report.decayedPenalty(now, config.PenaltyHalfLife) < config.ReuseThreshold {
+			report.damped = false
 		}
 		switch {
-		case s.listed && (s.Health == Draining || s.Health == Maintenance): // whatever else is said
-			return StateDraining, src.name + " says " + s.Health.String()
-		case s.listed && src.trust.Authoritative:
-			return StateReady, src.name + " lists it"
-		case !s.listed && src.trust.Authoritative && s.delistedAt > 0 && !src.dropped:
-			return StateRemoved, src.name + " lists it no more"
-		case s.damped && !src.dropped:
-			damped = src.name
-		case s.listed && s.Health.admits():
-			listed, passing = src.name, src.name
-		case s.listed:
-			listed, critical = src.name, src.name
-		case src.doubtedSince > 0 && s.delistedAt >= src.doubtedSince:
-			doubted = src.name
+		case report.listed && (report.Health == Draining || report.Health == Maintenance): // regardless of the other catalogues
+			return StateDraining, catalogue.name + " reports " + report.Health.String()
+		case report.listed && catalogue.trust.Authoritative:
+			return StateReady, catalogue.name + " lists it"
+		case !report.listed && catalogue.trust.Authoritative && report.delistedAt > 0 && !catalogue.dropped:
+			return StateRemoved, catalogue.name + " no longer lists it"
+		case report.damped && !catalogue.dropped:
+			damped = catalogue.name
+		case report.listed && report.Health.admits():
+			listed, passing = catalogue.name, catalogue.name
+		case report.listed:
+			listed, critical = catalogue.name, catalogue.name
+		case catalogue.doubtedSince > 0 && report.delistedAt >= catalogue.doubtedSince:
+			doubted = catalogue.name
 		}
-		if !s.listed {
-			lost = max(lost, s.delistedAt)
+		if !report.listed {
+			lastDelisted = max(lastDelisted, report.delistedAt)
 		}
 	}
-	if x.absentSince = 0; listed == "" && damped == "" && doubted == "" {
-		x.absentSince = lost
+	if member.absentSince = 0; listed == "" && damped == "" && doubted == "" {
+		member.absentSince = lastDelisted
 	}
-	if x.failingSince = cmp.Or(x.failingSince, now); critical == "" || passing != "" {
-		x.failingSince = 0
+	if member.failingSince = cmp.Or(member.failingSince, now); critical == "" || passing != "" {
+		member.failingSince = 0
 	}
-	answers := x.isAlive(now)
-	was, inUse := x.members.view.Get(x.ID)
-	inUse = inUse && was.State == StateReady
+	answers := member.isAlive(now)
+	viewed, inUse := member.members.view.Get(member.ID)
+	inUse = inUse && viewed.State == StateReady
 	switch {
 	case passing != "":
-		return StateReady, passing + " says passing"
+		return StateReady, passing + " reports passing"
 	case answers && critical != "":
-		return StateReady, "it answers, though " + critical + " says critical"
-	case damped != "" && (answers || inUse && !x.silent):
+		return StateReady, "it answers, though " + critical + " reports critical"
+	case damped != "" && (answers || inUse && !member.silent):
 		return StateReady, damped + " flaps, and is not followed"
 	case doubted != "" && inUse:
 		return StateReady, doubted + " has lost too many at once to be believed"
-	case critical != "" && inUse && now-x.failingSince < c.CriticalTimeout:
-		return StateReady, critical + " says critical, for now"
+	case critical != "" && inUse && now-member.failingSince < config.CriticalTimeout:
+		return StateReady, critical + " has reported critical for too short a time"
 	case critical != "" || damped != "":
-		return StateRemoved, "it doesn't answer, and " + cmp.Or(critical, damped) + " says no better"
-	case answers && now-x.absentSince < c.AliveUnlistedTimeout:
-		return StateReady, "it answers, though nobody lists it"
-	case inUse && now-x.absentSince < c.UnlistedTimeout:
-		return StateReady, "it was listed a moment ago"
+		return StateRemoved, "it doesn't answer, and " + cmp.Or(critical, damped) + " reports it as critical or flapping"
+	case answers && now-member.absentSince < config.AliveUnlistedTimeout:
+		return StateReady, "it answers, though no catalogue lists it"
+	case inUse && now-member.absentSince < config.UnlistedTimeout:
+		return StateReady, "it was listed until recently"
 	}
-	return StateRemoved, "nobody lists it"
+	return StateRemoved, "no catalogue lists it"
 }
 
-// describe fills in what the view tells of a member, from the weightiest source that lists it.
-func (x *Member) describe(now time.Duration) {
+// describe sets the attributes of the member's entry from the listing with the highest weight.
+func (member *Member) describe(now time.Duration) {
 	best, weight := -1, -1.0
 	role, roleWeight := NoRole, 0.0
-	for i := range x.reports {
-		s, src := &x.reports[i], x.members.sources[i]
-		if !s.listed && s.delistedAt == 0 {
+	for i := range member.reports {
+		report, catalogue := &member.reports[i], member.members.catalogues[i]
+		if !report.listed && report.delistedAt == 0 {
 			continue
 		}
-		w := src.weight(now, x.members.config.WeightHalfLife)
-		if !s.listed {
-			w /= 100 // what it last said, where nobody says more
+		w := catalogue.weight(now, member.members.config.WeightHalfLife)
+		if !report.listed {
+			w /= 100 // a former listing is used only where no catalogue lists the member
 		}
 		if w > weight {
 			best, weight = i, w
 		}
-		if s.listed && s.Role != NoRole && w > roleWeight {
-			role, roleWeight = s.Role, w
+		if report.listed && report.Role != NoRole && w > roleWeight {
+			role, roleWeight = report.Role, w
 		}
 	}
 	if best < 0 {
 		return
 	}
-	f := &x.reports[best].Listing
-	x.Address, x.Zone, x.Group, x.Weight, x.Role = f.Address, f.Zone, f.Group, f.Weight, role
-	x.Started = max(x.Started, f.Started)
+	listing := &member.reports[best].Listing
+	member.Address, member.Zone, member.Group, member.Weight, member.Role = listing.Address, listing.Zone, listing.Group, listing.Weight, role
+	member.Started = max(member.Started, listing.Started)
 }
--- a/internal/membership/explain.go
+++ b/internal/membership/explain.go
@@ -7,58 +7,58 @@
 	"time"
 )
 
-// Explain returns all that is known of each member, for operators, sorted by group and ID.
-func (m *Members) Explain(now time.Duration) (out []Entry) {
-	for _, x := range m.order {
-		e := x.Entry
-		for i := range x.reports {
-			s, src := &x.reports[i], m.sources[i]
-			if !s.listed && s.delistedAt == 0 || src.dropped {
+// Explain returns all members with their evidence, for operators, sorted by group and ID.
+func (m *Members) Explain(now time.Duration) (entries []Entry) {
+	for _, member := range m.ordered {
+		entry := member.Entry
+		for i := range member.reports {
+			report, catalogue := &member.reports[i], m.catalogues[i]
+			if !report.listed && report.delistedAt == 0 || catalogue.dropped {
 				continue
 			}
-			what := s.Health.String()
-			if s.Role != NoRole {
-				what += ", " + s.Role.String()
+			claim := report.Health.String()
+			if report.Role != NoRole {
+				claim += ", " + report.Role.String()
 			}
-			if !s.listed {
-				what = "not listed"
+			if !report.listed {
+				claim = "not listed"
 			}
-			if s.damped {
-				what += fmt.Sprintf(", damped (%.0f)", s.decayedPenalty(now, m.config.PenaltyHalfLife))
+			if report.damped {
+				claim += fmt.Sprintf(", damped (%.0f)", report.decayedPenalty(now, m.config.PenaltyHalfLife))
 			}
-			e.Evidence = append(e.Evidence, Evidence{Source: src.name, Claim: what, Age: now - s.unchangedSince, Confidence: src.weight(now, m.config.WeightHalfLife)})
+			entry.Evidence = append(entry.Evidence, Evidence{Source: catalogue.name, Claim: claim, Age: now - report.unchangedSince, Confidence: catalogue.weight(now, m.config.WeightHalfLife)})
 		}
-		if x.lastAlive > 0 {
-			k := Evidence{Source: "seen", Claim: "answers", Age: now - x.lastAlive, Confidence: 1}
-			if x.silent {
-				k.Claim = "silent"
+		if member.lastAlive > 0 {
+			evidence := Evidence{Source: "seen", Claim: "answers", Age: now - member.lastAlive, Confidence: 1}
+			if member.silent {
+				evidence.Claim = "silent"
 			}
-			e.Evidence = append(e.Evidence, k)
+			entry.Evidence = append(entry.Evidence, evidence)
 		}
-		slices.SortStableFunc(e.Evidence, func(a, b Evidence) int { return cmp.Compare(b.Confidence, a.Confidence) })
-		out = append(out, e)
+		slices.SortStableFunc(entry.Evidence, func(a, b Evidence) int { return cmp.Compare(b.Confidence, a.Confidence) })
+		entries = append(entries, entry)
 	}
-	slices.SortFunc(out, func(a, b Entry) int { return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.ID, b.ID)) })
-	return out
+	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.ID, b.ID)) })
+	return entries
 }
 
 // Catalogues returns the state of each catalogue, for operators.
-func (m *Members) Catalogues(now time.Duration) (out []Catalogue) {
-	for i, s := range m.sources {
-		if s.dropped {
+func (m *Members) Catalogues(now time.Duration) (infos []Catalogue) {
+	for i, catalogue := range m.catalogues {
+		if catalogue.dropped {
 			continue
 		}
-		c := Catalogue{Name: s.name, Members: s.listed, Index: s.index, SinceContact: now - s.lastContact, Lag: s.behind, Failures: s.failures,
-			Doubted: s.doubtedSince > 0, DoubtCount: s.doubts, Skipped: s.skipped, LastError: s.lastErr}
-		if !s.hasAnswered {
-			c.SinceContact = -1
+		info := Catalogue{Name: catalogue.name, Members: catalogue.listed, Index: catalogue.index, SinceContact: now - catalogue.lastContact, Lag: catalogue.lag, Failures: catalogue.failures,
+			Doubted: catalogue.doubtedSince > 0, DoubtCount: catalogue.doubtCount, Skipped: catalogue.skipped, LastError: catalogue.lastError}
+		if !catalogue.hasAnswered {
+			info.SinceContact = -1
 		}
-		for _, x := range m.order {
-			if x.report(i).damped {
-				c.Suppressed++
+		for _, member := range m.ordered {
+			if member.report(i).damped {
+				info.Suppressed++
 			}
 		}
-		out = append(out, c)
+		infos = append(infos, info)
 	}
-	return out
+	return infos
 }
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -5,98 +5,100 @@
 	"time"
 )
 
-// find gives the member that a fact is about, or makes it. A known id is that member, wherever it is now. A new id at an old address
-// is the same process if its connections say so; until they have had the time to, it is in use as it was.
-func (m *Members) find(now time.Duration, i int, f Listing) *Member {
-	if x := m.byID[f.ID]; x != nil {
-		if x.Address != f.Address {
-			if other := m.byAddress[f.Address]; other != nil && other != x && other.Entry.State != StateRemoved {
-				return nil // another has that place
+// findOrAdd returns the member that a listing is about, and adds it if there is none; nil if the listing conflicts with another. A known
+// ID identifies the member even if its address has changed. A new ID at a known address is taken for the same process if one of its
+// connections goes on answering; for RenameTimeout the member stays in use as before.
+func (m *Members) findOrAdd(now time.Duration, i int, listing Listing) *Member {
+	if member := m.byID[listing.ID]; member != nil {
+		if member.Address != listing.Address {
+			if other := m.byAddress[listing.Address]; other != nil && other != member && other.Entry.State != StateRemoved {
+				return nil // another member has that address
 			}
-			delete(m.byAddress, x.Address)
-			m.byAddress[f.Address] = x
-			if s := x.report(i); s.listed && (f.Started == 0 || f.Started != s.Started) { // a process doesn't move: this is another, and cold
-				x.markStarted(now)
+			delete(m.byAddress, member.Address)
+			m.byAddress[listing.Address] = member
+			if report := member.report(i); report.listed && (listing.Started == 0 || listing.Started != report.Started) { // a process can't move: this is a new one with a cold cache
+				member.markStarted(now)
 			}
 		}
-		return x
+		return member
 	}
-	if x := m.byAddress[f.Address]; x != nil {
-		listed := false // by this source, under another id, in an answer of today
-		for k := range x.reports {
-			listed = listed || k == i && x.reports[k].listed && x.reports[k].ID != f.ID && !m.sources[i].trust.Authoritative
+	if member := m.byAddress[listing.Address]; member != nil {
+		listed := false // by this catalogue, under another ID
+		for j := range member.reports {
+			listed = listed || j == i && member.reports[j].listed && member.reports[j].ID != listing.ID && !m.catalogues[i].trust.Authoritative
 		}
 		switch {
-		case x.Entry.State == StateRemoved && !x.inUse():
-			m.forget(x)
-		case m.sources[i].trust.Authoritative: // its ids are what they are
+		case member.Entry.State == StateRemoved && !member.isInView():
+			m.forget(member)
+		case m.catalogues[i].trust.Authoritative: // its IDs are never taken for renamed ones
 			break
-		case listed && x.renamedAt > 0 && x.newID != f.ID:
+		case listed && member.renamedAt > 0 && member.newID != listing.ID:
 			return nil
-		case i != x.firstSource(): // another catalogue has its own names for it
-			m.byID[f.ID] = x
-			x.ids = append(x.ids, f.ID)
-			return x
-		case x.renamedAt == 0:
-			x.renamedAt, x.newID = now, f.ID
-			m.byID[f.ID] = x
-			x.ids = append(x.ids, f.ID)
-			return x
+		case i != member.firstCatalogue(): // another catalogue may use another ID for the member
+			m.byID[listing.ID] = member
+			member.ids = append(member.ids, listing.ID)
+			return member
+		case member.renamedAt == 0:
+			member.renamedAt, member.newID = now, listing.ID
+			m.byID[listing.ID] = member
+			member.ids = append(member.ids, listing.ID)
+			return member
 		default:
-			return x
+			return member
 		}
 	}
-	x := &Member{members: m, ids: []string{f.ID}}
-	x.Entry = Entry{ID: f.ID, Address: f.Address}
-	m.byID[f.ID], m.byAddress[f.Address] = x, x
-	m.order = append(m.order, x)
-	return x
+	member := &Member{members: m, ids: []string{listing.ID}}
+	member.Entry = Entry{ID: listing.ID, Address: listing.Address}
+	m.byID[listing.ID], m.byAddress[listing.Address] = member, member
+	m.ordered = append(m.ordered, member)
+	return member
 }
 
-// first is the source that named the member first.
-func (x *Member) firstSource() int {
-	for i := range x.reports {
-		if x.reports[i].listed || x.reports[i].delistedAt > 0 {
+// firstCatalogue returns the index of the first catalogue that lists or has listed the member; -1 if there is none.
+func (member *Member) firstCatalogue() int {
+	for i := range member.reports {
+		if member.reports[i].listed || member.reports[i].delistedAt > 0 {
 			return i
 		}
 	}
 	return -1
 }
 
-func (m *Members) forget(x *Member) {
-	for _, id := range x.ids {
-		if m.byID[id] == x {
+// forget removes a member with all its IDs.
+func (m *Members) forget(member *Member) {
+	for _, id := range member.ids {
+		if m.byID[id] == member {
 			delete(m.byID, id)
 		}
 	}
-	if m.byAddress[x.Address] == x {
-		delete(m.byAddress, x.Address)
+	if m.byAddress[member.Address] == member {
+		delete(m.byAddress, member.Address)
 	}
-	m.order = slices.DeleteFunc(m.order, func(y *Member) bool { return y == x })
+	m.ordered = slices.DeleteFunc(m.ordered, func(other *Member) bool { return other == member })
 }
 
-// begin notes that a member's process is taken to have started just now: what was seen of an earlier one is void.
-func (x *Member) markStarted(now time.Duration) {
-	x.RestartedAt, x.lastAlive, x.silent = now, 0, false
+// markStarted records that the member is a new process as of now. Observations of the earlier process no longer apply.
+func (member *Member) markStarted(now time.Duration) {
+	member.RestartedAt, member.lastAlive, member.silent = now, 0, false
 }
 
-// replace lets a new id at an old address be a new database: no connection from before has answered.
-func (m *Members) replace(now time.Duration, x *Member) {
-	id, began, said := x.newID, x.renamedAt, x.reports
-	x.renamedAt = 0
-	x.Entry.State, x.Entry.Reason = StateRemoved, "another id has its address"
-	m.publish(x)
-	m.forget(x)
-	for i := range said {
-		if !said[i].listed || said[i].ID != id {
+// replaceRenamed replaces a member by a new one with the new ID at its address, because no connection from before has answered.
+func (m *Members) replaceRenamed(now time.Duration, member *Member) {
+	id, renamedAt, reports := member.newID, member.renamedAt, member.reports
+	member.renamedAt = 0
+	member.Entry.State, member.Entry.Reason = StateRemoved, "another ID has its address"
+	m.publish(member)
+	m.forget(member)
+	for i := range reports {
+		if !reports[i].listed || reports[i].ID != id {
 			continue
 		}
-		y := m.find(now, i, said[i].Listing)
-		if y == nil { // another has taken the address meanwhile
+		replacement := m.findOrAdd(now, i, reports[i].Listing)
+		if replacement == nil { // another member has the address now
 			continue
 		}
-		y.receive(now, i, said[i].Listing)
-		y.RestartedAt = began
-		m.reevaluate(now, y)
+		replacement.receive(now, i, reports[i].Listing)
+		replacement.RestartedAt = renamedAt
+		m.reevaluate(now, replacement)
 	}
 }
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -6,31 +6,31 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Members is the merged view with what it is made of. It is not safe for concurrent use; times must not go back.
+// Members is the merged view with the state that it is computed from. It is not safe for concurrent use. Times must not decrease.
 type Members struct {
-	config    Config
-	sources   []*source
-	byID      map[string]*Member // by any id that it bears
-	byAddress map[string]*Member // by address
-	order     []*Member          // in the order of their coming
-	view      *immutable.SortedMap[string, Entry]
-	dirty     []*Member
-	changed   []Entry
-	version   uint64
+	config     Config
+	catalogues []*catalogueState
+	byID       map[string]*Member // by each of its IDs
+	byAddress  map[string]*Member
+	ordered    []*Member // in the order in which they were added
+	view       *immutable.SortedMap[string, Entry]
+	queue      []*Member
+	changes    []Entry
+	version    uint64
 }
 
 // Member is one database.
 type Member struct {
 	Entry
 	members      *Members
-	reports      []report // by source
+	reports      []report // by index of the catalogue
 	ids          []string
-	lastAlive    time.Duration // the last sign of life; 0 = none
+	lastAlive    time.Duration // time of the last answer; 0 = none
 	silent       bool
 	absentSince  time.Duration // since when no catalogue lists it; 0 = one does
-	failingSince time.Duration // since when all that list it call it critical; 0 = not all do
-	renamedAt    time.Duration // when a new id came at its address; 0 = that is settled
-	newID        string        // that id
+	failingSince time.Duration // since when all catalogues that list it report it as critical; 0 = not all do
+	renamedAt    time.Duration // when a new ID was listed with its address; 0 = none is pending
+	newID        string        // the ID of renamedAt
 	queued       bool
 }
 
@@ -42,106 +42,106 @@
 // Configure replaces the settings.
 func (m *Members) Configure(cfg Config) { m.config = cfg.WithDefaults() }
 
-// inUse tells whether a member is in the view.
-func (x *Member) inUse() bool {
-	_, ok := x.members.view.Get(x.ID)
+// isInView reports whether the member is in the view.
+func (member *Member) isInView() bool {
+	_, ok := member.members.view.Get(member.ID)
 	return ok
 }
 
-// MarkAlive records that a member answered, on a connection that has been up since opened (0 = unknown).
+// MarkAlive records that a member answered on a connection that was opened at the given time (0 = unknown).
 func (m *Members) MarkAlive(now time.Duration, id string, opened time.Duration) {
-	x := m.byID[id]
-	if x == nil {
+	member := m.byID[id]
+	if member == nil {
 		return
 	}
-	fresh := x.silent || x.lastAlive == 0 || now-x.lastAlive > m.config.AliveTimeout
-	x.lastAlive, x.silent = now, false
-	if x.renamedAt > 0 && opened > 0 && opened < x.renamedAt { // the connection has outlived the change of names
-		x.renamedAt = 0
+	fresh := member.silent || member.lastAlive == 0 || now-member.lastAlive > m.config.AliveTimeout
+	member.lastAlive, member.silent = now, false
+	if member.renamedAt > 0 && opened > 0 && opened < member.renamedAt { // the connection is older than the new ID, so the process is the same
+		member.renamedAt = 0
 		fresh = true
 	}
 	if fresh {
-		x.enqueue()
+		member.enqueue()
 		m.processQueue(now)
 	}
 }
 
-// MarkSilent records that a member owes answers and gives none.
+// MarkSilent records that a member doesn't answer requests or pings.
 func (m *Members) MarkSilent(now time.Duration, id string) {
-	if x := m.byID[id]; x != nil && !x.silent {
-		x.silent = true
-		x.enqueue()
+	if member := m.byID[id]; member != nil && !member.silent {
+		member.silent = true
+		member.enqueue()
 		m.processQueue(now)
 	}
 }
 
-// Tick does what is due by the clock. Ten calls a second are enough.
+// Tick handles timeouts. Ten calls a second are enough.
 func (m *Members) Tick(now time.Duration) {
-	for i, s := range m.sources {
-		if s.doubtedSince > 0 && now-s.doubtedSince >= m.config.PanicDuration {
+	for i, catalogue := range m.catalogues {
+		if catalogue.doubtedSince > 0 && now-catalogue.doubtedSince >= m.config.PanicDuration {
 			m.endDoubt(now, i)
 		}
 	}
-	for _, x := range m.order {
-		if x.isTimeDependent() {
-			x.enqueue()
+	for _, member := range m.ordered {
+		if member.isTimeDependent() {
+			member.enqueue()
 		}
 	}
 	m.processQueue(now)
 }
 
-func (x *Member) enqueue() {
-	if !x.queued {
-		x.queued = true
-		x.members.dirty = append(x.members.dirty, x)
+func (member *Member) enqueue() {
+	if !member.queued {
+		member.queued = true
+		member.members.queue = append(member.members.queue, member)
 	}
 }
 
-// settle decides all members that something has happened to.
+// processQueue reevaluates the queued members.
 func (m *Members) processQueue(now time.Duration) {
-	list := m.dirty
-	m.dirty = nil
-	for _, x := range list {
-		x.queued = false
-		if x.renamedAt > 0 && now-x.renamedAt >= m.config.RenameTimeout {
-			m.replace(now, x)
+	queue := m.queue
+	m.queue = nil
+	for _, member := range queue {
+		member.queued = false
+		if member.renamedAt > 0 && now-member.renamedAt >= m.config.RenameTimeout {
+			m.replaceRenamed(now, member)
 			continue
 		}
-		m.reevaluate(now, x)
+		m.reevaluate(now, member)
 	}
 }
 
-// judge decides one member, and puts what comes of it into the view.
-func (m *Members) reevaluate(now time.Duration, x *Member) {
-	x.Entry.State, x.Entry.Reason = x.decide(now)
-	x.describe(now)
-	m.publish(x)
+// reevaluate decides the state of a member and publishes it.
+func (m *Members) reevaluate(now time.Duration, member *Member) {
+	member.Entry.State, member.Entry.Reason = member.decide(now)
+	member.describe(now)
+	m.publish(member)
 }
 
-// publish puts a member's change into the view. One that is gone, and that nobody lists any more, is forgotten.
-func (m *Members) publish(x *Member) {
-	was, in := m.view.Get(x.ID)
+// publish updates the view if the member's entry has changed. A removed member that no catalogue lists is forgotten.
+func (m *Members) publish(member *Member) {
+	published, inView := m.view.Get(member.ID)
 	switch {
-	case x.State == StateRemoved:
-		if in {
-			m.view = m.view.Delete(x.ID)
-			m.recordChange(x)
+	case member.State == StateRemoved:
+		if inView {
+			m.view = m.view.Delete(member.ID)
+			m.recordChange(member)
 		}
-		if x.absentSince > 0 {
-			m.forget(x)
+		if member.absentSince > 0 {
+			m.forget(member)
 		}
-	case !in || !sameEntry(x.Entry, was):
-		m.view = m.view.Set(x.ID, x.Entry)
-		m.recordChange(x)
+	case !inView || !sameEntry(member.Entry, published):
+		m.view = m.view.Set(member.ID, member.Entry)
+		m.recordChange(member)
 	}
 }
 
-func (m *Members) recordChange(x *Member) {
+func (m *Members) recordChange(member *Member) {
 	m.version++
-	m.changed = append(m.changed, x.Entry)
+	m.changes = append(m.changes, member.Entry)
 }
 
-// same tells whether nothing has changed that anybody acts on.
+// sameEntry reports whether two entries are equal in all that callers act on.
 func sameEntry(a, b Entry) bool {
 	return a.Address == b.Address && a.Zone == b.Zone && a.Group == b.Group && a.State == b.State && a.Role == b.Role && a.Weight == b.Weight &&
 		a.Started == b.Started && a.RestartedAt == b.RestartedAt && a.Reason == b.Reason
@@ -149,11 +149,11 @@
 
 // TakeChanges returns the members that have changed since the last call, in the order of their changes.
 func (m *Members) TakeChanges() []Entry {
-	out := m.changed
-	m.changed = nil
-	return out
+	changes := m.changes
+	m.changes = nil
+	return changes
 }
 
-// View returns the members in use and the version of the view. It is a persistent map that never changes: a holder reads one version
-// without a lock or a copy.
+// View returns the members in use and the version of the view. The map is persistent and immutable, so that callers can read it without a
+// lock or a copy.
 func (m *Members) View() (*immutable.SortedMap[string, Entry], uint64) { return m.view, m.version }
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -14,426 +14,425 @@
 	s  = time.Second
 )
 
-// script drives a view by events, and keeps what came of it.
-type script struct {
-	t     *testing.T
-	m     *Members
-	now   time.Duration
-	facts map[string]Listing
-	state map[string]State
-	moves int // changes of any state
+// harness drives Members by events and records the states of the view.
+type harness struct {
+	t            *testing.T
+	members      *Members
+	now          time.Duration
+	listings     map[string]Listing
+	states       map[string]State
+	stateChanges int
 }
 
-func begin(t *testing.T, n int) *script {
-	x := &script{t: t, m: New(Config{}), now: 100 * s, facts: map[string]Listing{}, state: map[string]State{}}
-	x.m.AddCatalogue("c", Trust{})
-	for i := range n {
+func newHarness(t *testing.T, count int) *harness {
+	h := &harness{t: t, members: New(Config{}), now: 100 * s, listings: map[string]Listing{}, states: map[string]State{}}
+	h.members.AddCatalogue("c", Trust{})
+	for i := range count {
 		id := fmt.Sprintf("db-%d", i)
-		x.facts[id] = Listing{ID: id, Address: fmt.Sprintf("10.0.0.%d:5432", i+1), Group: i % 3, Weight: 1}
+		h.listings[id] = Listing{ID: id, Address: fmt.Sprintf("10.0.0.%d:5432", i+1), Group: i % 3, Weight: 1}
 	}
-	x.news()
-	x.all(StateReady)
-	return x
+	h.update()
+	h.expectAll(StateReady)
+	return h
 }
 
-// news tells all facts, but for those that are left out.
-func (x *script) news(but ...string) {
-	n := Update{Complete: true}
-	for _, f := range x.facts {
-		if !slices.Contains(but, f.ID) {
-			n.Listings = append(n.Listings, f)
+// update sends a complete list of all listings except those of the given IDs.
+func (h *harness) update(except ...string) {
+	update := Update{Complete: true}
+	for _, listing := range h.listings {
+		if !slices.Contains(except, listing.ID) {
+			update.Listings = append(update.Listings, listing)
 		}
 	}
-	slices.SortFunc(n.Listings, func(a, b Listing) int {
+	slices.SortFunc(update.Listings, func(a, b Listing) int {
 		return len(a.ID)*1000 + int(a.ID[len(a.ID)-1]) - len(b.ID)*1000 - int(b.ID[len(b.ID)-1])
 	})
-	x.m.Update(x.now, "c", n)
-	x.look()
+	h.members.Update(h.now, "c", update)
+	h.collectChanges()
 }
 
-func (x *script) look() {
-	for _, e := range x.m.TakeChanges() {
-		if x.state[e.ID] != e.State {
-			x.moves++
+func (h *harness) collectChanges() {
+	for _, e := range h.members.TakeChanges() {
+		if h.states[e.ID] != e.State {
+			h.stateChanges++
 		}
-		x.state[e.ID] = e.State
+		h.states[e.ID] = e.State
 	}
 }
 
-// pass lets time go by, while some members answer.
-func (x *script) pass(d time.Duration, answering ...string) {
-	for end := x.now + d; x.now < end; {
-		x.now += 100 * ms
-		for _, id := range answering {
-			x.m.MarkAlive(x.now, id, 50*s)
+// advance moves the clock, while the given members answer.
+func (h *harness) advance(duration time.Duration, alive ...string) {
+	for end := h.now + duration; h.now < end; {
+		h.now += 100 * ms
+		for _, id := range alive {
+			h.members.MarkAlive(h.now, id, 50*s)
 		}
-		x.m.Tick(x.now)
-		x.look()
+		h.members.Tick(h.now)
+		h.collectChanges()
 	}
 }
 
-func (x *script) health(id string, h Health) {
-	f := x.facts[id]
-	f.Health = h
-	x.facts[id] = f
-	x.news()
+func (h *harness) setHealth(id string, health Health) {
+	listing := h.listings[id]
+	listing.Health = health
+	h.listings[id] = listing
+	h.update()
 }
 
-func (x *script) is(id string, want State, why string) {
-	x.t.Helper()
-	if x.state[id] != want {
-		x.t.Errorf("%s: %s is %v, want %v; %+v", why, id, x.state[id], want, x.m.Explain(x.now))
+func (h *harness) expect(id string, want State, context string) {
+	h.t.Helper()
+	if h.states[id] != want {
+		h.t.Errorf("%s: %s is %v, want %v; %+v", context, id, h.states[id], want, h.members.Explain(h.now))
 	}
 }
 
-func (x *script) all(want State) {
-	x.t.Helper()
-	for id := range x.facts {
-		x.is(id, want, "all")
+func (h *harness) expectAll(want State) {
+	h.t.Helper()
+	for id := range h.listings {
+		h.expect(id, want, "all")
 	}
 }
 
-func TestSeenBeatsTold(t *testing.T) {
-	x := begin(t, 3)
-	x.health("db-1", Critical)
-	x.pass(60*s, "db-1")
-	x.is("db-1", StateReady, "critical, and answers")
-	x.pass(40 * s)
-	x.is("db-1", StateRemoved, "critical, and silent for longer than `failing`")
-	x.health("db-1", Passing)
-	x.is("db-1", StateReady, "passing again")
+func TestObservationOutranksCatalogue(t *testing.T) {
+	h := newHarness(t, 3)
+	h.setHealth("db-1", Critical)
+	h.advance(60*s, "db-1")
+	h.expect("db-1", StateReady, "critical, but answers")
+	h.advance(40 * s)
+	h.expect("db-1", StateRemoved, "critical, and silent for longer than `failing`")
+	h.setHealth("db-1", Passing)
+	h.expect("db-1", StateReady, "passing again")
 
-	x.health("db-2", Critical)
-	x.m.MarkSilent(x.now, "db-2")
-	x.pass(20 * s)
-	x.is("db-2", StateReady, "a check may err; whoever sends there sees for himself")
+	h.setHealth("db-2", Critical)
+	h.members.MarkSilent(h.now, "db-2")
+	h.advance(20 * s)
+	h.expect("db-2", StateReady, "critical and silent for less than `failing`")
 
-	x.facts["db-9"] = Listing{ID: "db-9", Address: "10.0.0.99:5432", Health: Critical}
-	x.news()
-	x.is("db-9", StateRemoved, "new, and critical: it has not begun yet")
-	x.health("db-9", Passing)
-	x.is("db-9", StateReady, "now it has")
+	h.listings["db-9"] = Listing{ID: "db-9", Address: "10.0.0.99:5432", Health: Critical}
+	h.update()
+	h.expect("db-9", StateRemoved, "new and critical: not started yet")
+	h.setHealth("db-9", Passing)
+	h.expect("db-9", StateReady, "new and passing")
 }
 
-// A drain is obeyed with the answer that tells it, whatever else is said, seen, damped or doubted.
-func TestADrainIsAlwaysObeyed(t *testing.T) {
-	for _, h := range []Health{Draining, Maintenance} {
-		x := begin(t, 8)
-		for range 20 { // flapping, and damped
-			x.health("db-1", Critical)
-			x.health("db-1", Passing)
+// A drain takes effect with the answer that lists it, even if the member answers, is damped, or the catalogue is doubted.
+func TestDrainIsAlwaysObeyed(t *testing.T) {
+	for _, health := range []Health{Draining, Maintenance} {
+		h := newHarness(t, 8)
+		for range 20 { // flaps until it is damped
+			h.setHealth("db-1", Critical)
+			h.setHealth("db-1", Passing)
 		}
-		x.news("db-2", "db-3", "db-4", "db-5", "db-6") // and the catalogue is doubted
-		if c := x.m.Catalogues(x.now)[0]; !c.Doubted || c.Suppressed != 1 {
+		h.update("db-2", "db-3", "db-4", "db-5", "db-6") // the catalogue is doubted
+		if c := h.members.Catalogues(h.now)[0]; !c.Doubted || c.Suppressed != 1 {
 			t.Fatalf("%+v", c)
 		}
-		f := x.facts["db-1"]
-		f.Health = h
-		x.facts["db-1"] = f
-		x.news("db-2", "db-3", "db-4", "db-5", "db-6")
-		x.is("db-1", StateDraining, h.String())
-		x.pass(30*s, "db-1")
-		x.is("db-1", StateDraining, "though it answers")
-		x.health("db-1", Passing)
-		x.is("db-1", StateReady, "the drain is over")
+		listing := h.listings["db-1"]
+		listing.Health = health
+		h.listings["db-1"] = listing
+		h.update("db-2", "db-3", "db-4", "db-5", "db-6")
+		h.expect("db-1", StateDraining, health.String())
+		h.advance(30*s, "db-1")
+		h.expect("db-1", StateDraining, "draining, though it answers")
+		h.setHealth("db-1", Passing)
+		h.expect("db-1", StateReady, "the drain has ended")
 	}
 }
 
-// A check that flaps each 200 ms moves a member a few times, and then no more while it flaps; its state follows again some time
-// behind the last flap.
+// A check that flaps every 200 ms changes a member's state a few times and then no more while it flaps. The state follows the check again
+// some time after the last flap.
 func TestFlapsAreDamped(t *testing.T) {
-	x := begin(t, 3)
-	x.moves = 0
-	for range 300 { // a minute
-		x.health("db-1", Critical)
-		x.pass(100 * ms)
-		x.health("db-1", Passing)
-		x.pass(100 * ms)
+	h := newHarness(t, 3)
+	h.stateChanges = 0
+	for range 300 { // for 1 min
+		h.setHealth("db-1", Critical)
+		h.advance(100 * ms)
+		h.setHealth("db-1", Passing)
+		h.advance(100 * ms)
 	}
-	if x.moves > 4 {
-		t.Errorf("%d changes in a minute of flaps", x.moves)
+	if h.stateChanges > 4 {
+		t.Errorf("%d state changes during one minute of flaps", h.stateChanges)
 	}
-	x.is("db-1", StateReady, "while it flaps")
-	x.health("db-1", Critical)
-	x.m.MarkSilent(x.now, "db-1")
-	x.pass(200 * s)
-	x.is("db-1", StateRemoved, "and is critical for good")
-	if c := x.m.Catalogues(x.now)[0]; c.Suppressed != 0 {
+	h.expect("db-1", StateReady, "flapping")
+	h.setHealth("db-1", Critical)
+	h.members.MarkSilent(h.now, "db-1")
+	h.advance(200 * s)
+	h.expect("db-1", StateRemoved, "critical for longer than the penalty lasts")
+	if c := h.members.Catalogues(h.now)[0]; c.Suppressed != 0 {
 		t.Errorf("still damped: %+v", c)
 	}
 }
 
-// Half of the instances vanish in one answer and come back 5 s later: nobody is dropped, whether they answer or not.
-func TestHalfVanish(t *testing.T) {
-	x := begin(t, 10)
-	x.moves = 0
-	lost := []string{"db-1", "db-2", "db-3", "db-4", "db-5", "db-6"}
-	x.news(lost...)
-	x.pass(5 * s)
-	x.news()
-	x.pass(60 * s)
-	x.all(StateReady)
-	if x.moves > 0 {
-		t.Errorf("%d changes", x.moves)
+// More than half of the instances vanish from one answer and are listed again 5 s later. None is removed, whether it answers or not.
+func TestMostMembersVanishBriefly(t *testing.T) {
+	h := newHarness(t, 10)
+	h.stateChanges = 0
+	missing := []string{"db-1", "db-2", "db-3", "db-4", "db-5", "db-6"}
+	h.update(missing...)
+	h.advance(5 * s)
+	h.update()
+	h.advance(60 * s)
+	h.expectAll(StateReady)
+	if h.stateChanges > 0 {
+		t.Errorf("%d changes", h.stateChanges)
 	}
-	if c := x.m.Catalogues(x.now)[0]; c.Doubted || c.DoubtCount != 1 {
+	if c := h.members.Catalogues(h.now)[0]; c.Doubted || c.DoubtCount != 1 {
 		t.Errorf("%+v", c)
 	}
 }
 
-func TestAllVanish(t *testing.T) {
-	x := begin(t, 6)
-	x.news("db-0", "db-1", "db-2", "db-3", "db-4", "db-5")
-	x.pass(30 * s)
-	x.all(StateReady)
-	x.pass(60*s, "db-0", "db-1") // the doubt ends after a minute; who answers is kept
-	x.is("db-0", StateReady, "it answers")
-	x.is("db-5", StateRemoved, "it doesn't, and nobody lists it")
-	x.pass(11*time.Minute, "db-0")
-	x.is("db-0", StateRemoved, "kept for ten minutes and no longer")
-	x.news()
-	x.pass(s)
-	x.all(StateReady)
+func TestAllMembersVanish(t *testing.T) {
+	h := newHarness(t, 6)
+	h.update("db-0", "db-1", "db-2", "db-3", "db-4", "db-5")
+	h.advance(30 * s)
+	h.expectAll(StateReady)
+	h.advance(60*s, "db-0", "db-1") // the doubt ends after 1 min; members that answer are kept
+	h.expect("db-0", StateReady, "unlisted, but answers")
+	h.expect("db-5", StateRemoved, "unlisted and silent")
+	h.advance(11*time.Minute, "db-0")
+	h.expect("db-0", StateRemoved, "unlisted for longer than `keep`")
+	h.update()
+	h.advance(s)
+	h.expectAll(StateReady)
 }
 
-// One or two that vanish are no reason to doubt: they are kept as long as they answer, and dropped soon where they don't.
-func TestALostMember(t *testing.T) {
-	x := begin(t, 6)
-	x.news("db-1", "db-2")
-	x.pass(9*s, "db-2")
-	x.is("db-1", StateReady, "a moment ago")
-	x.pass(2*s, "db-2")
-	x.is("db-1", StateRemoved, "lost, and silent")
-	x.is("db-2", StateReady, "lost, and answers")
-	if v, _ := x.m.View(); v.Len() != 5 {
-		t.Errorf("%d members", v.Len())
+// One or two members that vanish don't cause a doubt. They are kept while they answer, and removed after UnlistedTimeout otherwise.
+func TestFewMembersVanish(t *testing.T) {
+	h := newHarness(t, 6)
+	h.update("db-1", "db-2")
+	h.advance(9*s, "db-2")
+	h.expect("db-1", StateReady, "unlisted for less than `lost`")
+	h.advance(2*s, "db-2")
+	h.expect("db-1", StateRemoved, "unlisted and silent for longer than `lost`")
+	h.expect("db-2", StateReady, "unlisted, but answers")
+	if view, _ := h.members.View(); view.Len() != 5 {
+		t.Errorf("%d members", view.Len())
 	}
 }
 
-// Who is who. A new id at an old address is a new database, unless a connection from before answers.
-func TestIdentity(t *testing.T) {
-	for _, same := range []bool{true, false} {
-		x := begin(t, 6)
-		f := x.facts["db-1"]
-		delete(x.facts, "db-1")
-		f.ID = "new-1"
-		x.facts["new-1"] = f
-		x.news()
-		x.is("db-1", StateReady, "a new name for it, so far")
-		if same {
-			x.pass(500*ms, "new-1") // on connections that were up at 50 s
+// A new ID at a known address is a new database unless an earlier connection still answers. A known ID at a new address is a new process.
+func TestRenamedAndMovedMembers(t *testing.T) {
+	for _, sameProcess := range []bool{true, false} {
+		h := newHarness(t, 6)
+		listing := h.listings["db-1"]
+		delete(h.listings, "db-1")
+		listing.ID = "new-1"
+		h.listings["new-1"] = listing
+		h.update()
+		h.expect("db-1", StateReady, "new ID, within RenameTimeout")
+		if sameProcess {
+			h.advance(500*ms, "new-1") // on connections that were opened at 50 s
 		}
-		x.pass(2 * s)
-		if same {
-			x.is("db-1", StateReady, "its connections go on")
-			if _, ok := x.state["new-1"]; ok {
-				t.Error("the new name is a member beside it")
+		h.advance(2 * s)
+		if sameProcess {
+			h.expect("db-1", StateReady, "an earlier connection answers")
+			if _, ok := h.states["new-1"]; ok {
+				t.Error("the new ID is a separate member")
 			}
-			x.health("new-1", Draining)
-			x.is("db-1", StateDraining, "told under its new name")
+			h.setHealth("new-1", Draining)
+			h.expect("db-1", StateDraining, "listed under its new ID")
 			continue
 		}
-		x.is("db-1", StateRemoved, "nothing answers on its connections")
-		x.is("new-1", StateReady, "a new database")
-		if v, _ := x.m.View(); v.Len() != 6 {
-			t.Errorf("%d members", v.Len())
-		} else if e, _ := v.Get("new-1"); e.RestartedAt != 100*s {
-			t.Errorf("it is not known to be cold: %+v", e)
+		h.expect("db-1", StateRemoved, "no earlier connection answers")
+		h.expect("new-1", StateReady, "a new database")
+		if view, _ := h.members.View(); view.Len() != 6 {
+			t.Errorf("%d members", view.Len())
+		} else if entry, _ := view.Get("new-1"); entry.RestartedAt != 100*s {
+			t.Errorf("RestartedAt is not the time of the new ID: %+v", entry)
 		}
 	}
-	x := begin(t, 3)
-	f := x.facts["db-1"]
-	f.Address = "10.0.9.9:5432"
-	x.facts["db-1"] = f
-	x.news()
-	if v, _ := x.m.View(); v.Len() != 3 {
-		t.Errorf("%d members", v.Len())
-	} else if e, _ := v.Get("db-1"); e.Address != "10.0.9.9:5432" || e.RestartedAt != x.now {
-		t.Errorf("a process doesn't move: %+v", e)
+	h := newHarness(t, 3)
+	listing := h.listings["db-1"]
+	listing.Address = "10.0.9.9:5432"
+	h.listings["db-1"] = listing
+	h.update()
+	if view, _ := h.members.View(); view.Len() != 3 {
+		t.Errorf("%d members", view.Len())
+	} else if entry, _ := view.Get("db-1"); entry.Address != "10.0.9.9:5432" || entry.RestartedAt != h.now {
+		t.Errorf("a new address is not treated as a new process: %+v", entry)
 	}
-	x.pass(5 * s)
-	f.Zone = "north"
-	x.facts["db-1"] = f
-	x.news()
-	v, _ := x.m.View()
-	if e, _ := v.Get("db-1"); e.Zone != "north" || e.RestartedAt != 100*s {
-		t.Errorf("it has begun once, not with each change: %+v", e)
+	h.advance(5 * s)
+	listing.Zone = "north"
+	h.listings["db-1"] = listing
+	h.update()
+	view, _ := h.members.View()
+	if entry, _ := view.Get("db-1"); entry.Zone != "north" || entry.RestartedAt != 100*s {
+		t.Errorf("RestartedAt changed with a later listing: %+v", entry)
 	}
 }
 
-// Who knows of no leader is believed in a drain, and in nothing else.
-func TestWithoutALeader(t *testing.T) {
-	x := begin(t, 4)
-	x.m.Update(x.now, "c", Update{Complete: true, NoLeader: true, Listings: []Listing{{ID: "db-0", Address: "10.0.0.1:5432", Health: Maintenance},
+// Of a catalogue without a leader only drains and maintenance are accepted.
+func TestCatalogueWithoutLeader(t *testing.T) {
+	h := newHarness(t, 4)
+	h.members.Update(h.now, "c", Update{Complete: true, NoLeader: true, Listings: []Listing{{ID: "db-0", Address: "10.0.0.1:5432", Health: Maintenance},
 		{ID: "db-1", Address: "10.0.0.2:5432", Health: Critical}}})
-	x.look()
-	x.is("db-0", StateDraining, "a drain")
-	x.pass(60 * s)
+	h.collectChanges()
+	h.expect("db-0", StateDraining, "maintenance")
+	h.advance(60 * s)
 	for _, id := range []string{"db-1", "db-2", "db-3"} {
-		x.is(id, StateReady, "the rest is nobody's word")
+		h.expect(id, StateReady, "other listings are ignored")
 	}
-	if c := x.m.Catalogues(x.now)[0]; c.LastError == "" || c.Failures != 1 {
+	if c := h.members.Catalogues(h.now)[0]; c.LastError == "" || c.Failures != 1 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// Ids given twice, two nodes with one address, names for addresses: the first counts, the others are told.
-func TestWhatCanNotBe(t *testing.T) {
-	x := begin(t, 3)
-	x.m.Update(x.now, "c", Update{Complete: true, Listings: []Listing{x.facts["db-0"], x.facts["db-1"], x.facts["db-2"],
+// Of listings with duplicate IDs or addresses the first is used. The others, and host names in place of addresses, are counted as skipped.
+func TestInvalidListingsAreSkipped(t *testing.T) {
+	h := newHarness(t, 3)
+	h.members.Update(h.now, "c", Update{Complete: true, Listings: []Listing{h.listings["db-0"], h.listings["db-1"], h.listings["db-2"],
 		{ID: "db-1", Address: "10.0.0.77:1"}, {ID: "db-7", Address: "10.0.0.1:5432"}, {ID: "db-8", Address: "db8.example:5432"}}, Skipped: 2})
-	x.look()
-	x.all(StateReady)
-	c := x.m.Catalogues(x.now)[0]
-	if v, _ := x.m.View(); v.Len() != 3 || c.Skipped != 5 {
-		t.Errorf("%d members, %+v", v.Len(), c)
+	h.collectChanges()
+	h.expectAll(StateReady)
+	c := h.members.Catalogues(h.now)[0]
+	if view, _ := h.members.View(); view.Len() != 3 || c.Skipped != 5 {
+		t.Errorf("%d members, %+v", view.Len(), c)
 	}
 }
 
-// A platform's own list binds, in both directions and at once.
-func TestAListThatBinds(t *testing.T) {
-	x := begin(t, 3)
-	x.m.AddCatalogue("platform", Trust{Authoritative: true})
-	own := []Listing{{ID: "p0", Address: "10.1.0.1:1"}, {ID: "p1", Address: "10.1.0.2:1"}, {ID: "p2", Address: "10.1.0.3:1"}, {ID: "p3", Address: "10.1.0.4:1"}}
-	x.m.Update(x.now, "platform", Update{Complete: true, Listings: own})
-	x.look()
-	x.is("p0", StateReady, "listed")
-	x.m.Update(x.now, "platform", Update{Listings: []Listing{{ID: "p0", Health: Terminated}}})
-	x.look()
-	x.is("p0", StateRemoved, "terminated")
-	x.m.MarkAlive(x.now, "p1", s)
-	x.m.Update(x.now, "platform", Update{Complete: true})
-	x.look()
+// The list of an authoritative catalogue takes effect at once, both for listed and for missing members.
+func TestAuthoritativeCatalogue(t *testing.T) {
+	h := newHarness(t, 3)
+	h.members.AddCatalogue("platform", Trust{Authoritative: true})
+	listings := []Listing{{ID: "p0", Address: "10.1.0.1:1"}, {ID: "p1", Address: "10.1.0.2:1"}, {ID: "p2", Address: "10.1.0.3:1"}, {ID: "p3", Address: "10.1.0.4:1"}}
+	h.members.Update(h.now, "platform", Update{Complete: true, Listings: listings})
+	h.collectChanges()
+	h.expect("p0", StateReady, "listed")
+	h.members.Update(h.now, "platform", Update{Listings: []Listing{{ID: "p0", Health: Terminated}}})
+	h.collectChanges()
+	h.expect("p0", StateRemoved, "terminated")
+	h.members.MarkAlive(h.now, "p1", s)
+	h.members.Update(h.now, "platform", Update{Complete: true})
+	h.collectChanges()
 	for _, id := range []string{"p1", "p2", "p3"} {
-		x.is(id, StateRemoved, "all left out, at once, though it answers")
+		h.expect(id, StateRemoved, "missing from a complete list")
 	}
-	x.all(StateReady) // the other catalogue's
-	x.m.DropCatalogue(x.now, "c")
-	x.look()
-	x.all(StateReady)
-	x.pass(11 * s)
-	x.all(StateRemoved)
+	h.expectAll(StateReady) // the members of the other catalogue
+	h.members.DropCatalogue(h.now, "c")
+	h.collectChanges()
+	h.expectAll(StateReady)
+	h.advance(11 * s)
+	h.expectAll(StateRemoved)
 }
 
-// Two catalogues under other names: one member, and the drain of either counts. A catalogue that falls silent loses its weight.
+// Two catalogues list one member under different IDs. A drain by either takes effect. A catalogue that doesn't answer loses its weight.
 func TestTwoCatalogues(t *testing.T) {
-	x := begin(t, 3)
-	x.m.AddCatalogue("d", Trust{Weight: 0.9})
-	x.m.Update(x.now, "d", Update{Complete: true, Listings: []Listing{{ID: "other-name", Address: "10.0.0.1:5432", Zone: "north", Role: Primary}}})
-	x.look()
-	v, _ := x.m.View()
-	if e, ok := v.Get("db-0"); v.Len() != 3 || !ok || e.Zone != "north" || e.Role != Primary {
-		t.Errorf("%d members, %+v", v.Len(), e)
+	h := newHarness(t, 3)
+	h.members.AddCatalogue("d", Trust{Weight: 0.9})
+	h.members.Update(h.now, "d", Update{Complete: true, Listings: []Listing{{ID: "other-name", Address: "10.0.0.1:5432", Zone: "north", Role: Primary}}})
+	h.collectChanges()
+	view, _ := h.members.View()
+	if entry, ok := view.Get("db-0"); view.Len() != 3 || !ok || entry.Zone != "north" || entry.Role != Primary {
+		t.Errorf("%d members, %+v", view.Len(), entry)
 	}
-	for range 20 { // d falls silent for 100 s
-		x.pass(5 * s)
-		x.news()
+	for range 20 { // d doesn't answer for 100 s
+		h.advance(5 * s)
+		h.update()
 	}
-	v, _ = x.m.View()
-	if e, _ := v.Get("db-0"); e.Zone != "" {
-		t.Errorf("the word of the silent one still counts: %+v", e)
+	view, _ = h.members.View()
+	if entry, _ := view.Get("db-0"); entry.Zone != "" {
+		t.Errorf("the silent catalogue has the higher weight: %+v", entry)
 	}
-	x.m.Update(x.now, "d", Update{Complete: true, Listings: []Listing{{ID: "other-name", Address: "10.0.0.1:5432", Health: Draining}}})
-	x.look()
-	x.is("db-0", StateDraining, "by its other name")
-	for _, e := range x.m.Explain(x.now) {
-		if e.ID == "db-0" && (len(e.Evidence) != 2 || e.Evidence[0].Source != "d" || e.Evidence[0].Confidence < 0.8) {
-			t.Errorf("%+v", e.Evidence)
+	h.members.Update(h.now, "d", Update{Complete: true, Listings: []Listing{{ID: "other-name", Address: "10.0.0.1:5432", Health: Draining}}})
+	h.collectChanges()
+	h.expect("db-0", StateDraining, "drained under its other ID")
+	for _, entry := range h.members.Explain(h.now) {
+		if entry.ID == "db-0" && (len(entry.Evidence) != 2 || entry.Evidence[0].Source != "d" || entry.Evidence[0].Confidence < 0.8) {
+			t.Errorf("%+v", entry.Evidence)
 		}
 	}
 }
 
-// Views share their structure, and an old one never changes.
-func TestViewsAreVersions(t *testing.T) {
-	x := begin(t, 4)
-	old, n := x.m.View()
-	x.health("db-1", Draining)
-	now, k := x.m.View()
-	a, _ := old.Get("db-1")
-	b, _ := now.Get("db-1")
-	if a.State != StateReady || b.State != StateDraining || n == k {
-		t.Errorf("%v and %v, versions %d and %d", a.State, b.State, n, k)
+// A view doesn't change when later views are created.
+func TestViewsAreImmutable(t *testing.T) {
+	h := newHarness(t, 4)
+	old, oldVersion := h.members.View()
+	h.setHealth("db-1", Draining)
+	current, newVersion := h.members.View()
+	oldEntry, _ := old.Get("db-1")
+	newEntry, _ := current.Get("db-1")
+	if oldEntry.State != StateReady || newEntry.State != StateDraining || oldVersion == newVersion {
+		t.Errorf("%v and %v, versions %d and %d", oldEntry.State, newEntry.State, oldVersion, newVersion)
 	}
 }
 
-// An hour of churn with ever new ids and addresses leaves nothing behind.
+// An hour of churn with new IDs and addresses leaves no removed members in memory.
 func TestChurnLeavesNothing(t *testing.T) {
-	x := begin(t, 0)
+	h := newHarness(t, 0)
 	for i := range 3600 {
-		n := Update{Complete: true}
+		update := Update{Complete: true}
 		for k := range 8 {
 			id := i/4 + k
-			n.Listings = append(n.Listings, Listing{ID: fmt.Sprintf("i-%d", id), Address: fmt.Sprintf("10.%d.%d.%d:1", id>>16&255, id>>8&255, id&255)})
+			update.Listings = append(update.Listings, Listing{ID: fmt.Sprintf("i-%d", id), Address: fmt.Sprintf("10.%d.%d.%d:1", id>>16&255, id>>8&255, id&255)})
 		}
-		x.m.Update(x.now, "c", n)
-		x.pass(s)
+		h.members.Update(h.now, "c", update)
+		h.advance(s)
 	}
-	if len(x.m.order) > 14 || len(x.m.byID) > 14 || len(x.m.byAddress) > 14 || x.m.view.Len() > 12 {
-		t.Errorf("%d members, %d ids, %d addresses, %d in the view", len(x.m.order), len(x.m.byID), len(x.m.byAddress), x.m.view.Len())
+	if len(h.members.ordered) > 14 || len(h.members.byID) > 14 || len(h.members.byAddress) > 14 || h.members.view.Len() > 12 {
+		t.Errorf("%d members, %d ids, %d addresses, %d in the view", len(h.members.ordered), len(h.members.byID), len(h.members.byAddress), h.members.view.Len())
 	}
 }
 
-// Whatever is told and seen: the view holds what the changes say, a drain that is told is a drain, and who is passing and listed
-// without flaps is in.
-func TestAnyOrderOfEvents(t *testing.T) {
+// After any sequence of events the view agrees with the reported changes, and a member that a catalogue lists as draining drains.
+func TestRandomEventOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		x := begin(t, 0)
-		x.m.AddCatalogue("d", Trust{})
+		h := newHarness(t, 0)
+		h.members.AddCatalogue("d", Trust{})
 		seen := map[string]State{}
 		for range rapid.IntRange(1, 60).Draw(rt, "events") {
-			x.now += time.Duration(rapid.IntRange(0, 3000).Draw(rt, "gap")) * ms
+			h.now += time.Duration(rapid.IntRange(0, 3000).Draw(rt, "gap")) * ms
 			id := fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(rt, "id"))
 			switch rapid.IntRange(0, 4).Draw(rt, "event") {
 			case 0, 1:
-				n := Update{Complete: rapid.Bool().Draw(rt, "whole")}
+				update := Update{Complete: rapid.Bool().Draw(rt, "whole")}
 				for range rapid.IntRange(0, 6).Draw(rt, "facts") {
-					n.Listings = append(n.Listings, Listing{ID: fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(rt, "id")), Address: fmt.Sprintf("10.0.0.%d:1", rapid.IntRange(0, 5).Draw(rt, "at")),
+					update.Listings = append(update.Listings, Listing{ID: fmt.Sprintf("m-%d", rapid.IntRange(0, 5).Draw(rt, "id")), Address: fmt.Sprintf("10.0.0.%d:1", rapid.IntRange(0, 5).Draw(rt, "at")),
 						Health: Health(rapid.IntRange(0, 5).Draw(rt, "health"))})
 				}
-				x.m.Update(x.now, rapid.SampledFrom([]string{"c", "d"}).Draw(rt, "source"), n)
+				h.members.Update(h.now, rapid.SampledFrom([]string{"c", "d"}).Draw(rt, "source"), update)
 			case 2:
-				x.m.MarkAlive(x.now, id, x.now-time.Duration(rapid.IntRange(0, 9).Draw(rt, "up"))*s)
+				h.members.MarkAlive(h.now, id, h.now-time.Duration(rapid.IntRange(0, 9).Draw(rt, "up"))*s)
 			case 3:
-				x.m.MarkSilent(x.now, id)
+				h.members.MarkSilent(h.now, id)
 			default:
-				x.m.Tick(x.now)
+				h.members.Tick(h.now)
 			}
-			for _, e := range x.m.TakeChanges() {
-				seen[e.ID] = e.State
+			for _, entry := range h.members.TakeChanges() {
+				seen[entry.ID] = entry.State
 			}
 		}
-		v, _ := x.m.View()
-		for id, st := range seen {
-			if e, in := v.Get(id); in != (st != StateRemoved) || in && e.State != st {
-				rt.Fatalf("%s: changes say %v, the view %+v, %v", id, st, e, in)
+		view, _ := h.members.View()
+		for id, state := range seen {
+			if entry, in := view.Get(id); in != (state != StateRemoved) || in && entry.State != state {
+				rt.Fatalf("%s: state %v by the changes, entry %+v in the view (present: %v)", id, state, entry, in)
 			}
 		}
-		for _, e := range x.m.Explain(x.now) {
-			for _, k := range e.Evidence {
-				if (k.Claim == "draining" || k.Claim == "maintenance") && e.State != StateDraining {
-					rt.Fatalf("%s is %v, though %s says %s", e.ID, e.State, k.Source, k.Claim)
+		for _, entry := range h.members.Explain(h.now) {
+			for _, evidence := range entry.Evidence {
+				if (evidence.Claim == "draining" || evidence.Claim == "maintenance") && entry.State != StateDraining {
+					rt.Fatalf("%s is %v, though %s reports %s", entry.ID, entry.State, evidence.Source, evidence.Claim)
 				}
 			}
 		}
 	})
 }
 
-// BenchmarkDelta is what one change among 5,000 instances costs.
-func BenchmarkDelta(b *testing.B) {
-	m := New(Config{})
-	m.AddCatalogue("c", Trust{})
-	n := Update{Complete: true}
+// BenchmarkSingleChange measures the cost of one change among 5,000 instances.
+func BenchmarkSingleChange(b *testing.B) {
+	members := New(Config{})
+	members.AddCatalogue("c", Trust{})
+	update := Update{Complete: true}
 	for i := range 5000 {
-		n.Listings = append(n.Listings, Listing{ID: fmt.Sprintf("i-%d", i), Address: fmt.Sprintf("10.0.%d.%d:1", i>>8, i&255)})
+		update.Listings = append(update.Listings, Listing{ID: fmt.Sprintf("i-%d", i), Address: fmt.Sprintf("10.0.%d.%d:1", i>>8, i&255)})
 	}
-	m.Update(s, "c", n)
-	m.TakeChanges()
+	members.Update(s, "c", update)
+	members.TakeChanges()
 	b.ReportAllocs()
 	for i := range b.N {
-		f := &n.Listings[i%5000]
-		f.Zone = fmt.Sprint(i)
-		m.Update(s+time.Duration(i)*ms, "c", n)
-		if got := len(m.TakeChanges()); got != 1 {
+		listing := &update.Listings[i%5000]
+		listing.Zone = fmt.Sprint(i)
+		members.Update(s+time.Duration(i)*ms, "c", update)
+		if got := len(members.TakeChanges()); got != 1 {
 			b.Fatal(got)
 		}
 	}
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -5,64 +5,64 @@
 	"time"
 )
 
-// report is what a catalogue says of a member.
+// report is the last listing of a member by one catalogue, with its history.
 type report struct {
 	Listing
 	listed         bool
-	unchangedSince time.Duration // it has said so
-	delistedAt     time.Duration // it listed it until then; 0 = it never did
+	unchangedSince time.Duration // since when health, role and listed are the same
+	delistedAt     time.Duration // when the member was last delisted; 0 = never
 	penalty        float64
-	penaltyAt      time.Duration // when the penalty was reckoned
-	damped         bool
+	penaltyAt      time.Duration // when penalty was computed
+	damped         bool          // the listing is ignored until the penalty has decayed
 }
 
-// say gives a source's place with a member.
-func (x *Member) report(i int) *report {
-	for len(x.reports) <= i {
-		x.reports = append(x.reports, report{})
+// report returns the member's report of the catalogue with index i.
+func (member *Member) report(i int) *report {
+	for len(member.reports) <= i {
+		member.reports = append(member.reports, report{})
 	}
-	return &x.reports[i]
+	return &member.reports[i]
 }
 
-// better tells healths that let a member in from those that don't.
+// admits reports whether a member with this health may be in use.
 func (h Health) admits() bool { return h == Passing || h == Warning }
 
-// take notes what a source says.
-func (x *Member) receive(now time.Duration, i int, f Listing) {
-	s := x.report(i)
-	if !s.listed && s.delistedAt > 0 || s.listed && s.Health.admits() != f.Health.admits() && f.Health < Draining && s.Health < Draining {
-		x.addPenalty(now, s)
+// receive applies a listing of the catalogue with index i.
+func (member *Member) receive(now time.Duration, i int, listing Listing) {
+	report := member.report(i)
+	if !report.listed && report.delistedAt > 0 || report.listed && report.Health.admits() != listing.Health.admits() && listing.Health < Draining && report.Health < Draining {
+		member.addPenalty(now, report)
 	}
-	if !s.listed || s.Health != f.Health || s.Role != f.Role {
-		s.unchangedSince = now
+	if !report.listed || report.Health != listing.Health || report.Role != listing.Role {
+		report.unchangedSince = now
 	}
-	if f.Started > 0 && f.Started > s.Started && s.Started > 0 {
-		x.lastAlive, x.silent = 0, false // another process: what was seen of the old one is void
+	if listing.Started > 0 && listing.Started > report.Started && report.Started > 0 {
+		member.lastAlive, member.silent = 0, false // another process: observations of the old one no longer apply
 	}
-	s.Listing, s.listed = f, true
-	x.enqueue()
+	report.Listing, report.listed = listing, true
+	member.enqueue()
 }
 
-// lose notes that a source lists a member no more.
-func (x *Member) delist(now time.Duration, i int) {
-	s := x.report(i)
-	if s.listed {
-		s.listed, s.delistedAt, s.unchangedSince = false, now, now
-		x.addPenalty(now, s)
-		x.enqueue()
+// delist records that the catalogue with index i no longer lists the member.
+func (member *Member) delist(now time.Duration, i int) {
+	report := member.report(i)
+	if report.listed {
+		report.listed, report.delistedAt, report.unchangedSince = false, now, now
+		member.addPenalty(now, report)
+		member.enqueue()
 	}
 }
 
-// flap adds a penalty for a change, over what time has left of the earlier ones.
-func (x *Member) addPenalty(now time.Duration, s *report) {
-	c := &x.members.config
-	s.penalty = min(s.decayedPenalty(now, c.PenaltyHalfLife)+c.FlapPenalty, c.MaxPenalty)
-	s.penaltyAt = now
-	if s.penalty > c.SuppressThreshold {
-		s.damped = true
+// addPenalty adds the penalty of one change to the decayed penalty of the earlier ones.
+func (member *Member) addPenalty(now time.Duration, r *report) {
+	config := &member.members.config
+	r.penalty = min(r.decayedPenalty(now, config.PenaltyHalfLife)+config.FlapPenalty, config.MaxPenalty)
+	r.penaltyAt = now
+	if r.penalty > config.SuppressThreshold {
+		r.damped = true
 	}
 }
 
-func (s *report) decayedPenalty(now, half time.Duration) float64 {
-	return s.penalty * math.Exp2(-float64(now-s.penaltyAt)/float64(half))
+func (r *report) decayedPenalty(now, half time.Duration) float64 {
+	return r.penalty * math.Exp2(-float64(now-r.penaltyAt)/float64(half))
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -48,33 +48,33 @@
 }
 
 const (
-	rolesEvery = 500 * time.Millisecond // a role that stays is told anew so often
-	tooOld     = 2 * time.Second        // what lies so far back tells nothing
-	skew       = 50 * time.Millisecond  // a fact from further ahead comes from a clock that can't be trusted
+	roleInterval = 500 * time.Millisecond // a role that stays is told anew so often
+	maxAge       = 2 * time.Second        // what lies so far back tells nothing
+	maxClockSkew = 50 * time.Millisecond  // a fact from further ahead comes from a clock that can't be trusted
 )
 
 // Gossip is one proxy's.
 type Gossip struct {
-	cfg     Config
-	known   map[uint64]*known
-	short   map[uint32]*known // nil where two databases share a number: nothing can be said of either
-	pending []*known
-	turn    time.Duration // when the next message may go out
-	out     []Report
+	cfg       Config
+	databases map[uint64]*database
+	byShortID map[uint32]*database // nil where two databases share a number: nothing can be said of either
+	pending   []*database
+	nextSend  time.Duration // when the next message may go out
+	message   []Report
 }
 
 // known is what there is to know of one database.
-type known struct {
-	id    uint64
-	seen  Report // by this proxy, the newest
-	told  Report // the newest that all have heard, from whomever
-	waits bool   // it is in pending
-	fresh bool   // it has failed since it was last told of
+type database struct {
+	id            uint64
+	observed      Report // by this proxy, the newest
+	published     Report // the newest that all have heard, from whomever
+	queued        bool   // it is in pending
+	unsentFailure bool   // it has failed since it was last told of
 }
 
 // New makes one that knows no database.
 func New(cfg Config) *Gossip {
-	return &Gossip{cfg: cfg, known: map[uint64]*known{}, short: map[uint32]*known{}}
+	return &Gossip{cfg: cfg, databases: map[uint64]*database{}, byShortID: map[uint32]*database{}}
 }
 
 // Enabled tells whether anything is ever told.
@@ -91,119 +91,119 @@
 
 // Add lets a database be told of; the own list has named it.
 func (g *Gossip) Add(id uint64) {
-	if !g.Enabled() || g.known[id] != nil {
+	if !g.Enabled() || g.databases[id] != nil {
 		return
 	}
-	k, s := &known{id: id}, ShortID(id)
-	g.known[id] = k
-	if _, twice := g.short[s]; twice {
-		g.short[s] = nil
+	db, short := &database{id: id}, ShortID(id)
+	g.databases[id] = db
+	if _, twice := g.byShortID[short]; twice {
+		g.byShortID[short] = nil
 		return
 	}
-	g.short[s] = k
+	g.byShortID[short] = db
 }
 
 // Remove forgets a database. The number of one that shared it stays barred.
 func (g *Gossip) Remove(id uint64) {
-	if s := ShortID(id); g.known[id] != nil && g.short[s] == g.known[id] {
-		delete(g.short, s)
+	if short := ShortID(id); g.databases[id] != nil && g.byShortID[short] == g.databases[id] {
+		delete(g.byShortID, short)
 	}
-	delete(g.known, id)
+	delete(g.databases, id)
 }
 
 // Observe notes what this proxy has seen itself.
 func (g *Gossip) Observe(now time.Duration, id uint64, role Role, at, position time.Duration) {
-	k := g.known[id]
-	if k == nil || g.short[ShortID(id)] != k {
+	db := g.databases[id]
+	if db == nil || g.byShortID[ShortID(id)] != db {
 		return
 	}
-	k.seen.Status = Healthy
-	if at >= k.seen.At {
-		k.seen.At = at
+	db.observed.Status = Healthy
+	if at >= db.observed.At {
+		db.observed.At = at
 		if role != Unknown {
-			k.seen.Role = role
+			db.observed.Role = role
 		}
 	}
-	k.seen.Position = max(k.seen.Position, position)
-	g.queue(now, k)
+	db.observed.Position = max(db.observed.Position, position)
+	g.queue(now, db)
 }
 
 // ObserveFailure notes that a database has failed just now. Each failure is told, a silence once: how many fail is what tells a database that
 // fails now and then from one that must be left alone.
-func (g *Gossip) ObserveFailure(now time.Duration, id uint64, how Status) {
-	k := g.known[id]
-	if k == nil || g.short[ShortID(id)] != k || how == Silent && k.told.Status == Silent && now-k.told.At < tooOld {
+func (g *Gossip) ObserveFailure(now time.Duration, id uint64, status Status) {
+	db := g.databases[id]
+	if db == nil || g.byShortID[ShortID(id)] != db || status == Silent && db.published.Status == Silent && now-db.published.At < maxAge {
 		return
 	}
-	k.seen.Status, k.seen.At, k.fresh = how, now, true
-	g.queue(now, k)
+	db.observed.Status, db.observed.At, db.unsentFailure = status, now, true
+	g.queue(now, db)
 }
 
 // queue lets news wait for this proxy's turn.
-func (g *Gossip) queue(now time.Duration, k *known) {
-	if !k.waits && g.news(k) {
+func (g *Gossip) queue(now time.Duration, db *database) {
+	if !db.queued && g.hasNews(db) {
 		if len(g.pending) == 0 { // the turn comes at a time of this proxy's own
-			g.turn = max(g.turn, now+time.Duration(g.cfg.Phase*float64(g.cfg.Interval)/2))
+			g.nextSend = max(g.nextSend, now+time.Duration(g.cfg.Phase*float64(g.cfg.Interval)/2))
 		}
-		k.waits = true
-		g.pending = append(g.pending, k)
+		db.queued = true
+		g.pending = append(g.pending, db)
 	}
 }
 
 // news tells whether the others are to hear what this proxy knows of a database.
-func (g *Gossip) news(k *known) bool {
-	s, t := &k.seen, &k.told
-	if k.fresh || t.At == 0 && s.At > 0 { // that it answers is news as long as nobody has told
+func (g *Gossip) hasNews(db *database) bool {
+	observed, published := &db.observed, &db.published
+	if db.unsentFailure || published.At == 0 && observed.At > 0 { // that it answers is news as long as nobody has told
 		return true
 	}
-	if s.Role != Unknown && s.At > t.At && (s.Role != t.Role || s.At-t.At >= rolesEvery) {
+	if observed.Role != Unknown && observed.At > published.At && (observed.Role != published.Role || observed.At-published.At >= roleInterval) {
 		return true
 	}
-	return s.Role == Replica && s.Position >= t.Position+g.cfg.Interval
+	return observed.Role == Replica && observed.Position >= published.Position+g.cfg.Interval
 }
 
 // NextMessage gives what is to be told now, in one message; nil = nothing. It is valid until the next call.
 func (g *Gossip) NextMessage(now time.Duration) []Report {
-	if len(g.pending) == 0 || now < g.turn {
+	if len(g.pending) == 0 || now < g.nextSend {
 		return nil
 	}
-	g.out = g.out[:0]
-	n := 0
-	for _, k := range g.pending {
-		if len(g.out) == g.cfg.MaxBatch {
+	g.message = g.message[:0]
+	taken := 0
+	for _, db := range g.pending {
+		if len(g.message) == g.cfg.MaxBatch {
 			break
 		}
-		n++
-		k.waits = false
-		if g.news(k) && now-k.seen.At < tooOld && g.known[k.id] == k {
-			f := k.seen
-			f.Database = ShortID(k.id)
-			k.told, k.fresh = f, false
-			g.out = append(g.out, f)
+		taken++
+		db.queued = false
+		if g.hasNews(db) && now-db.observed.At < maxAge && g.databases[db.id] == db {
+			report := db.observed
+			report.Database = ShortID(db.id)
+			db.published, db.unsentFailure = report, false
+			g.message = append(g.message, report)
 		}
 	}
-	g.pending = append(g.pending[:0], g.pending[n:]...)
-	if len(g.out) == 0 {
+	g.pending = append(g.pending[:0], g.pending[taken:]...)
+	if len(g.message) == 0 {
 		return nil
 	}
-	g.turn = now + g.cfg.Interval
-	return g.out
+	g.nextSend = now + g.cfg.Interval
+	return g.message
 }
 
 // Accept holds a peer's word against what is known. It gives the database meant, and the fact as far as it may be used; false =
 // it is of no use: unknown here, from a clock ahead, too old, or claiming data fresher than the moment at which they were seen.
-func (g *Gossip) Accept(now time.Duration, f Report) (id uint64, used Report, ok bool) {
-	k := g.short[f.Database]
-	if k == nil || f.At > now+skew || now-f.At > tooOld || f.Position > f.At || f.Role > Replica || f.Status > Silent || f.At <= 0 {
-		return 0, f, false
+func (g *Gossip) Accept(now time.Duration, report Report) (id uint64, used Report, ok bool) {
+	db := g.byShortID[report.Database]
+	if db == nil || report.At > now+maxClockSkew || now-report.At > maxAge || report.Position > report.At || report.Role > Replica || report.Status > Silent || report.At <= 0 {
+		return 0, report, false
 	}
-	f.At = min(f.At, now)
-	f.Position = min(f.Position, now)
-	if f.Position > k.told.Position {
-		k.told.Position = f.Position
+	report.At = min(report.At, now)
+	report.Position = min(report.Position, now)
+	if report.Position > db.published.Position {
+		db.published.Position = report.Position
 	}
-	if f.At > k.told.At {
-		k.told.At, k.told.Role, k.told.Status = f.At, f.Role, f.Status
+	if report.At > db.published.At {
+		db.published.At, db.published.Role, db.published.Status = report.At, report.Role, report.Status
 	}
-	return k.id, f, true
+	return db.id, report, true
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-func two() (a, b *Gossip) {
+func newPair() (a, b *Gossip) {
 	cfg := Config{Proxies: 80, Interval: 75 * ms, MaxBatch: 31}
 	a, b = New(cfg), New(cfg)
 	for id := uint64(1); id <= 5; id++ {
@@ -20,8 +20,8 @@
 }
 
 // What one has seen the other knows, and doesn't tell again.
-func TestAFactIsToldOnce(t *testing.T) {
-	a, b := two()
+func TestReportIsSentOnce(t *testing.T) {
+	a, b := newPair()
 	now := time.Hour
 	a.Observe(now, 1, Replica, now, now-20*ms)
 	b.Observe(now, 1, Replica, now, now-25*ms) // both wait for their turns
@@ -50,8 +50,8 @@
 }
 
 // A proxy that can be made to believe fresher data than there are serves stale reads.
-func TestNothingIsBelievedThatCantBe(t *testing.T) {
-	a, _ := two()
+func TestImplausibleReportsAreRejected(t *testing.T) {
+	a, _ := newPair()
 	now := time.Hour
 	for what, f := range map[string]Report{
 		"a database that the own list has not named":     {Database: ShortID(99), Role: Replica, At: now, Position: now},
@@ -70,9 +70,9 @@
 }
 
 // Two databases of one short number can't be told apart.
-func TestASharedNumberIsNobodys(t *testing.T) {
-	a, _ := two()
-	a.short[ShortID(7)] = a.known[1]
+func TestCollidingShortIDsAreIgnored(t *testing.T) {
+	a, _ := newPair()
+	a.byShortID[ShortID(7)] = a.databases[1]
 	a.Add(7)
 	if _, _, ok := a.Accept(time.Hour, Report{Database: ShortID(7), Role: Replica, At: time.Hour}); ok {
 		t.Fatal("believed of one of two")
@@ -80,9 +80,9 @@
 }
 
 // Whatever is seen and in whichever order messages come, doubled, late or not at all, what is believed of a position was true.
-func TestPositionsAreNeverAheadOfTheTruth(t *testing.T) {
+func TestAcceptedPositionsAreNeverAhead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := two()
+		a, b := newPair()
 		now, held := time.Hour, []Report{}
 		truth := map[uint64]time.Duration{}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
--- a/internal/planner/client/client.go
+++ b/internal/planner/client/client.go
@@ -16,7 +16,7 @@
 // Client asks planners on an operator's behalf.
 type Client struct {
 	Planners []string // addresses
-	at       int
+	current  int
 }
 
 // RequestTimeout is how long a planner has for an answer.
@@ -29,8 +29,8 @@
 var errNoAnswer = errors.New("no planner answers")
 
 // one asks one planner.
-func (c *Client) one(ctx context.Context, address string, ask tier.Ask, wait time.Duration) (*tier.Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+func (c *Client) query(ctx context.Context, address string, ask tier.Ask, timeout time.Duration) (*tier.Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", address)
@@ -40,65 +40,65 @@
 	defer conn.Close()
 	deadline, _ := ctx.Deadline()
 	conn.SetDeadline(deadline)
-	b, err := tier.Append(nil, &tier.Frame{Ask: &ask})
+	frame, err := tier.Append(nil, &tier.Frame{Ask: &ask})
 	if err == nil {
-		_, err = conn.Write(b)
+		_, err = conn.Write(frame)
 	}
 	if err != nil {
 		return nil, err
 	}
-	f, err := tier.Read(bufio.NewReader(conn))
-	if err == nil && f.Answer == nil {
+	answer, err := tier.Read(bufio.NewReader(conn))
+	if err == nil && answer.Answer == nil {
 		err = fmt.Errorf("%s answers with something else", address)
 	}
-	return f.Answer, err
+	return answer.Answer, err
 }
 
 // Status asks what holds. The planner that leads knows more than the others; it is asked if it is among those named and answers. The text of policy n comes with it.
-func (c *Client) Status(ctx context.Context, n rollout.Number) (*tier.Answer, error) {
+func (c *Client) Status(ctx context.Context, policy rollout.Number) (*tier.Answer, error) {
 	var best *tier.Answer
-	last := errNoAnswer
+	lastErr := errNoAnswer
 	for range c.Planners {
-		a, err := c.one(ctx, c.Planners[c.at%len(c.Planners)], tier.Ask{Do: tier.DoStatus, Number: n}, RequestTimeout)
+		answer, err := c.query(ctx, c.Planners[c.current%len(c.Planners)], tier.Ask{Do: tier.DoStatus, Number: policy}, RequestTimeout)
 		switch {
-		case err != nil || a.State == nil:
-			last = fmt.Errorf("%w: %w", errNoAnswer, errors.Join(err))
-		case a.Leader == a.Planner:
-			return a, nil
-		case best == nil || a.State.LastNumber > best.State.LastNumber || a.State.LastNumber == best.State.LastNumber && a.State.Pending() == nil:
-			best = a
+		case err != nil || answer.State == nil:
+			lastErr = fmt.Errorf("%w: %w", errNoAnswer, errors.Join(err))
+		case answer.Leader == answer.Planner:
+			return answer, nil
+		case best == nil || answer.State.LastNumber > best.State.LastNumber || answer.State.LastNumber == best.State.LastNumber && answer.State.Pending() == nil:
+			best = answer
 		}
-		c.at++
+		c.current++
 	}
 	if best != nil {
 		return best, nil
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // Do lets the planner that leads do something.
 func (c *Client) Do(ctx context.Context, ask tier.Ask) (*tier.Answer, error) {
-	last := errNoAnswer
+	lastErr := errNoAnswer
 	for range c.Planners {
-		a, err := c.one(ctx, c.Planners[c.at%len(c.Planners)], ask, RequestTimeout)
-		if err == nil && a.Leader == a.Planner {
-			return a, nil
+		answer, err := c.query(ctx, c.Planners[c.current%len(c.Planners)], ask, RequestTimeout)
+		if err == nil && answer.Leader == answer.Planner {
+			return answer, nil
 		}
-		if last = err; err == nil {
-			last = ErrNoLeader
+		if lastErr = err; err == nil {
+			lastErr = ErrNoLeader
 		}
-		c.at++
+		c.current++
 	}
-	return nil, last
+	return nil, lastErr
 }
 
 // Propose asks for a change until it is in the log, under one nonce, so that asking twice makes one. An answer with an error tells that there
 // is none.
-func (c *Client) Propose(ctx context.Context, ask tier.Ask, wait time.Duration) (a *tier.Answer, err error) {
-	for end := time.Now().Add(wait); ; {
-		a, err = c.Do(ctx, ask)
-		if err == nil || time.Now().After(end) || ctx.Err() != nil {
-			return a, err
+func (c *Client) Propose(ctx context.Context, ask tier.Ask, wait time.Duration) (answer *tier.Answer, err error) {
+	for deadline := time.Now().Add(wait); ; {
+		answer, err = c.Do(ctx, ask)
+		if err == nil || time.Now().After(deadline) || ctx.Err() != nil {
+			return answer, err
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/planner/config.go
+++ b/internal/planner/config.go
@@ -19,14 +19,14 @@
 
 // ParsePeers reads "1=ADDRESS,2=ADDRESS".
 func ParsePeers(text string) (map[uint64]string, error) {
-	out := map[uint64]string{}
-	for _, w := range strings.Split(text, ",") {
+	peers := map[uint64]string{}
+	for _, item := range strings.Split(text, ",") {
 		var id uint64
-		number, address, ok := strings.Cut(strings.TrimSpace(w), "=")
-		if _, err := fmt.Sscanf(number, "%d", &id); !ok || err != nil || id == 0 || address == "" || out[id] != "" {
+		number, address, ok := strings.Cut(strings.TrimSpace(item), "=")
+		if _, err := fmt.Sscanf(number, "%d", &id); !ok || err != nil || id == 0 || address == "" || peers[id] != "" {
 			return nil, fmt.Errorf("%q: planners as 1=ADDRESS,2=ADDRESS,3=ADDRESS were expected", text)
 		}
-		out[id] = address
+		peers[id] = address
 	}
-	return out, nil
+	return peers, nil
 }
--- a/internal/planner/consensus_log.go
+++ b/internal/planner/consensus_log.go
@@ -5,32 +5,32 @@
 	"log/slog"
 )
 
-// quiet lets the consensus say only what goes wrong.
-type quiet struct{}
+// raftLog is the logger of the raft library. It drops all but warnings and errors.
+type raftLog struct{}
 
-func (quiet) Debug(...any) {}
+func (raftLog) Debug(...any) {}
 
-func (quiet) Debugf(string, ...any) {}
+func (raftLog) Debugf(string, ...any) {}
 
-func (quiet) Info(...any) {}
+func (raftLog) Info(...any) {}
 
-func (quiet) Infof(string, ...any) {}
+func (raftLog) Infof(string, ...any) {}
 
-func (quiet) Warning(v ...any) { slog.Debug("consensus: " + fmt.Sprint(v...)) }
+func (raftLog) Warning(v ...any) { slog.Debug("consensus: " + fmt.Sprint(v...)) }
 
-func (quiet) Warningf(format string, v ...any) { slog.Debug("consensus: " + fmt.Sprintf(format, v...)) }
+func (raftLog) Warningf(text string, v ...any) { slog.Debug("consensus: " + fmt.Sprintf(text, v...)) }
 
-func (quiet) Error(v ...any) { slog.Error("consensus: " + fmt.Sprint(v...)) }
+func (raftLog) Error(v ...any) { slog.Error("consensus: " + fmt.Sprint(v...)) }
 
-func (quiet) Errorf(format string, v ...any) { slog.Error("consensus: " + fmt.Sprintf(format, v...)) }
+func (raftLog) Errorf(text string, v ...any) { slog.Error("consensus: " + fmt.Sprintf(text, v...)) }
 
-func (quiet) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
+func (raftLog) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (quiet) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+func (raftLog) Fatalf(text string, v ...any) { panic(fmt.Sprintf(text, v...)) }
 
-func (quiet) Panic(v ...any) { panic(consensusPanic(fmt.Sprint(v...))) }
+func (raftLog) Panic(v ...any) { panic(consensusPanic(fmt.Sprint(v...))) }
 
-func (quiet) Panicf(format string, v ...any) { panic(consensusPanic(fmt.Sprintf(format, v...))) }
+func (raftLog) Panicf(text string, v ...any) { panic(consensusPanic(fmt.Sprintf(text, v...))) }
 
-// consensusPanic is what the consensus can't go on with.
+// consensusPanic is the value with which raftLog panics where the raft library can't continue. Planner.Run recovers it.
 type consensusPanic string
--- a/internal/planner/health.go
+++ b/internal/planner/health.go
@@ -14,9 +14,9 @@
 
 const (
 	// relayEvery is how often it is looked what links are to be sent.
-	relayEvery = 100 * time.Millisecond
+	relayInterval = 100 * time.Millisecond
 	// reportBytes bounds what one link is sent of others' reports, in bytes a second.
-	reportBytes = 1600
+	reportBytesPerSecond = 1600
 )
 
 // healthRelay passes on what proxies report of databases, while this planner leads. All of it is soft state, and the planner's
@@ -29,7 +29,7 @@
 }
 
 func newHealthRelay() *healthRelay {
-	config := healthcheck.Config{Epoch: uint32(labclock.Wall().Unix()), Plan: healthcheck.Plan{BytesPerSecond: reportBytes}}
+	config := healthcheck.Config{Epoch: uint32(labclock.Wall().Unix()), Plan: healthcheck.Plan{BytesPerSecond: reportBytesPerSecond}}
 	return &healthRelay{relay: healthcheck.NewRelay(config), links: map[rollout.Link]subset.ProxyID{}}
 }
 
@@ -38,51 +38,51 @@
 }
 
 // health takes a proxy's message. The fence against one that speaks for another: a message counts on its member's own link only.
-func (s *server) health(id rollout.Link, message []byte) {
-	p := s.p
+func (s *server) receiveHealth(id rollout.Link, message []byte) {
+	p := s.planner
 	if p.leader == nil {
 		return
 	}
-	m, err := wire.ParseMessage(message, p.wireClock())
+	report, err := wire.ParseMessage(message, p.wireClock())
 	if err != nil {
 		slog.Debug("a report of health checks can't be read", "error", err)
 		return
 	}
-	if !p.leader.IsLinkOf(rollout.Member(m.From), id) {
+	if !p.leader.IsLinkOf(rollout.Member(report.From), id) {
 		return
 	}
-	if p.health.links[id] != m.From {
-		p.health.links[id] = m.From
-		p.health.relay.Attach(p.now(), m.From)
+	if p.healthRelay.links[id] != report.From {
+		p.healthRelay.links[id] = report.From
+		p.healthRelay.relay.Attach(p.now(), report.From)
 	}
-	p.health.relay.Receive(p.now(), m)
+	p.healthRelay.relay.Receive(p.now(), report)
 }
 
 // healthDown ends a link.
-func (p *Planner) healthDown(id rollout.Link) {
-	if p.health == nil {
+func (p *Planner) detachHealthLink(id rollout.Link) {
+	if p.healthRelay == nil {
 		return
 	}
-	from, ok := p.health.links[id]
+	from, ok := p.healthRelay.links[id]
 	if !ok {
 		return
 	}
-	delete(p.health.links, id)
-	for _, other := range p.health.links {
+	delete(p.healthRelay.links, id)
+	for _, other := range p.healthRelay.links {
 		if other == from { // it has come again by another link
 			return
 		}
 	}
-	p.health.relay.Detach(from)
+	p.healthRelay.relay.Detach(from)
 }
 
 // healthTick sends each link what has changed.
-func (p *Planner) healthTick() {
-	now, r := p.now(), p.health
+func (p *Planner) relayHealth() {
+	now, r := p.now(), p.healthRelay
 	if r == nil || now < r.next {
 		return
 	}
-	r.next = now + relayEvery
+	r.next = now + relayInterval
 	r.relay.Tick(now)
 	for id, proxy := range r.links {
 		if !p.leader.IsLinkOf(rollout.Member(proxy), id) {
--- a/internal/planner/operator.go
+++ b/internal/planner/operator.go
@@ -12,93 +12,93 @@
 
 // The operator's commands, and their answers.
 
-type waiting struct {
-	nonce uint64
-	link  rollout.Link
-	until time.Duration
+type pendingProposal struct {
+	nonce    uint64
+	link     rollout.Link
+	deadline time.Duration
 }
 
 // ask answers the operator.
-func (s *server) ask(id rollout.Link, a *tier.Ask) {
-	p := s.p
+func (s *server) handleOperator(id rollout.Link, request *tier.Ask) {
+	p := s.planner
 	refuse := func(err error) {
-		s.send(id, &tier.Frame{Answer: &tier.Answer{Error: err.Error(), Planner: p.cfg.ID, Leader: p.leads}})
+		s.send(id, &tier.Frame{Answer: &tier.Answer{Error: err.Error(), Planner: p.config.ID, Leader: p.leaderID}})
 	}
 	if p.leader != nil && !p.leader.Leading() { // its term has yet to begin in the log: who asks comes again
-		s.send(id, &tier.Frame{Answer: &tier.Answer{Error: client.ErrNoLeader.Error(), Planner: p.cfg.ID, State: p.state.WithoutPolicies(0)}})
+		s.send(id, &tier.Frame{Answer: &tier.Answer{Error: client.ErrNoLeader.Error(), Planner: p.config.ID, State: p.state.WithoutPolicies(0)}})
 		return
 	}
-	if a.Do == tier.DoStatus {
-		s.status(id, "", a.Number)
+	if request.Do == tier.DoStatus {
+		s.sendStatus(id, "", request.Number)
 		return
 	}
 	if p.leader == nil {
 		refuse(client.ErrNoLeader)
 		return
 	}
-	switch a.Do {
+	switch request.Do {
 	case tier.DoPropose:
-		if c := p.state.Pending(); c != nil && c.Nonce != a.Nonce {
-			refuse(errUndecided(c.Number))
+		if pending := p.state.Pending(); pending != nil && pending.Nonce != request.Nonce {
+			refuse(undecidedError(pending.Number))
 			return
 		}
-		s.waiting = append(s.waiting, waiting{a.Nonce, id, p.now() + askFor})
-		p.leader.Propose(rollout.Command{Kind: rollout.Propose, Nonce: a.Nonce, Policy: a.Policy, Comment: a.Why, Hash: a.Hash})
+		s.proposals = append(s.proposals, pendingProposal{request.Nonce, id, p.now() + proposalTimeout})
+		p.leader.Propose(rollout.Command{Kind: rollout.Propose, Nonce: request.Nonce, Policy: request.Policy, Comment: request.Why, Hash: request.Hash})
 	case tier.DoAbort:
-		p.leader.Abort(p.now(), a.Number, "by the operator")
-		s.status(id, "", 0)
+		p.leader.Abort(p.now(), request.Number, "by the operator")
+		s.sendStatus(id, "", 0)
 	case tier.DoExpel:
 		text := ""
-		if err := p.leader.Expel(p.now(), a.Name); err != nil {
+		if err := p.leader.Expel(p.now(), request.Name); err != nil {
 			text = err.Error()
 		}
-		s.status(id, text, 0)
+		s.sendStatus(id, text, 0)
 	case tier.DoReplace:
-		if err := p.Replace(uint64(a.Number), a.Nonce, a.Name); err != nil {
+		if err := p.Replace(uint64(request.Number), request.Nonce, request.Name); err != nil {
 			refuse(err)
 			return
 		}
-		s.status(id, "", 0)
+		s.sendStatus(id, "", 0)
 	default:
-		refuse(errors.New("this planner doesn't know the word " + a.Do))
+		refuse(errors.New("this planner doesn't know the word " + request.Do))
 	}
 }
 
-type errUndecided rollout.Number
+type undecidedError rollout.Number
 
-func (e errUndecided) Error() string {
+func (e undecidedError) Error() string {
 	return fmt.Sprintf("change %d is undecided: wait for it, or abort it", rollout.Number(e))
 }
 
 // settle answers proposals that the log has had.
-func (s *server) settle(c rollout.Command, err error) {
-	if c.Kind != rollout.Propose {
+func (s *server) answerProposals(command rollout.Command, err error) {
+	if command.Kind != rollout.Propose {
 		return
 	}
-	n := s.waiting[:0]
-	for _, w := range s.waiting {
+	open := s.proposals[:0]
+	for _, proposal := range s.proposals {
 		switch {
-		case w.nonce != c.Nonce:
-			if s.p.now() < w.until {
-				n = append(n, w)
+		case proposal.nonce != command.Nonce:
+			if s.planner.now() < proposal.deadline {
+				open = append(open, proposal)
 			}
 		case err != nil:
-			s.status(w.link, err.Error(), 0)
+			s.sendStatus(proposal.link, err.Error(), 0)
 		default:
-			s.status(w.link, "", 0)
+			s.sendStatus(proposal.link, "", 0)
 		}
 	}
-	s.waiting = n
+	s.proposals = open
 }
 
-func (s *server) status(id rollout.Link, text string, n rollout.Number) {
-	p := s.p
-	a := &tier.Answer{Error: text, Planner: p.cfg.ID, Leader: p.leads, State: p.state.WithoutPolicies(n), Planners: p.voting()}
+func (s *server) sendStatus(id rollout.Link, text string, policy rollout.Number) {
+	p := s.planner
+	answer := &tier.Answer{Error: text, Planner: p.config.ID, Leader: p.leaderID, State: p.state.WithoutPolicies(policy), Planners: p.voters()}
 	if p.leader != nil {
 		if progress, ok := p.leader.Progress(p.now()); ok {
-			a.Progress = &progress
+			answer.Progress = &progress
 		}
-		a.Members = p.leader.Members(p.now())
+		answer.Members = p.leader.Members(p.now())
 	}
-	s.send(id, &tier.Frame{Answer: a})
+	s.send(id, &tier.Frame{Answer: answer})
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -18,7 +18,7 @@
 )
 
 // What another planner promised is held against what its disk holds when it comes again; what it may lawfully have lost is not.
-func TestAPlannersWordIsHeldAgainstItsDisk(t *testing.T) {
+func TestStartIsCheckedAgainstPromises(t *testing.T) {
 	st, _, err := openStore(filepath.Join(t.TempDir(), "log"), "planner 1")
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 	p := &Planner{store: st, peers: map[uint64]*peer{}}
 	says := func(kind pb.MessageType, term, index uint64, reject bool) {
 		from := uint64(2)
-		p.said(&pb.Message{Type: &kind, From: &from, Term: &term, Index: &index, Reject: &reject})
+		p.recordPromise(&pb.Message{Type: &kind, From: &from, Term: &term, Index: &index, Reject: &reject})
 	}
 	for _, x := range []struct {
 		do        func()
@@ -46,7 +46,7 @@
 		{func() {}, 6, 20, 78, "has begun its log anew"},
 	} {
 		x.do()
-		if why, err := p.met(&tier.Start{Planner: 2, Disk: x.disk, Term: x.term, Last: x.end}); err != nil || (why == "") != (x.why == "") || !strings.Contains(why, x.why) {
+		if why, err := p.verifyStart(&tier.Start{Planner: 2, Disk: x.disk, Term: x.term, Last: x.end}); err != nil || (why == "") != (x.why == "") || !strings.Contains(why, x.why) {
 			t.Errorf("term %d, entry %d, disk %d: %q, %v", x.term, x.end, x.disk, why, err)
 		}
 	}
@@ -54,10 +54,10 @@
 
 // A planner starts with an older copy of its log, and the first link that it opens to this one is lost with what it began with. Until the
 // next, who leads has filled its log up.
-func TestAFirstLinkThatIsLostHidesNoOlderCopy(t *testing.T) {
-	p := alone(t)
+func TestOlderCopyIsDetectedAfterLostLink(t *testing.T) {
+	p := openPlanner(t)
 	start := func(process, beganLast, last uint64) (why string) {
-		why, err := p.met(&tier.Start{Planner: 2, Disk: 77, Term: 3, Last: last, Process: process, BeganTerm: 3, BeganLast: beganLast})
+		why, err := p.verifyStart(&tier.Start{Planner: 2, Disk: 77, Term: 3, Last: last, Process: process, BeganTerm: 3, BeganLast: beganLast})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -67,7 +67,7 @@
 		t.Fatal(why)
 	}
 	kind, term, index, from := pb.MessageType_MsgAppResp, uint64(3), uint64(20), uint64(2)
-	p.said(&pb.Message{Type: &kind, From: &from, Term: &term, Index: &index})
+	p.recordPromise(&pb.Message{Type: &kind, From: &from, Term: &term, Index: &index})
 	if why := start(1, 1, 20); why != "" {
 		t.Errorf("another link of a process that has been judged: %s", why)
 	}
@@ -83,24 +83,24 @@
 }
 
 // A planner counts as alive by its last message, whatever it was, and not by a mark that is taken off now and then.
-func TestALivePlannerIsOneThatWasHeardLately(t *testing.T) {
-	p := alone(t)
+func TestLivePlannersAreCountedByLastMessage(t *testing.T) {
+	p := openPlanner(t)
 	voters := []uint64{1, 2, 3}
-	if n := p.live(voters, 3); n != 1 {
+	if n := p.countLive(voters, 3); n != 1 {
 		t.Errorf("%d live, and none but this one has ever been heard", n)
 	}
-	p.peer(2).heardAt, p.peer(3).heardAt = p.now(), p.now()
-	if n := p.live(voters, 3); n != 2 {
+	p.peer(2).lastMessage, p.peer(3).lastMessage = p.now(), p.now()
+	if n := p.countLive(voters, 3); n != 2 {
 		t.Errorf("%d live, one was heard just now", n)
 	}
-	p.peer(2).heardAt = p.now() - 2*aliveFor
-	if n := p.live(voters, 3); n != 1 {
+	p.peer(2).lastMessage = p.now() - 2*aliveTimeout
+	if n := p.countLive(voters, 3); n != 1 {
 		t.Errorf("%d live, the other has been silent for long", n)
 	}
 }
 
 // alone opens one planner of three, of which the test plays the others.
-func alone(t *testing.T) *Planner {
+func openPlanner(t *testing.T) *Planner {
 	p, err := Open(Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "127.0.0.1:0", 2: "127.0.0.1:1", 3: "127.0.0.1:1"},
 		LogFile: filepath.Join(t.TempDir(), "log")})
 	if err != nil {
@@ -111,22 +111,22 @@
 }
 
 // A message counts once its sender has said what its disk holds, and only from who it says it is.
-func TestOnlyPlannersThatAreKnownAreHeard(t *testing.T) {
-	p := alone(t)
+func TestRaftMessagesNeedVerifiedSender(t *testing.T) {
+	p := openPlanner(t)
 	says := func(l *link, from, term uint64) uint64 {
 		to, kind := uint64(1), pb.MessageType_MsgHeartbeat
 		text, err := proto.Marshal(&pb.Message{Type: &kind, From: &from, To: &to, Term: &term})
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.server.fromPlanner(1, l, text)
+		p.server.receiveRaft(1, l, text)
 		return p.node.BasicStatus().HardState.GetTerm()
 	}
 	l := &link{}
 	if term := says(l, 2, 7); term != 1 {
 		t.Fatalf("term %d by one that has not said what it holds", term)
 	}
-	p.server.started(1, l, &tier.Start{Planner: 2, Disk: 5, Term: 1, Last: 1})
+	p.server.receiveStart(1, l, &tier.Start{Planner: 2, Disk: 5, Term: 1, Last: 1})
 	if term := says(l, 3, 8); term != 1 {
 		t.Fatalf("term %d by one in another's name", term)
 	}
@@ -134,15 +134,15 @@
 		t.Fatalf("term %d: it isn't heard", term)
 	}
 	anew := &link{}
-	p.server.started(2, anew, &tier.Start{Planner: 2, Disk: 6, Term: 1, Last: 1})
+	p.server.receiveStart(2, anew, &tier.Start{Planner: 2, Disk: 6, Term: 1, Last: 1})
 	if term := says(anew, 2, 20); term != 9 {
 		t.Errorf("term %d by one whose disk is another", term)
 	}
 }
 
-func TestReplacingIsRefusedWithItsReason(t *testing.T) {
-	p := alone(t)
-	p.store.knows(9, 77) // it was one of the tier's, long ago
+func TestReplaceRefusals(t *testing.T) {
+	p := openPlanner(t)
+	p.store.recordPeerDisk(9, 77) // it was one of the tier's, long ago
 	for _, x := range []struct {
 		old, id uint64
 		why     string
@@ -155,8 +155,8 @@
 }
 
 // While a planner is being replaced, most of the old planners are needed as well: the old one is told as one that votes until it has left.
-func TestAPlannerThatIsBeingReplacedStillVotes(t *testing.T) {
-	p := alone(t)
+func TestReplacedPlannerIsReportedAsVoter(t *testing.T) {
+	p := openPlanner(t)
 	conn, err := net.Dial("tcp", p.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -187,7 +187,7 @@
 }
 
 // besideListener opens planner 1 of three, with the test in place of planner 2. nextLink gives the next link that it opens to that one.
-func besideListener(t *testing.T) (p *Planner, nextLink func() net.Conn) {
+func openPlannerWithPeer(t *testing.T) (p *Planner, nextLink func() net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -212,12 +212,12 @@
 // Who has heard what a planner promised may be one to which that one has nothing to send: it is told of the start all the same, so that it
 // can judge it. Each link begins with what the disk held as the process began, though who leads has filled it up meanwhile, and with what it
 // holds now.
-func TestEachLinkTellsWhatTheDiskHeldAtTheStart(t *testing.T) {
-	p, nextLink := besideListener(t)
+func TestLinksBeginWithStartRecord(t *testing.T) {
+	p, nextLink := openPlannerWithPeer(t)
 	first := nextLink()
 	f, err := tier.Read(bufio.NewReader(first))
-	if err != nil || f.Start == nil || f.Start.Planner != 1 || f.Start.Process != p.process || p.process == 0 {
-		t.Errorf("%+v, %v: the start of process %d was expected", f.Start, err, p.process)
+	if err != nil || f.Start == nil || f.Start.Planner != 1 || f.Start.Process != p.processID || p.processID == 0 {
+		t.Errorf("%+v, %v: the start of process %d was expected", f.Start, err, p.processID)
 	}
 	index, term := uint64(2), uint64(1)
 	if err := p.store.save(&raft.Ready{Entries: []*pb.Entry{{Index: &index, Term: &term}}}); err != nil {
@@ -227,13 +227,13 @@
 	second := nextLink()
 	defer second.Close()
 	f, err = tier.Read(bufio.NewReader(second))
-	if err != nil || f.Start == nil || f.Start.BeganLast != 1 || f.Start.Last != 2 || f.Start.Process != p.process {
-		t.Errorf("%+v, %v: entry 1 as process %d began and 2 now were expected", f.Start, err, p.process)
+	if err != nil || f.Start == nil || f.Start.BeganLast != 1 || f.Start.Last != 2 || f.Start.Process != p.processID {
+		t.Errorf("%+v, %v: entry 1 as process %d began and 2 now were expected", f.Start, err, p.processID)
 	}
 }
 
 // A planner that begins, or is sent the state as a whole, may have missed lists of members: it says of none that all are known.
-func TestAPlannerThatBeginsKnowsNotAllLists(t *testing.T) {
+func TestMembershipHistoryIsIncompleteAfterStart(t *testing.T) {
 	p, err := Open(Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "127.0.0.1:0"}, LogFile: filepath.Join(t.TempDir(), "log"),
 		Rollout: rollout.Config{Lease: time.Hour}})
 	if err != nil {
@@ -241,14 +241,14 @@
 	}
 	defer p.store.close()
 	defer p.server.close()
-	if _, whole := p.views.Past(p.now()); whole {
+	if _, whole := p.history.Past(p.now()); whole {
 		t.Error("it knows all lists")
 	}
 }
 
 // Who says more than the planner can work off waits in its own socket, and keeps its link; what planners say to one another doesn't wait behind it.
-func TestLinksWaitWhereTooMuchIsSaid(t *testing.T) {
-	p := alone(t)
+func TestFullEventQueueBlocksLinks(t *testing.T) {
+	p := openPlanner(t)
 	say := func(f *tier.Frame, times int) net.Conn {
 		conn, err := net.Dial("tcp", p.Address())
 		if err != nil {
@@ -268,18 +268,18 @@
 		}()
 		return conn
 	}
-	first := say(&tier.Frame{Strange: "nothing that a planner answers"}, mostEvents+100)
-	for len(p.events) < mostEvents {
+	first := say(&tier.Frame{Strange: "nothing that a planner answers"}, maxQueuedEvents+100)
+	for len(p.events) < maxQueuedEvents {
 		time.Sleep(time.Millisecond)
 	}
 	say(&tier.Frame{Raft: []byte("x")}, 1)
-	(<-p.urgent)()
+	(<-p.peerEvents)()
 	done := make(chan bool)
 	go func() {
 		defer close(done)
-		for n := 0; n < mostEvents+101; n++ { // the last is the end of the link, as the test lets it end
+		for n := 0; n < maxQueuedEvents+101; n++ { // the last is the end of the link, as the test lets it end
 			(<-p.events)()
-			if n == mostEvents+99 {
+			if n == maxQueuedEvents+99 {
 				first.Close()
 			}
 		}
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -13,44 +13,44 @@
 )
 
 const (
-	queued     = 256              // frames that wait for one link; beyond, the link is closed
-	writeFor   = 2 * time.Second  // that a frame may take
-	silentFor  = 30 * time.Second // a link that says nothing for so long is closed
-	dialFor    = time.Second
-	redial     = 200 * time.Millisecond
-	tellFrames = time.Minute // one line a peer about unreadable frames
-	askFor     = 2 * time.Second
+	linkQueueLength     = 256              // frames that wait for one link; beyond, the link is closed
+	writeTimeout        = 2 * time.Second  // that a frame may take
+	readTimeout         = 30 * time.Second // a link that says nothing for so long is closed
+	dialTimeout         = time.Second
+	redialInterval      = 200 * time.Millisecond
+	badFrameLogInterval = time.Minute // one line a peer about unreadable frames
+	proposalTimeout     = 2 * time.Second
 )
 
 // server holds the planner's links. Each has a goroutine that reads and one that writes; what they bring goes through Planner.post.
 type server struct {
-	p        *Planner
-	listener net.Listener
-	mu       sync.Mutex
-	peers    map[uint64]*toPeer // the other planners
-	links    map[rollout.Link]*link
-	last     rollout.Link
-	told     map[string]time.Time
-
-	waiting []waiting // proposals that are not in the log yet; the planner's goroutine's alone
+	planner        *Planner
+	listener       net.Listener
+	mu             sync.Mutex
+	peers          map[uint64]*peerQueue // the other planners
+	links          map[rollout.Link]*link
+	lastLink       rollout.Link
+	badFrameLogged map[string]time.Time
+
+	proposals []pendingProposal // proposals that are not in the log yet; the planner's goroutine's alone
 }
 
 type link struct {
-	conn    net.Conn
-	out     chan []byte
-	proxy   bool
-	planner uint64 // another one that has said what its disk holds, and may be believed; the planner's goroutine's alone
-	once    sync.Once
+	conn      net.Conn
+	sendQueue chan []byte
+	isProxy   bool
+	peerID    uint64 // another one that has said what its disk holds, and may be believed; the planner's goroutine's alone
+	closeOnce sync.Once
 }
 
-func (l *link) close() { l.once.Do(func() { l.conn.Close(); close(l.out) }) }
+func (l *link) close() { l.closeOnce.Do(func() { l.conn.Close(); close(l.sendQueue) }) }
 
-func listen(p *Planner, address string) (*server, error) {
+func newServer(p *Planner, address string) (*server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	s := &server{p: p, listener: ln, peers: map[uint64]*toPeer{}, links: map[rollout.Link]*link{}, told: map[string]time.Time{}}
+	s := &server{planner: p, listener: ln, peers: map[uint64]*peerQueue{}, links: map[rollout.Link]*link{}, badFrameLogged: map[string]time.Time{}}
 	go s.accept()
 	return s, nil
 }
@@ -59,17 +59,17 @@
 func (s *server) connect(want map[uint64]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, x := range s.peers {
-		if want[id] != x.address {
-			close(x.out)
+	for id, queue := range s.peers {
+		if want[id] != queue.address {
+			close(queue.messages)
 			delete(s.peers, id)
 		}
 	}
 	for id, address := range want {
 		if s.peers[id] == nil {
-			x := &toPeer{address, make(chan []byte, queued)}
-			s.peers[id] = x
-			go s.dial(id, x)
+			queue := &peerQueue{address, make(chan []byte, linkQueueLength)}
+			s.peers[id] = queue
+			go s.dial(id, queue)
 		}
 	}
 }
@@ -81,8 +81,8 @@
 	for _, l := range s.links {
 		l.conn.Close()
 	}
-	for id, x := range s.peers {
-		close(x.out)
+	for id, queue := range s.peers {
+		close(queue.messages)
 		delete(s.peers, id)
 	}
 }
@@ -94,25 +94,25 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(redial) // no descriptors, say: those that are there go on
+			time.Sleep(redialInterval) // no descriptors, say: those that are there go on
 			continue
 		}
 		s.mu.Lock()
-		s.last++
-		id, l := s.last, &link{conn: conn, out: make(chan []byte, queued)}
-		s.links[id] = l
+		s.lastLink++
+		id, connection := s.lastLink, &link{conn: conn, sendQueue: make(chan []byte, linkQueueLength)}
+		s.links[id] = connection
 		s.mu.Unlock()
-		go s.write(l)
-		go s.read(id, l)
+		go s.write(connection)
+		go s.read(id, connection)
 	}
 }
 
 func (s *server) write(l *link) {
-	for b := range l.out {
-		l.conn.SetWriteDeadline(time.Now().Add(writeFor))
+	for b := range l.sendQueue {
+		l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := l.conn.Write(b); err != nil {
 			l.conn.Close()
-			for range l.out { // until it is closed
+			for range l.sendQueue { // until it is closed
 			}
 			return
 		}
@@ -122,18 +122,18 @@
 func (s *server) read(id rollout.Link, l *link) {
 	r := bufio.NewReader(l.conn)
 	for {
-		l.conn.SetReadDeadline(time.Now().Add(silentFor))
+		l.conn.SetReadDeadline(time.Now().Add(readTimeout))
 		f, err := tier.Read(r)
 		if err != nil {
-			s.unreadable(l, err)
+			s.logBadFrame(l, err)
 			break
 		}
-		say := func() { s.heard(id, l, &f) }
+		handle := func() { s.handleFrame(id, l, &f) }
 		switch {
 		case f.Raft != nil:
-			s.p.hurry(say)
+			s.planner.postFromPeer(handle)
 			continue
-		case f.Start != nil && s.p.hurry(say), f.Start == nil && s.p.post(say): // without its start nothing would be heard on this link
+		case f.Start != nil && s.planner.postFromPeer(handle), f.Start == nil && s.planner.post(handle): // without its start nothing would be heard on this link
 			continue
 		}
 		break
@@ -142,46 +142,46 @@
 	delete(s.links, id)
 	s.mu.Unlock()
 	l.close()
-	s.p.post(func() {
-		if s.p.leader != nil {
-			s.p.leader.LinkDown(id)
+	s.planner.post(func() {
+		if s.planner.leader != nil {
+			s.planner.leader.LinkDown(id)
 		}
-		s.p.healthDown(id)
+		s.planner.detachHealthLink(id)
 	})
 }
 
-func (s *server) unreadable(l *link, err error) {
+func (s *server) logBadFrame(l *link, err error) {
 	if !errors.Is(err, tier.ErrFrame) {
 		return
 	}
 	host, _, _ := net.SplitHostPort(l.conn.RemoteAddr().String())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now := time.Now(); now.Sub(s.told[host]) >= tellFrames && len(s.told) < 1024 {
-		s.told[host] = now
+	if now := time.Now(); now.Sub(s.badFrameLogged[host]) >= badFrameLogInterval && len(s.badFrameLogged) < 1024 {
+		s.badFrameLogged[host] = now
 		slog.Warn("a link is closed over what can't be read", "from", host, "error", err)
 	}
 }
 
 // heard takes a frame; it runs on the planner's goroutine.
-func (s *server) heard(id rollout.Link, l *link, f *tier.Frame) {
-	p := s.p
+func (s *server) handleFrame(id rollout.Link, l *link, f *tier.Frame) {
+	p := s.planner
 	switch {
 	case f.Start != nil:
-		s.started(id, l, f.Start)
+		s.receiveStart(id, l, f.Start)
 	case f.Raft != nil:
-		s.fromPlanner(id, l, f.Raft)
+		s.receiveRaft(id, l, f.Raft)
 	case f.Tier != nil:
-		l.proxy = true
+		l.isProxy = true
 		if p.leader == nil {
 			s.send(id, &tier.Frame{Tier: &rollout.Message{Kind: rollout.NotLeader}})
 			return
 		}
 		p.leader.Receive(p.now(), id, *f.Tier)
 	case f.Health != nil:
-		s.health(id, f.Health)
+		s.receiveHealth(id, f.Health)
 	case f.Ask != nil:
-		s.ask(id, f.Ask)
+		s.handleOperator(id, f.Ask)
 	}
 }
 
@@ -199,7 +199,7 @@
 		return
 	}
 	select {
-	case l.out <- b:
+	case l.sendQueue <- b:
 	default:
 		l.conn.Close()
 	}
@@ -210,7 +210,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
-		if l.proxy {
+		if l.isProxy {
 			l.conn.Close()
 		}
 	}
--- a/internal/planner/store_test.go
+++ b/internal/planner/store_test.go
@@ -15,7 +15,7 @@
 	return &pb.Entry{Index: &i, Term: &term, Data: []byte(text)}
 }
 
-func filled(t *testing.T) string {
+func writeTestLog(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "log")
 	s, fresh, err := openStore(path, "planner 1 of [1]")
 	if err != nil || !fresh {
@@ -32,32 +32,32 @@
 	return path
 }
 
-func TestTheLogComesBack(t *testing.T) {
-	s, fresh, err := openStore(filled(t), "planner 1")
+func TestStoreReload(t *testing.T) {
+	s, fresh, err := openStore(writeTestLog(t), "planner 1")
 	if err != nil || fresh {
 		t.Fatal(fresh, err)
 	}
 	defer s.close()
-	hard, _, _ := s.mem.InitialState()
-	last, _ := s.mem.LastIndex()
+	hard, _, _ := s.memory.InitialState()
+	last, _ := s.memory.LastIndex()
 	if hard.GetTerm() != 3 || hard.GetVote() != 1 || last != 2 {
 		t.Fatalf("term %d, vote %d, %d entries", hard.GetTerm(), hard.GetVote(), last)
 	}
-	e, err := s.mem.Entries(1, 3, 1<<20)
+	e, err := s.memory.Entries(1, 3, 1<<20)
 	if err != nil || string(e[0].GetData()) != "one" || string(e[1].GetData()) != "another two" {
 		t.Fatal(e, err)
 	}
-	if err := s.shorten(2, &pb.ConfState{Voters: []uint64{1}}, []byte("state"), 1); err != nil {
+	if err := s.compact(2, &pb.ConfState{Voters: []uint64{1}}, []byte("state"), 1); err != nil {
 		t.Fatal(err)
 	}
-	if first, _ := s.mem.FirstIndex(); first != 2 {
+	if first, _ := s.memory.FirstIndex(); first != 2 {
 		t.Errorf("the log begins with %d", first)
 	}
 }
 
 // A vote that was forgotten, or an entry that reads otherwise, would break what was promised to others.
-func TestAFlippedBitIsNoticed(t *testing.T) {
-	path := filled(t)
+func TestStoreDetectsBitFlip(t *testing.T) {
+	path := writeTestLog(t)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -75,19 +75,19 @@
 		at += 1 + next
 	}
 	os.WriteFile(path, text, 0o600)
-	if _, _, err := openStore(path, "planner 1"); !errors.Is(err, errDamaged) || !strings.Contains(err.Error(), "entry 2") {
+	if _, _, err := openStore(path, "planner 1"); !errors.Is(err, errCorrupt) || !strings.Contains(err.Error(), "entry 2") {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestALogIsOnePlanners(t *testing.T) {
-	path := filled(t)
+func TestStoreBelongsToOnePlanner(t *testing.T) {
+	path := writeTestLog(t)
 	if _, _, err := openStore(path, "planner 2"); err == nil || !strings.Contains(err.Error(), "it is that of planner 1") {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestPlannersAreNamedWhole(t *testing.T) {
+func TestParsePeers(t *testing.T) {
 	if p, err := ParsePeers("1=a:1, 2=b:2"); err != nil || p[2] != "b:2" {
 		t.Error(p, err)
 	}
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -5,7 +5,7 @@
 // CommandKind is the type of a Command.
 type CommandKind uint8
 
-// The commands, each with the fields that it uses.
+// The kinds of commands, each with the fields that it uses.
 const (
 	Join    CommandKind = iota + 1 // Name, Nonce, Address
 	Leave                          // Member, and the leader's term in Round
@@ -25,7 +25,7 @@
 	Round          Round         `cbor:"6,keyasint,omitempty"`
 	MembersVersion uint64        `cbor:"7,keyasint,omitempty"`
 	Policy         []byte        `cbor:"8,keyasint,omitempty"`
-	Comment        string        `cbor:"9,keyasint,omitempty"`  // the operator's, on the change
+	Comment        string        `cbor:"9,keyasint,omitempty"`  // the operator's comment on the change
 	Reason         string        `cbor:"10,keyasint,omitempty"` // why the change is aborted
 	Time           int64         `cbor:"11,keyasint,omitempty"` // Unix milliseconds, for the history only
 	Lease          time.Duration `cbor:"12,keyasint,omitempty"` // with Release: the leader's configured lease, which must equal the tier's
--- a/internal/rollout/config.go
+++ b/internal/rollout/config.go
@@ -4,18 +4,18 @@
 
 // Config holds the timing of a tier. All its processes must use the same values.
 type Config struct {
-	// Lease is how long a proxy may admit requests after it sent a renewal. A proxy that is cut off stops then, and a change waits that
-	// long for it. With 0 there are no leases: a proxy that is cut off goes on serving, and a change that it does not agree to is aborted.
+	// Lease is how long a proxy may admit requests after it sent a renewal. A partitioned proxy stops then, and a change waits that
+	// long for it. With 0 there are no leases: a partitioned proxy goes on serving, and a change that it does not agree to is aborted.
 	Lease time.Duration
 	// ClockMargin is how much longer the planners regard a lease as valid, for clocks that run at different rates. Default: Lease/4.
 	ClockMargin time.Duration
-	// ShortLease is granted once a change has been pending for Lease/2. In a tier of hundreds of proxies some member is always silent
-	// without its lease having expired, and with full leases a change would never complete. Default: Lease/8, at least 250 ms.
+	// ShortLease is granted once a change has been pending for Lease/2. In a tier of hundreds of proxies, at any time some member is
+	// silent while its lease still runs, and with full leases a change would never complete. Default: Lease/8, at least 250 ms.
 	ShortLease    time.Duration
-	AnswerTimeout time.Duration // a member that owes an answer for longer gets no further lease; default 300 ms
-	RoundTimeout  time.Duration // a round in which not all members hold by then is released; default 150 ms
+	AnswerTimeout time.Duration // a member whose answer is outstanding for longer gets no further lease; default 300 ms
+	RoundTimeout  time.Duration // a round is released if not all members hold within it; default 150 ms
 	RoundPause    time.Duration // between the release of a round and the next one; default 250 ms
-	ChangeTimeout time.Duration // a change that is not committed by then is aborted; default 4 * (Lease + ClockMargin) + 2 s
+	ChangeTimeout time.Duration // a change is aborted if it is not committed within it; default 4 * (Lease + ClockMargin) + 2 s
 
 	DisabledGuards Guards // for mutation tests only
 }
--- a/internal/rollout/exploration.go
+++ b/internal/rollout/exploration.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Copies and encodings of the state for the exhaustive exploration in internal/lab/explore.
+// This file holds copies and encodings of the state for the exhaustive exploration in internal/lab/explore.
 
 // Clone returns a copy that shares no mutable data with p. Policy switches that were not taken are dropped.
 func (p *Proxy) Clone() *Proxy {
@@ -32,7 +32,7 @@
 	return &c
 }
 
-// appendAge appends now - t, clamped to ±limit: times that lie further back have the same effect.
+// appendAge appends now - t, clamped to ±limit, since times further back have the same effect.
 func appendAge(dst []byte, now, t, limit time.Duration) []byte {
 	return binary.AppendVarint(dst, int64(min(max(now-t, -limit), limit)))
 }
@@ -54,7 +54,7 @@
 	return dst
 }
 
-// agesPerLease bounds the ages that AppendState tells apart, in leases.
+// agesPerLease bounds the ages that AppendState distinguishes, in leases.
 const agesPerLease = 3
 
 // AppendState appends an encoding of all that the proxy's future behaviour depends on. Times are relative to now.
@@ -89,15 +89,15 @@
 func (l *Leader) AppendState(dst []byte, now time.Duration) []byte {
 	limit := agesPerLease * (l.config.Lease + l.config.ClockMargin)
 	dst = appendNumbers(dst, uint64(l.term), uint64(l.change.number), l.round.Count)
-	dst = appendFlags(dst, l.Leading(), l.open, l.change.abortReason != "", l.released > 0, l.ready.Confirm)
+	dst = appendFlags(dst, l.Leading(), l.roundOpen, l.change.abortReason != "", l.lastRelease > 0, l.ready.Confirm)
 	if l.change.number > 0 {
-		dst = appendAge(dst, now, l.change.began, limit)
+		dst = appendAge(dst, now, l.change.start, limit)
 	}
-	if l.open {
-		dst = appendAge(dst, now, l.opened, limit)
+	if l.roundOpen {
+		dst = appendAge(dst, now, l.roundStart, limit)
 	}
-	if l.released > 0 {
-		dst = appendAge(dst, now, l.released, limit)
+	if l.lastRelease > 0 {
+		dst = appendAge(dst, now, l.lastRelease, limit)
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.members)) {
 		dst = l.members[id].appendState(append(dst, 's'), id, now, limit)
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -13,41 +13,41 @@
 	config    Config
 	state     *State
 	term      Term
-	termBegan time.Duration // when the first command of this term was applied; 0 = not yet
-	err       error         // why this planner can't lead
+	termStart time.Duration // when the first command of this term was applied; 0 = not yet
+	err       error         // why this planner can't lead; nil = it can
 
 	members map[Member]*memberState
-	joining map[Link]Message   // the Hello of each connection that is no member's yet
-	history *MembershipHistory // nil = members are not told of one another
+	joining map[Link]Message   // the Hello of each connection whose proxy has not joined yet
+	history *MembershipHistory // nil = the membership is not sent to members
 
-	change   pendingChange
-	round    Round // the latest
-	open     bool  // round has not ended
-	opened   time.Duration
-	released time.Duration // when the latest round was released without a commit; 0 = none was, for this change
+	change      pendingChange
+	round       Round // the latest round
+	roundOpen   bool  // round has not ended
+	roundStart  time.Duration
+	lastRelease time.Duration // when the latest round of this change was released without a commit; 0 = none was
 
-	renewals   []renewal // wait for the next confirmation
-	confirming []renewal // wait for the confirmation that is under way
+	renewals   []renewal // to be answered after the next confirmation
+	confirming []renewal // to be answered after the confirmation in progress
 	inFlight   map[submission]time.Duration
 
 	ready Ready
 
-	membersVisited uint64 // by Tick, so that a test can show that its work grows linearly
-	incomplete     int    // members that the change waited for when Tick last counted
+	membersVisited uint64 // visits by Tick, so that a test can show that its work is linear
+	awaitedCount   int    // members that the change waited for when Tick last counted
 }
 
-// pendingChange is the change that the leader drives to its outcome.
+// pendingChange is the state of the undecided change.
 type pendingChange struct {
 	number      Number // 0 = none
-	began       time.Duration
-	abortReason string // not empty = it is to be aborted
+	start       time.Duration
+	abortReason string // not empty = the change is to be aborted
 
-	// A change that was in this planner's log before it led, and since when: its timeout doesn't restart with each leader.
-	knownNumber Number
-	knownSince  time.Duration
+	// A change that was in this planner's log before it led, and since when, so that its timeout doesn't restart with each leader.
+	inheritedNumber Number
+	inheritedStart  time.Duration
 }
 
-// submission identifies a command that is on its way to the log, so that it isn't submitted twice.
+// submission identifies a command that was submitted to the log, so that it isn't submitted twice.
 type submission struct {
 	kind    CommandKind
 	name    string // Join
@@ -60,14 +60,16 @@
 type Ready struct {
 	Messages []Envelope
 	Commands []Command // to be proposed to the log
-	// Confirm asks for proof that this planner still leads, by a round of heartbeats among the planners that begins now. Call Confirmed then.
+	// Confirm requests proof that this planner still leads, by a round of heartbeats among the planners that begins now. The caller must
+	// call Confirmed when it has succeeded.
 	Confirm bool
 }
 
 // Empty reports whether there is nothing to carry out.
 func (r Ready) Empty() bool { return len(r.Messages) == 0 && len(r.Commands) == 0 && !r.Confirm }
 
-// NewLeader begins a term. The leader answers nobody until its first command has been applied, which ends all rounds of earlier terms.
+// NewLeader begins a term. The leader answers no message until its first command has been applied, which ends all rounds of earlier
+// terms.
 func NewLeader(config Config, state *State, term Term) *Leader {
 	l := &Leader{
 		config:   config.WithDefaults(),
@@ -93,18 +95,18 @@
 func (l *Leader) Term() Term { return l.term }
 
 // Leading reports whether the first command of the term has been applied.
-func (l *Leader) Leading() bool { return l.termBegan > 0 }
+func (l *Leader) Leading() bool { return l.termStart > 0 }
 
 // Err returns why this planner can't lead; nil if it can.
 func (l *Leader) Err() error { return l.err }
 
-// ShareMembers makes the leader tell members that have an address of one another. It has no effect without leases, which bound how long a
-// list of members may be used.
+// ShareMembers makes the leader send the membership to the members that have an address or a zone. It has no effect without leases, which
+// bound how long a list of members may be used.
 func (l *Leader) ShareMembers(history *MembershipHistory) { l.history = history }
 
 // SetChangeStart tells since when, by this planner's clock, its log has held a change, so that ChangeTimeout doesn't restart with a new leader.
 func (l *Leader) SetChangeStart(number Number, at time.Duration) {
-	l.change.knownNumber, l.change.knownSince = number, at
+	l.change.inheritedNumber, l.change.inheritedStart = number, at
 }
 
 // Propose submits a Propose command of the operator.
@@ -146,7 +148,7 @@
 	if c.Round.Count != 0 || l.Leading() {
 		return
 	}
-	l.termBegan = now
+	l.termStart = now
 	for _, entry := range l.state.Members {
 		member := &memberState{}
 		l.members[entry.Member] = member
@@ -162,7 +164,7 @@
 	delete(l.inFlight, submission{kind: Join, name: c.Name})
 	for _, entry := range l.state.Members {
 		if entry.Name == c.Name && entry.Nonce == c.Nonce && l.members[entry.Member] == nil && l.Leading() {
-			member := &memberState{lastHeard: now}
+			member := &memberState{lastMessage: now}
 			l.members[entry.Member] = member
 			l.grantLease(now, member, l.config.Lease)
 		}
@@ -174,7 +176,7 @@
 	}
 }
 
-// LinkDown tells that a connection has ended.
+// LinkDown records that a connection has ended.
 func (l *Leader) LinkDown(link Link) {
 	delete(l.joining, link)
 	for _, member := range l.members {
@@ -198,7 +200,7 @@
 		l.send(link, Message{Kind: NotMember, Member: m.Member})
 		return
 	}
-	member.lastHeard, member.link = now, link
+	member.lastMessage, member.link = now, link
 	if m.Kind == Renew {
 		// No Tick: a change doesn't wait for renewals, and visiting all members for each would be most of the work in a tier of thousands.
 		l.receiveRenewal(link, member, m)
@@ -207,15 +209,15 @@
 	awaited := l.awaits(member)
 	l.receiveAnswer(now, link, member, m)
 	if awaited && !l.awaits(member) {
-		l.incomplete--
+		l.awaitedCount--
 	}
-	if l.incomplete > 0 && (m.Kind == Agree || m.Kind == Held) {
-		return // others are missing: visiting all members for each answer took 0.7 s of a change with 3,000 of them
+	if l.awaitedCount > 0 && (m.Kind == Agree || m.Kind == Held) {
+		return // others are outstanding: visiting all members for each answer took 0.7 s of a change with 3,000 of them
 	}
 	l.Tick(now)
 }
 
-// receiveAnswer handles what a member answers to a change, and its leaving.
+// receiveAnswer handles a member's answer to a change, and its Leaving.
 func (l *Leader) receiveAnswer(now time.Duration, link Link, member *memberState, m Message) {
 	current := m.Number == l.change.number && l.state.Pending() != nil
 	switch m.Kind {
@@ -233,7 +235,7 @@
 			l.send(link, l.status(m.Member))
 		}
 		member.awaitedSince = 0
-		if m.Round == l.round && l.open {
+		if m.Round == l.round && l.roundOpen {
 			member.heldRound = m.Round
 		}
 	case Leaving:
@@ -248,7 +250,7 @@
 	}
 }
 
-// status returns what the log says about the policy in force and the rounds that have ended.
+// status returns a Status message with the policy in force and the rounds that have ended, as of the log.
 func (l *Leader) status(to Member) Message {
 	return Message{Kind: Status, Member: to, Number: l.state.InForce, Round: l.state.ReleasedRound}
 }
--- a/internal/rollout/leader_leases.go
+++ b/internal/rollout/leader_leases.go
@@ -11,17 +11,17 @@
 	seq            uint64
 	link           Link
 	membersVersion uint64 // that the member knows
-	takesChanges   bool   // it takes what has changed since then
+	acceptsDelta   bool   // the member accepts a delta to membersVersion
 }
 
-// receiveRenewal queues a request for a lease, or answers it where there are no leases and the request is a mere heartbeat.
+// receiveRenewal queues a request for a lease. Where there are no leases the request is a mere heartbeat, and is answered at once.
 func (l *Leader) receiveRenewal(link Link, member *memberState, m Message) {
 	member.policyNumber = m.Number
 	if m.Number < l.state.InForce || l.config.Lease == 0 {
 		l.send(link, l.status(m.Member))
 	}
 	if l.config.Lease > 0 {
-		l.queueRenewal(renewal{member: m.Member, seq: m.Seq, link: link, membersVersion: m.MembersVersion, takesChanges: m.AcceptsDelta})
+		l.queueRenewal(renewal{member: m.Member, seq: m.Seq, link: link, membersVersion: m.MembersVersion, acceptsDelta: m.AcceptsDelta})
 	}
 }
 
@@ -42,7 +42,7 @@
 	l.requestConfirmation()
 }
 
-// requestConfirmation starts a confirmation for the queued renewals, unless one is under way.
+// requestConfirmation starts a confirmation for the queued renewals, unless one is in progress.
 func (l *Leader) requestConfirmation() {
 	if len(l.confirming) == 0 && len(l.renewals) > 0 {
 		l.confirming, l.renewals = l.renewals, nil
@@ -50,7 +50,7 @@
 	}
 }
 
-// Confirmed tells that this planner led at some time after Ready.Confirm was returned. The leases that waited for it are granted.
+// Confirmed records that this planner led at some time after Ready.Confirm was returned. It grants the leases that waited for it.
 func (l *Leader) Confirmed(now time.Duration) {
 	for _, r := range l.confirming {
 		member := l.members[r.member]
@@ -62,14 +62,14 @@
 	l.requestConfirmation()
 }
 
-// answerRenewal grants a lease, after the list of members if the member has an address and knows another version.
+// answerRenewal grants a lease. Before it, it sends the membership if the member needs it and knows another version.
 func (l *Leader) answerRenewal(now time.Duration, r renewal, member *memberState, entry *MemberEntry) {
 	length := l.leaseDuration(now)
 	l.grantLease(now, member, length)
 	granted := Message{Kind: Granted, Member: r.member, Seq: r.seq, Lease: length}
 	if l.history != nil && entry.needsMembers() {
-		// The log was confirmed after the request: the list is valid for the granted lease. It is sent only if all earlier lists are known,
-		// or replicas that only an earlier list names would be missed.
+		// Leadership was confirmed after the request, so the list is valid for the granted lease. It is sent only if all earlier lists are
+		// known; otherwise replicas that only an earlier list selects would be missed.
 		past, complete := l.history.Past(now)
 		if complete {
 			granted.MembersVersion = l.state.MembersVersion
@@ -81,11 +81,11 @@
 	l.send(r.link, granted)
 }
 
-// membersFor returns the message with the membership for a member: what has changed since the version that it knows, where that is known
-// here, and all entries otherwise.
+// membersFor returns the message with the membership for a member: a delta to the version that it knows if the history still has it,
+// and all entries otherwise.
 func (l *Leader) membersFor(r renewal, past []PastMembers) Message {
 	m := Message{Kind: Members, Member: r.member, MembersVersion: l.state.MembersVersion, Members: l.state.Members, PastMembers: past}
-	if !r.takesChanges {
+	if !r.acceptsDelta {
 		return m
 	}
 	if joined, left, ok := l.history.Since(r.membersVersion); ok {
@@ -96,13 +96,14 @@
 
 // leaseDuration returns the length of a lease that is granted now.
 func (l *Leader) leaseDuration(now time.Duration) time.Duration {
-	if l.change.number != 0 && l.state.Pending() != nil && now-l.change.began >= l.config.Lease/2 {
+	if l.change.number != 0 && l.state.Pending() != nil && now-l.change.start >= l.config.Lease/2 {
 		return l.config.ShortLease
 	}
 	return l.config.Lease
 }
 
-// grantLease records a lease. A shorter one does not shorten a longer one that was granted before: the proxy may have received only that.
+// grantLease records a lease. A shorter one does not shorten a longer one that was granted before, since the proxy may have received only
+// the longer one.
 func (l *Leader) grantLease(now time.Duration, member *memberState, length time.Duration) {
 	if l.config.DisabledGuards.Has(NoLeaseMaximum) {
 		member.leaseEnd, member.expiry = 0, 0
@@ -114,8 +115,8 @@
 	}
 }
 
-// mayRenew reports whether a member may get a further lease. One that owes an answer for too long may not, or a change would wait for it
-// without end; nor may one that is leaving.
+// mayRenew reports whether a member may get a further lease. One whose answer is overdue may not, or a change would wait for it without
+// end; nor may one that is leaving.
 func (l *Leader) mayRenew(now time.Duration, member *memberState) bool {
 	answers := member.awaitedSince == 0 || now-member.awaitedSince < l.config.AnswerTimeout
 	stays := !member.leaving || l.config.DisabledGuards.Has(NoLeaveCheck)
--- a/internal/rollout/leader_members.go
+++ b/internal/rollout/leader_members.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// ErrNotMember is returned for a name that no member of the tier has.
+// ErrNotMember is returned for a name that belongs to no member of the tier.
 var ErrNotMember = errors.New("is no member")
 
 // memberState is what the leader knows of a member.
 type memberState struct {
 	link         Link
-	policyNumber Number // that the member serves under, as it last said
-	lastHeard    time.Duration
+	policyNumber Number // that the member serves under, as of its last message
+	lastMessage  time.Duration
 
 	leaseEnd time.Duration // of the longest lease that was granted, by this planner's clock
-	expiry   time.Duration // leaseEnd with the clock margin: the member admits nothing after it
-	leaving  bool          // it gets no further lease: it said so, its lease has expired, or the operator expels it
+	expiry   time.Duration // leaseEnd plus the clock margin: the member admits nothing after it
+	leaving  bool          // no further lease is granted: the member is leaving, its lease has expired, or the operator expels it
 
 	agreed       bool
 	heldRound    Round
-	awaitedSince time.Duration // since when it owes an answer; 0 = it owes none
+	awaitedSince time.Duration // since when an answer is outstanding; 0 = none is
 	lastRequest  time.Duration // when the answer was last requested
 }
 
@@ -29,7 +29,7 @@
 type MemberInfo struct {
 	Name             string        `json:"name"`
 	Member           Member        `json:"member"`
-	Number           Number        `json:"number"` // of the policy that it serves under
+	Number           Number        `json:"number"` // of the policy that the member serves under
 	Linked           bool          `json:"linked"`
 	SinceLastMessage time.Duration `json:"heard"`
 	LeaseRemaining   time.Duration `json:"lease"`
@@ -43,7 +43,7 @@
 		if member := l.members[entry.Member]; member != nil {
 			info.Number = member.policyNumber
 			info.Linked = member.link != 0
-			info.SinceLastMessage = now - member.lastHeard
+			info.SinceLastMessage = now - member.lastMessage
 			info.LeaseRemaining = member.leaseEnd - now
 		}
 		infos = append(infos, info)
@@ -51,10 +51,10 @@
 	return infos
 }
 
-// receiveHello handles a connection that came up: a member that reconnects, a new member, or a second process with the name of a member.
+// receiveHello handles a new connection: of a member that reconnects, of a new member, or of a second process with a member's name.
 func (l *Leader) receiveHello(now time.Duration, link Link, hello Message) {
-	if hello.Lease != l.config.Lease { // the proxy would serve for longer than a change waits for it
-		reason := fmt.Sprintf("%s goes by a lease of %v, the planners by %v", hello.Name, hello.Lease, l.config.Lease)
+	if hello.Lease != l.config.Lease { // the proxy might serve for longer than a change waits for it
+		reason := fmt.Sprintf("%s has a lease of %v configured, the planners have %v", hello.Name, hello.Lease, l.config.Lease)
 		l.send(link, Message{Kind: JoinDelayed, Nonce: hello.Nonce, Reason: reason})
 		return
 	}
@@ -72,7 +72,7 @@
 	l.submit(now, submission{kind: Join, name: hello.Name}, Command{Kind: Join, Name: hello.Name, Nonce: hello.Nonce, Address: hello.Address, Zone: hello.Zone})
 }
 
-// reconnect takes a member's new connection.
+// reconnect handles a member's new connection.
 func (l *Leader) reconnect(now time.Duration, link Link, hello Message) {
 	entry, member := l.state.Entry(hello.Member), l.members[hello.Member]
 	if entry == nil || entry.Name != hello.Name || member == nil {
@@ -84,7 +84,8 @@
 	l.requestAnswer(now, hello.Member, member)
 }
 
-// welcomeOrDelay answers a proxy that has the name of a member: it is that member, or has to wait until that one has left.
+// welcomeOrDelay answers a proxy that has the name of a member. It is welcomed if it is that member; otherwise it has to wait until the
+// member has left.
 func (l *Leader) welcomeOrDelay(now time.Duration, link Link, hello Message, entry MemberEntry) {
 	member := l.members[entry.Member]
 	if entry.Nonce == hello.Nonce && member != nil {
@@ -94,32 +95,32 @@
 		return
 	}
 	l.joining[link] = hello
-	// The reason stays the same while the name is taken: proxies log it once.
-	reason := fmt.Sprintf("%s is a member already, as of an earlier start or by a second process of that name", hello.Name)
+	// The reason must not change while the name is taken, since proxies log each new reason.
+	reason := fmt.Sprintf("%s is a member already: an earlier start of this proxy or a second process of that name", hello.Name)
 	left := time.Duration(0)
 	if l.config.Lease > 0 && member != nil {
-		reason += "; it goes once its lease has ended"
+		reason += "; it is removed once its lease has ended"
 		left = max(member.expiry-now, 0)
 	} else {
-		reason += "; `havenproxy policy expel " + hello.Name + "` once that one is sure to have ended"
+		reason += "; run `havenproxy policy expel " + hello.Name + "` once that process has certainly ended"
 	}
 	l.send(link, Message{Kind: JoinDelayed, Nonce: hello.Nonce, Reason: reason, Lease: left})
 }
 
 func (l *Leader) linkUp(now time.Duration, link Link, member *memberState, number Number) {
 	delete(l.joining, link)
-	member.link, member.lastHeard, member.policyNumber = link, now, number
+	member.link, member.lastMessage, member.policyNumber = link, now, number
 }
 
-// IsLinkOf reports whether link is the one over which a member was heard last.
+// IsLinkOf reports whether a member's last message came over the link.
 func (l *Leader) IsLinkOf(member Member, link Link) bool {
 	state := l.members[member]
 	return state != nil && state.link == link
 }
 
-// Expel removes a member on the operator's word that it has ended for good. With leases it is removed once its lease has expired, so the
-// word need not be true. Without leases it is removed at once, and goes on serving under its policy if it has not ended.
-// The error wraps ErrNotMember if nobody has that name.
+// Expel removes a member whose process has ended for good according to the operator. With leases it is removed once its lease has
+// expired, which is safe even if the operator is wrong. Without leases it is removed at once; if its process has not ended, it goes on
+// serving under its policy. The error wraps ErrNotMember if no member has that name.
 func (l *Leader) Expel(now time.Duration, name string) error {
 	for _, entry := range l.state.Members {
 		if entry.Name != name {
--- a/internal/rollout/membership_changes_test.go
+++ b/internal/rollout/membership_changes_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A proxy that is sent what has changed has the entries that one has which is sent all of them, whatever versions it has missed, and
-// whichever planner it asks: one of them begins with a snapshot now and then, and keeps few changes.
+// A proxy that is sent deltas has the same entries as one that is sent all of them, whichever versions it has missed and whichever planner
+// it asks. One of the two planners sometimes restarts from a snapshot and loses its deltas.
 func TestChangesLeadToTheSameMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{Lease: 2 * time.Second}.WithDefaults()
@@ -28,24 +28,24 @@
 				t.Fatal(err)
 			}
 			histories[0].Applied(now, state)
-			if rapid.IntRange(0, 3).Draw(t, "seen") > 0 { // otherwise the change comes with a later snapshot
+			if rapid.IntRange(0, 3).Draw(t, "seen") > 0 { // otherwise the change arrives with a later snapshot
 				histories[1].Applied(now, state)
 			}
 			if rapid.IntRange(0, 3).Draw(t, "forgotten") == 0 {
-				histories[1].changes = nil
+				histories[1].deltas = nil
 			}
 			which := rapid.IntRange(0, 1).Draw(t, "planner")
 			if histories[which].version != state.MembersVersion || rapid.IntRange(0, 2).Draw(t, "lost") == 0 {
 				continue
 			}
 			leader := Leader{state: state, history: histories[which]}
-			message := leader.membersFor(renewal{member: 1, membersVersion: known.Version, takesChanges: known.Version > 0}, nil)
+			message := leader.membersFor(renewal{member: 1, membersVersion: known.Version, acceptsDelta: known.Version > 0}, nil)
 			after, ok := known.apply(&message)
 			if !ok {
-				t.Fatalf("changes since %d can't be applied to %d", message.BaseVersion, known.Version)
+				t.Fatalf("the delta to version %d can't be applied to version %d", message.BaseVersion, known.Version)
 			}
 			if known = after; known.Version != state.MembersVersion {
-				t.Fatalf("version %d, and it is %d", known.Version, state.MembersVersion)
+				t.Fatalf("version %d, want %d", known.Version, state.MembersVersion)
 			}
 			if diff := cmp.Diff(state.Members, known.Members); diff != "" && len(state.Members)+len(known.Members) > 0 {
 				t.Fatal(diff)
@@ -54,9 +54,9 @@
 	})
 }
 
-// Changes since another version than the one that is known are not applied: the next renewal brings the right ones.
-func TestChangesOfAnotherVersionAreNotApplied(t *testing.T) {
-	p := NewProxy(Config{Lease: 2 * time.Second}.WithDefaults(), "a", 1, yes)
+// A delta to another version than the known one is not applied: the answer to the next renewal holds the right one.
+func TestDeltaOfOtherVersionIsIgnored(t *testing.T) {
+	p := NewProxy(Config{Lease: 2 * time.Second}.WithDefaults(), "a", 1, acceptPolicy)
 	p.member = 7
 	entry := func(member Member) MemberEntry { return MemberEntry{Member: member, Zone: "z"} }
 	p.Receive(0, Message{Kind: Members, Member: 7, MembersVersion: 3, Members: []MemberEntry{entry(5), entry(7)}})
@@ -70,8 +70,8 @@
 	}
 }
 
-// Proxies of an earlier version, which don't say that they take changes, are sent all entries.
-func TestAnEarlierVersionIsSentAllMembers(t *testing.T) {
+// Proxies of an earlier version, which don't announce that they accept deltas, are sent all entries.
+func TestProxyWithoutDeltaSupportGetsAllMembers(t *testing.T) {
 	config := Config{Lease: 2 * time.Second}.WithDefaults()
 	state, history := &State{}, NewMembershipHistory(config)
 	for i := range 3 {
@@ -84,7 +84,7 @@
 	if m := leader.membersFor(renewal{membersVersion: 2}, nil); m.BaseVersion != 0 || len(m.Members) != 3 {
 		t.Errorf("%+v", m)
 	}
-	if m := leader.membersFor(renewal{membersVersion: 2, takesChanges: true}, nil); m.BaseVersion != 2 || len(m.Members) != 1 {
+	if m := leader.membersFor(renewal{membersVersion: 2, acceptsDelta: true}, nil); m.BaseVersion != 2 || len(m.Members) != 1 {
 		t.Errorf("%+v", m)
 	}
 }
--- a/internal/rollout/membership_history.go
+++ b/internal/rollout/membership_history.go
@@ -11,56 +11,57 @@
 	Version uint64        // 0 = nothing is known
 	Members []MemberEntry // sorted by Member
 	Past    []PastMembers // as of when Version was received
-	// ValidUntil is how long the list may be used: a lease that was granted while it was current. Later, others may have received another.
+	// ValidUntil is the end of the last lease that was granted while the list was current. After it others may use another list.
 	ValidUntil time.Duration
 }
 
 // PastMembers is an earlier list of members that some member may still use.
 type PastMembers struct {
 	Members   []Member      `cbor:"1,keyasint"`
-	Remaining time.Duration `cbor:"2,keyasint"` // for at most this long
+	Remaining time.Duration `cbor:"2,keyasint"` // maximum time for which it may still be used
 }
 
 // maxPastMembers bounds the earlier lists that are kept. Lists can't be merged: the replicas that a longer list selects are not those that
 // either of two shorter ones selects.
 const maxPastMembers = 64
 
-// MembershipHistory keeps earlier lists of members while a member may still use one: whoever looks for the replicas of a record has to ask
-// those by each list. A list holds the members that have an address. Each planner has a history, besides the log.
+// MembershipHistory keeps earlier lists of members while a member may still use one: a lookup of a record's replicas has to query those
+// that each list selects. A list holds the members that have an address. Each planner has a history, which is not part of the log.
 type MembershipHistory struct {
 	retention       time.Duration // of a list, from its replacement
 	version         uint64
 	members         []Member
-	past            []replacedMembers // the oldest first
-	incompleteUntil time.Duration     // a list that is unknown here may be in use until then
+	past            []formerMembers // the oldest first
+	incompleteUntil time.Duration   // until then a list that is missing here may be in use
 
 	entries []MemberEntry // as of version
-	changes []membershipChange
+	deltas  []membershipDelta
 }
 
-// maxMembershipChanges bounds the changes that are kept for those who know an earlier version: all of some days, or of a restart of every
-// proxy, at the planned size. Who knows none of the versions is sent all entries.
-const maxMembershipChanges = 2048
+// maxMembershipDeltas bounds the deltas that are kept for members that know an earlier version: enough for some days, or for a restart of
+// every proxy, at the planned size. A member that knows an older version is sent all entries.
+const maxMembershipDeltas = 2048
 
-// membershipChange is what led from one version to the next.
-type membershipChange struct {
-	from   uint64
-	joined []MemberEntry
-	left   []Member
+// membershipDelta is the difference between one version and the next.
+type membershipDelta struct {
+	baseVersion uint64
+	joined      []MemberEntry
+	left        []Member
 }
 
-type replacedMembers struct {
+type formerMembers struct {
 	members    []Member
 	replacedAt time.Duration
 }
 
-// NewMembershipHistory returns an empty history. A member may use a list for the lease that was granted last before its replacement.
+// NewMembershipHistory returns an empty history. A member may use a list until the lease that was granted last before the list's
+// replacement has ended.
 func NewMembershipHistory(config Config) *MembershipHistory {
 	config = config.WithDefaults()
 	return &MembershipHistory{retention: config.Lease + config.ClockMargin}
 }
 
-// MarkIncomplete tells that the state was received as a whole, as a snapshot: lists may have come and gone unseen.
+// MarkIncomplete records that the state was received as a snapshot, so that lists between it and the state before may be missing.
 func (h *MembershipHistory) MarkIncomplete(now time.Duration) { h.incompleteUntil = now + h.retention }
 
 // Applied must be called after each command that has been applied to the state.
@@ -75,58 +76,58 @@
 		}
 	}
 	if h.version > 0 && !slices.Equal(members, h.members) {
-		h.past = append(h.past, replacedMembers{members: h.members, replacedAt: now})
+		h.past = append(h.past, formerMembers{members: h.members, replacedAt: now})
 	}
-	h.past = slices.DeleteFunc(h.past, func(p replacedMembers) bool { return now >= p.replacedAt+h.retention })
+	h.past = slices.DeleteFunc(h.past, func(p formerMembers) bool { return now >= p.replacedAt+h.retention })
 	if len(h.past) > maxPastMembers {
 		h.incompleteUntil = max(h.incompleteUntil, h.past[0].replacedAt+h.retention)
 		h.past = slices.Delete(h.past, 0, 1)
 	}
-	h.recordChange(s)
+	h.recordDelta(s)
 	h.version, h.members = s.MembersVersion, members
 }
 
-// recordChange keeps what leads from the version before to the state's.
-func (h *MembershipHistory) recordChange(s *State) {
+// recordDelta records the difference between the previous version and the state's.
+func (h *MembershipHistory) recordDelta(s *State) {
 	if h.version > 0 {
-		change := membershipChange{from: h.version}
+		change := membershipDelta{baseVersion: h.version}
 		for _, entry := range s.Members {
-			if !hasMember(h.entries, entry.Member) {
+			if !containsMember(h.entries, entry.Member) {
 				change.joined = append(change.joined, entry)
 			}
 		}
 		for _, entry := range h.entries {
-			if !hasMember(s.Members, entry.Member) {
+			if !containsMember(s.Members, entry.Member) {
 				change.left = append(change.left, entry.Member)
 			}
 		}
-		h.changes = append(h.changes, change)
-		if len(h.changes) > maxMembershipChanges {
-			h.changes = slices.Delete(h.changes, 0, len(h.changes)-maxMembershipChanges)
+		h.deltas = append(h.deltas, change)
+		if len(h.deltas) > maxMembershipDeltas {
+			h.deltas = slices.Delete(h.deltas, 0, len(h.deltas)-maxMembershipDeltas)
 		}
 	}
 	h.entries = slices.Clone(s.Members)
 }
 
-// hasMember looks a member up in entries that are sorted by Member.
-func hasMember(entries []MemberEntry, member Member) bool {
+// containsMember reports whether entries, sorted by Member, contain a member.
+func containsMember(entries []MemberEntry, member Member) bool {
 	_, found := slices.BinarySearchFunc(entries, member, func(entry MemberEntry, member Member) int { return cmp.Compare(entry.Member, member) })
 	return found
 }
 
-// Since returns what has changed since a version: who has joined and is still there, and who has left. ok is false where that version is not
-// known here any more, or never was.
+// Since returns the difference to an earlier version: the members that have joined since and have not left, and those that have left. ok is
+// false if the history does not hold that version.
 func (h *MembershipHistory) Since(version uint64) (joined []MemberEntry, left []Member, ok bool) {
-	first := slices.IndexFunc(h.changes, func(c membershipChange) bool { return c.from == version })
+	first := slices.IndexFunc(h.deltas, func(c membershipDelta) bool { return c.baseVersion == version })
 	if first < 0 {
 		return nil, nil, false
 	}
-	for _, change := range h.changes[first:] {
+	for _, change := range h.deltas[first:] {
 		joined = append(joined, change.joined...)
 		for _, member := range change.left {
 			before := len(joined)
 			joined = slices.DeleteFunc(joined, func(entry MemberEntry) bool { return entry.Member == member })
-			if len(joined) == before { // it had joined before that version
+			if len(joined) == before { // it joined before that version
 				left = append(left, member)
 			}
 		}
@@ -134,8 +135,7 @@
 	return joined, left, true
 }
 
-// apply returns the membership after a message of Members. ok is false where the message's changes are those of another version than the one
-// that is known here.
+// apply returns the membership after a Members message. ok is false if the message is a delta to another version than m.Version.
 func (m *Membership) apply(message *Message) (after Membership, ok bool) {
 	after = Membership{Version: message.MembersVersion, Members: message.Members, Past: message.PastMembers}
 	if message.BaseVersion == 0 {
@@ -146,12 +146,12 @@
 	}
 	after.Members = slices.Clone(m.Members)
 	after.Members = slices.DeleteFunc(after.Members, func(entry MemberEntry) bool { return slices.Contains(message.RemovedMembers, entry.Member) })
-	after.Members = append(after.Members, message.Members...) // who joins later has a higher number
+	after.Members = append(after.Members, message.Members...) // members that join later have higher numbers
 	return after, true
 }
 
-// Past returns the earlier lists that members may still use, the oldest first. complete is false if there may be others; then no member
-// may be told that a list is complete.
+// Past returns the earlier lists that members may still use, the oldest first. complete is false if there may be others; then a lease must
+// not confirm any list as current.
 func (h *MembershipHistory) Past(now time.Duration) (past []PastMembers, complete bool) {
 	for _, p := range h.past {
 		if left := p.replacedAt + h.retention - now; left > 0 {
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -25,22 +25,22 @@
 // Kind is the type of a Message.
 type Kind uint8
 
-// The messages. Each may be duplicated, delayed or lost.
+// The kinds of messages. Each message may be duplicated, delayed or lost.
 const (
 	// From a proxy to a planner.
 
 	Hello   Kind = iota + 1 // a connection is up; Member is 0 before the proxy has joined, Nonce identifies this start
 	Renew                   // request to renew the lease; Seq numbers the request, Number is the policy in use
 	Agree                   // the proxy can serve under Number
-	Refuse                  // it can't, for Reason
-	Held                    // it holds new requests until it learns how Round ended
-	Leaving                 // it admits no more requests and leaves
+	Refuse                  // the proxy can't serve under Number, for Reason
+	Held                    // the proxy holds new requests until it learns how Round ended
+	Leaving                 // the proxy admits no more requests and leaves
 
 	// From a planner to a proxy.
 
 	Welcome     // the proxy has joined as Member and starts with policy Number
 	JoinDelayed // the proxy can't join now, for Reason
-	NotMember   // the proxy is not a member any more and must discard its membership
+	NotMember   // the proxy is no longer a member and must discard its membership
 	Granted     // the lease runs for Lease from the moment at which renewal Seq was sent
 	Offer       // request to agree to Number
 	Hold        // request to hold new requests for Round
@@ -61,7 +61,8 @@
 	Policy []byte `cbor:"8,keyasint,omitempty"`
 	Reason string `cbor:"9,keyasint,omitempty"`
 	// Lease is, with Hello, the configured lease of the proxy, which must equal the planners'. With Granted it is the length of the lease;
-	// 0, from planners of an earlier version, means the configured one. With JoinDelayed it bounds what is left of the lease that is waited for.
+	// 0, from planners of an earlier version, means the configured one. With JoinDelayed it is an upper bound on the rest of the lease
+	// that delays the join.
 	Lease time.Duration `cbor:"10,keyasint,omitempty"`
 	// Address is, with Hello, where other proxies reach this one. Empty if they can't; the proxy then receives no Members.
 	Address string `cbor:"11,keyasint,omitempty"`
@@ -71,11 +72,11 @@
 	MembersVersion uint64        `cbor:"12,keyasint,omitempty"`
 	Members        []MemberEntry `cbor:"13,keyasint,omitempty"`
 	PastMembers    []PastMembers `cbor:"14,keyasint,omitempty"`
-	// AcceptsDelta is, with Renew, whether the proxy takes Members that hold what has changed since the version that it knows. Earlier versions
-	// of the program don't.
+	// AcceptsDelta is, with Renew, whether the proxy accepts a Members message that holds only the changes since the version that it
+	// knows. Earlier versions of the program don't.
 	AcceptsDelta bool `cbor:"16,keyasint,omitempty"`
-	// BaseVersion is, with Members, the version that Members and LeftMembers are to be applied to: who has joined since, and who has left.
-	// 0 = Members holds all.
+	// BaseVersion is, with Members, the version that the message is a delta to: Members holds the entries that were added since, and
+	// RemovedMembers those that were removed. 0 = Members holds all entries.
 	BaseVersion    uint64   `cbor:"17,keyasint,omitempty"`
 	RemovedMembers []Member `cbor:"18,keyasint,omitempty"`
 }
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Answer names what a change waits for from a member.
+// Answer names the answer that a change waits for from a member.
 type Answer string
 
 // The answers.
@@ -24,7 +24,7 @@
 	SinceLastMessage time.Duration `json:"cut"` // since the member's last message
 }
 
-// Progress describes how far the pending change is.
+// Progress describes the progress of the pending change.
 type Progress struct {
 	Number         Number          `json:"number"`
 	Members        int             `json:"members"`
@@ -37,13 +37,13 @@
 // maxDescribed bounds the members that an abort's reason names.
 const maxDescribed = 3
 
-// Progress returns how far the pending change is; false if there is none.
+// Progress returns the progress of the pending change; ok is false if there is none.
 func (l *Leader) Progress(now time.Duration) (progress Progress, ok bool) {
 	change := l.state.Pending()
 	if change == nil || change.Number != l.change.number {
 		return Progress{}, false
 	}
-	progress = Progress{Number: change.Number, Members: len(l.state.Members), Age: now - l.change.began}
+	progress = Progress{Number: change.Number, Members: len(l.state.Members), Age: now - l.change.start}
 	for _, entry := range l.state.Members {
 		member := l.members[entry.Member]
 		if member == nil {
@@ -52,7 +52,7 @@
 		if member.agreed {
 			progress.Agreed++
 		}
-		if l.open && member.heldRound == l.round {
+		if l.roundOpen && member.heldRound == l.round {
 			progress.Held++
 		}
 		if member.awaitedSince > 0 {
@@ -67,10 +67,10 @@
 	if m.agreed {
 		answer = AnswerHold
 	}
-	return PendingAnswer{Name: name, Answer: answer, Waited: now - m.awaitedSince, SinceLastMessage: now - m.lastHeard}
+	return PendingAnswer{Name: name, Answer: answer, Waited: now - m.awaitedSince, SinceLastMessage: now - m.lastMessage}
 }
 
-// describePending names the members that the change has waited for longest.
+// describePending returns a text that names the members that the change has waited for longest.
 func (l *Leader) describePending(now time.Duration) string {
 	progress, _ := l.Progress(now)
 	waiting := progress.PendingAnswers
--- a/internal/rollout/proxy.go
+++ b/internal/rollout/proxy.go
@@ -12,7 +12,7 @@
 	Reject                  // with a hint to retry: this proxy can't know which policy is in force
 )
 
-// maxRenewalsInFlight bounds the renewals whose answers still count. An answer to an earlier one tells nothing new.
+// maxRenewalsInFlight bounds the renewals whose answers are still accepted. The answer to an earlier one could not extend the lease.
 const maxRenewalsInFlight = 8
 
 // PolicySwitch is a policy that has come into force in a proxy.
@@ -38,7 +38,7 @@
 	number       Number // of the policy that the proxy serves under
 	stagedNumber Number // of the policy that it has agreed to
 	stagedPolicy []byte
-	heldRound    Round // zero = it does not hold
+	heldRound    Round // zero = requests are not held
 	heldSince    time.Duration
 
 	hasLease     bool
@@ -57,10 +57,12 @@
 	return &Proxy{config: config.WithDefaults(), name: name, nonce: nonce, check: check}
 }
 
-// SetAddress sets where other proxies of the tier reach this one, before it joins. It then receives their Membership.
+// SetAddress sets the address at which other proxies of the tier reach this one, so that it receives the Membership. It must be called
+// before the proxy joins.
 func (p *Proxy) SetAddress(address string) { p.address = address }
 
-// SetZone sets in which zone this proxy runs, before it joins, if it shares health checks with others. It then receives their Membership.
+// SetZone sets the zone in which this proxy runs, if it shares health checks with others, so that it receives the Membership. It must be
+// called before the proxy joins.
 func (p *Proxy) SetZone(zone string) { p.zone = zone }
 
 // Membership returns what is known of the members.
@@ -90,7 +92,8 @@
 // LeaseEnd returns when the lease ends.
 func (p *Proxy) LeaseEnd() time.Duration { return p.leaseEnd }
 
-// LeaseDuration returns the length of the last lease that was granted. A lease is to be renewed several times within that.
+// LeaseDuration returns the length of the last lease that was granted, or the configured length before the first one. A lease is to be
+// renewed several times within it.
 func (p *Proxy) LeaseDuration() time.Duration {
 	if p.lastLease > 0 {
 		return p.lastLease
@@ -113,7 +116,7 @@
 		return 0, Reject
 	}
 	leased := p.config.Lease == 0 || p.hasLease && now < p.leaseEnd
-	if p.member != 0 && !leased && !disabled.Has(NoLeaseCheck) { // fence against a proxy that was cut off or paused
+	if p.member != 0 && !leased && !disabled.Has(NoLeaseCheck) { // fence in case this proxy was partitioned or paused
 		return 0, Reject
 	}
 	if p.holds() && !disabled.Has(NoHold) {
@@ -128,13 +131,13 @@
 	return admission != Reject
 }
 
-// Connected tells that the connection to a planner is up.
+// Connected records that the connection to a planner is up and sends a Hello over it.
 func (p *Proxy) Connected() {
 	p.send(Message{Kind: Hello, Name: p.name, Nonce: p.nonce, Member: p.member, Number: p.number, Round: p.heldRound,
 		Lease: p.config.Lease, Address: p.address, Zone: p.zone})
 }
 
-// RenewLease requests a lease; without leases it sends a heartbeat. Call it at PlannerSelector.RenewInterval.
+// RenewLease requests a lease; without leases it sends a heartbeat. It must be called at PlannerSelector.RenewInterval.
 func (p *Proxy) RenewLease(now time.Duration) {
 	if p.member == 0 {
 		p.Connected()
@@ -146,7 +149,7 @@
 		MembersVersion: p.membership.Version, AcceptsDelta: p.membership.Version > 0})
 }
 
-// renewalTime returns where the time of a renewal is kept.
+// renewalTime returns a pointer to the time at which a renewal was sent.
 func (p *Proxy) renewalTime(seq uint64) *time.Duration {
 	return &p.renewalTimes[seq%maxRenewalsInFlight]
 }
--- a/internal/rollout/proxy_receive.go
+++ b/internal/rollout/proxy_receive.go
@@ -23,7 +23,7 @@
 		if m.MembersVersion <= p.membership.Version {
 			return
 		}
-		if after, ok := p.membership.apply(&m); ok { // otherwise the next renewal says which version is known
+		if after, ok := p.membership.apply(&m); ok { // otherwise the next renewal announces the version that is known
 			p.membership = after
 		}
 	case Offer:
@@ -57,14 +57,14 @@
 	if !p.hasLease || end > p.leaseEnd {
 		p.hasLease, p.leaseEnd = true, end
 	}
-	// Fence against a list of members that another has replaced: a lease extends only the list that it was granted with.
+	// Fence against a list of members that has been replaced: a lease extends only the list that it was granted with.
 	if m.MembersVersion > 0 && m.MembersVersion == p.membership.Version {
 		p.membership.ValidUntil = max(p.membership.ValidUntil, end)
 	}
 }
 
 func (p *Proxy) receiveOffer(m Message) {
-	if m.Number <= p.number || p.holds() { // a duplicate, or the change that is held for has to end first
+	if m.Number <= p.number || p.holds() { // a duplicate, or the change that requests are held for has to end first
 		return
 	}
 	if reason := p.check(m.Number, m.Policy); reason != "" {
@@ -86,12 +86,13 @@
 	p.send(Message{Kind: Held, Member: p.member, Number: m.Number, Round: m.Round})
 }
 
-// receiveStatus handles what the planners' log says. It stays true, so the message may be delayed or duplicated and come from any planner.
+// receiveStatus handles a Status message. What it states is committed and never becomes untrue, so it may be delayed, duplicated, and come
+// from any planner.
 func (p *Proxy) receiveStatus(m Message) {
 	switch {
 	case m.Number > p.number && m.Number == p.stagedNumber:
 		p.switchTo(m.Number, p.stagedPolicy)
-	case m.Number > p.number: // a change was committed without this proxy: its state is obsolete
+	case m.Number > p.number: // a change was committed without this proxy: its membership is obsolete
 		p.rejoin()
 	case m.Number == p.number && p.holds() && !m.Round.Before(p.heldRound):
 		p.heldRound = Round{}
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -38,20 +38,20 @@
 	Member  Member `cbor:"1,keyasint"`
 	Name    string `cbor:"2,keyasint"`
 	Nonce   uint64 `cbor:"3,keyasint,omitempty"`
-	Address string `cbor:"4,keyasint,omitempty"` // where other proxies reach it; empty = they can't
+	Address string `cbor:"4,keyasint,omitempty"` // at which other proxies reach it; empty = they can't
 	Zone    string `cbor:"5,keyasint,omitempty"` // where it runs, if it shares health checks; empty = it doesn't
 }
 
-// State is the replicated state machine of the planners. It depends on the log's commands only, so that all planners hold the same.
+// State is the replicated state machine of the planners. It depends on the log's commands only, so that all planners hold the same state.
 type State struct {
 	InForce        Number        `cbor:"1,keyasint,omitempty"` // the policy in force; 0 = the one in each proxy's configuration
 	Changes        []Change      `cbor:"2,keyasint,omitempty"` // the latest ones, the newest at the end
-	LastNumber     Number        `cbor:"3,keyasint,omitempty"` // the highest that was given to a change
+	LastNumber     Number        `cbor:"3,keyasint,omitempty"` // the highest number of any change
 	Members        []MemberEntry `cbor:"4,keyasint,omitempty"` // sorted by Member
-	LastMember     Member        `cbor:"5,keyasint,omitempty"` // the highest that was given to a proxy
+	LastMember     Member        `cbor:"5,keyasint,omitempty"` // the highest number of any member
 	MembersVersion uint64        `cbor:"6,keyasint,omitempty"` // grows with each change of Members
 	ReleasedRound  Round         `cbor:"7,keyasint,omitempty"` // this round and all earlier ones have ended
-	LeaseSet       bool          `cbor:"8,keyasint,omitempty"` // some planner has led, and Lease is set
+	LeaseSet       bool          `cbor:"8,keyasint,omitempty"` // Lease was set by the first planner that led
 	Lease          time.Duration `cbor:"9,keyasint,omitempty"` // the configured lease of the whole tier; 0 = there are no leases
 
 	// Planners holds the addresses of planners that have replaced others, by their number in the cluster.
