--- a/internal/net/health_test.go
+++ b/internal/net/health_test.go
@@ -76,7 +76,7 @@
 	all := &databases{loop: loop}
 	class := logic.Class{Name: "any", Aim: time.Second, Limit: time.Second}
 	front, err := state.New(state.Config{Logic: logic.Config{Seed: uint64(i), Tick: 5 * time.Millisecond, Classes: []logic.Class{class},
-		MayProbe: true, Fronts: 6}, ConnectTimeout: time.Second, IdleClose: time.Minute, MaxLinks: 100}, clock, all)
+		EnableProbes: true, Proxies: 6}, ConnectTimeout: time.Second, IdleClose: time.Minute, MaxLinks: 100}, clock, all)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 		now := s.clock.Now()
 		for _, victim := range s.list[1:] {
 			from := subset.ProxyID(victim.tier.health.member)
-			forged := healthcheck.Report{Origin: from, Epoch: math.MaxUint32, Database: numberOf("db-1"), Status: healthcheck.Dead, At: now}
+			forged := healthcheck.Report{Origin: from, Epoch: math.MaxUint32, Database: numberOf("db-1"), Status: healthcheck.Dead, ObservedAt: now}
 			s.list[0].tier.SendReports(wire.AppendMessage(nil, wire.Clock{Unix: s.clock.Unix(), Now: now},
 				healthcheck.Message{From: from, Epoch: math.MaxUint32, Reports: []healthcheck.Report{forged}}))
 		}
@@ -228,5 +228,5 @@
 func numberOf(name string) subset.DatabaseID {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
-	return logic.ShortNumber(logic.MemberID(hash.Sum64()))
+	return logic.ShortID(logic.MemberID(hash.Sum64()))
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -353,7 +353,7 @@
 	err = p.state.Apply(command)
 	p.history.Applied(p.now(), p.state)
 	if command.Kind == rollout.Leave && err == nil && p.healthRelay != nil {
-		p.healthRelay.relay.Forget(subset.ProxyID(command.Member))
+		p.healthRelay.relay.RemoveProxy(subset.ProxyID(command.Member))
 	}
 	if change := p.state.Pending(); change != nil && change.Number != p.pendingChange {
 		p.pendingChange, p.pendingSince = change.Number, p.now()
