--- a/internal/healthcheck/api.go
+++ b/internal/healthcheck/api.go
@@ -1,12 +1,13 @@
-// Package healthcheck decides how the proxies of a tier check databases on behalf of one another: what each checks and when, what it
-// reports to whom, what it concludes from the reports of others, and how it falls back to checking alone when they are not received. It
-// is pure: events and a clock are handed in, orders are handed out, random numbers come from a seed.
+// Package healthcheck implements shared health checking for the proxies of a tier: which databases each proxy checks and when, what it
+// reports to the planner and to its peers, how it combines the reports of others with its own observations, and how it falls back to
+// checking on its own when it receives no reports. The package performs no I/O: callers pass in events and the current time and carry out
+// the returned actions; random numbers come from a seed.
 //
-// It makes no routing decision. Drains, the age of data, slow start budgets and attempts stay each proxy's own; a verdict of this
-// package is one more fact to whoever routes. Which proxies check a database is internal/subset's to say.
+// It makes no routing decisions. Drains, replication lag, slow start budgets and attempts remain each proxy's own concern; a verdict is one
+// more input for the router. internal/subset assigns databases to the proxies that check them.
 //
-// All times are on the clock of the process that is called; whoever reads a message translates the times in it. The method is that of
-// failure detectors with a constant load a member (Das, Gupta and Motivala, SWIM, 2002), with quorums in place of a suspicion time.
+// All times are on the clock of the calling process; the code that decodes a message converts the times in it. The method follows failure
+// detectors with a constant load per member (Das, Gupta and Motivala, SWIM, 2002), with quorums instead of a suspicion timeout.
 package healthcheck
 
 import (
@@ -15,29 +16,29 @@
 	"havenproxy/internal/subset"
 )
 
-// Status is how a database fared when a checker last tried it.
+// Status is the state of a database as a checker last observed it.
 type Status uint8
 
-// The statuses.
+// The values of Status.
 const (
 	Alive     Status = iota
-	ColdStart        // it answers, and has been started a short while ago
-	Failing          // it answers checks with errors
-	Dead             // it has not answered several checks in a row
+	ColdStart        // answers, but was started only a short while ago
+	Failing          // answers health checks with errors
+	Dead             // has left FailureThreshold checks in a row unanswered
 )
 
-// Report is what one checker has found out about one database.
+// Report is one checker's latest observation of one database.
 type Report struct {
 	Origin     subset.ProxyID
-	Epoch      uint32 // of the origin's process: when it started, Unix time in seconds
+	Epoch      uint32 // start time of the origin's process, Unix time in seconds
 	Database   subset.DatabaseID
 	Status     Status
 	Role       subset.Role
-	ObservedAt time.Duration // when it was so
-	Position   time.Duration // all commits up to then are applied; 0 = not told
+	ObservedAt time.Duration // when the observation was made
+	Position   time.Duration // all commits up to this time are applied; 0 = unknown
 }
 
-// Observation is the outcome of one check.
+// Observation is the outcome of one health check.
 type Observation struct {
 	Answered  bool
 	Failing   bool
@@ -46,129 +47,129 @@
 	Position  time.Duration
 }
 
-// ChangeKind says what a Change tells.
+// ChangeKind is the kind of a Change.
 type ChangeKind uint8
 
-// The kinds of changes.
+// The values of ChangeKind.
 const (
 	ReportChanged  ChangeKind = iota
 	CheckerSilent             // the planner no longer receives heartbeats of the origin
-	CheckerResumed            // it receives them again
+	CheckerResumed            // the planner receives heartbeats of the origin again
 )
 
-// Change is one entry of a digest. Of a change that is not ReportChanged only the report's origin is set.
+// Change is one entry of a digest. For kinds other than ReportChanged, only Report.Origin is set.
 type Change struct {
 	Kind   ChangeKind
 	Report Report
 }
 
-// Digest is what a planner sends down a link.
+// Digest is a message from a planner to a proxy. Without changes it is a heartbeat.
 type Digest struct{ Changes []Change }
 
-// Message is what a proxy sends, to a planner or to another proxy. Without reports it is a heartbeat.
+// Message is a message from a proxy to a planner or to another proxy. Without reports it is a heartbeat.
 type Message struct {
 	From      subset.ProxyID
 	Epoch     uint32
 	ToPlanner bool
-	To        subset.ProxyID // where it is not to a planner
+	To        subset.ProxyID // the receiver, unless ToPlanner is set
 	Reports   []Report
 }
 
-// Actions is what a proxy is to do now.
+// Actions holds what a proxy has to do now.
 type Actions struct {
-	Checks   []subset.DatabaseID // to be begun; each is owed a call of Checked
+	Checks   []subset.DatabaseID // checks to start; each must be followed by a call of CompleteCheck
 	Messages []Message
 }
 
-// State is what is concluded about a database.
+// State is the conclusion drawn about a database.
 type State uint8
 
-// The states.
+// The values of State.
 const (
 	Serving State = iota
-	Unknown       // no checker of it is received: go by own evidence
-	Suspect       // a quorum calls it dead, but its checkers may be cut off: go by own evidence
-	Ejected       // dead by the word of a quorum, or by own checks where the proxy checks alone
+	Unknown       // no active checker: the proxy relies on its local evidence
+	Suspect       // a quorum reports it dead, but its checkers may be partitioned: the proxy relies on its local evidence
+	Ejected       // reported dead by a quorum, or found dead by local checks in ModeStandalone
 )
 
-// Verdict is what is concluded about a database from all evidence.
+// Verdict is the conclusion drawn about a database from all evidence.
 type Verdict struct {
 	State          State
-	ColdStart      bool          // by a quorum
-	Failing        bool          // by a quorum
-	Role           subset.Role   // that a quorum has last seen; RoleUnknown = there is no such
-	RoleObservedAt time.Duration // when a quorum had seen that role, then or later
-	Position       time.Duration // that a quorum has seen reached or passed; 0 = not known
-	Votes          int           // checkers that call it dead and are believed
-	Quorum         int           // how many are needed
+	ColdStart      bool          // according to a quorum
+	Failing        bool          // according to a quorum
+	Role           subset.Role   // as last observed by a quorum; RoleUnknown = no quorum agrees
+	RoleObservedAt time.Duration // latest time at or after which a quorum observed Role
+	Position       time.Duration // a position that a quorum has observed as reached; 0 = unknown
+	Votes          int           // checkers that report it dead and are not suspected of being partitioned
+	Quorum         int           // votes needed to eject it
 }
 
-// Mode is how far a proxy relies on others.
+// Mode is the source of health information that a proxy relies on.
 type Mode uint8
 
-// The steps.
+// The values of Mode.
 const (
-	ModePlanner    Mode = iota // planners' digests are received: who is not mentioned has not changed
-	ModePeers                  // they are not, but other proxies' reports are; the proxy checks what it uses besides
-	ModeStandalone             // nobody is received: the proxy checks what it uses, and goes by that
+	ModePlanner    Mode = iota // planners' digests arrive: a database that they do not mention has not changed
+	ModePeers                  // no digests arrive, but peers' reports do; the proxy additionally checks the databases that it uses
+	ModeStandalone             // nothing arrives: the proxy checks the databases that it uses and relies on these checks
 )
 
-// Counters counts what was dropped, and why.
+// Counters counts accepted reports, rejected ones by reason, and delayed messages.
 type Counters struct {
 	Accepted        uint64
 	StaleEpoch      uint64 // from a process that has been replaced
-	StaleReport     uint64 // older than, or the same as, what is known from that origin
+	StaleReport     uint64 // not newer than the known report of the same origin
 	ExpiredReport   uint64 // older than ReportTTL
-	ClockAhead      uint64 // from further in the future than MaxSkew
-	UnknownDatabase uint64 // about a database that the own list has not named
-	ForeignOrigin   uint64 // sent to a planner by another proxy than the one that it is said to come from
-	Malformed       uint64 // with a status or role of a later version
-	OverBudget      uint64 // messages that waited for bytes
+	ClockAhead      uint64 // more than MaxSkew in the future
+	UnknownDatabase uint64 // about a database that is not in this proxy's list
+	ForeignOrigin   uint64 // received by a planner from a proxy other than the origin
+	Malformed       uint64 // with a status or role that this version does not know
+	OverBudget      uint64 // messages delayed by the byte budget
 }
 
 const (
 	// MinCheckInterval is the shortest time between two checks of a database by one checker.
 	MinCheckInterval = time.Second
-	// CheckTimeout is how long a check may take.
+	// CheckTimeout is the time limit of a check.
 	CheckTimeout = 500 * time.Millisecond
-	// FailureThreshold is how many checks in a row go unanswered before a database is called dead.
+	// FailureThreshold is the number of checks in a row that must go unanswered before a database is reported dead.
 	FailureThreshold = 3
-	// SettleTime is how long a report of a death waits until it counts. In that time a checker that has lost all databases finds
-	// out about most of them: a checking interval and the time of one recheck.
+	// SettleTime is the delay before a report of a death counts. It gives a checker that has lost the network time to notice that most
+	// of its databases are unreachable: one check interval and the time of one recheck.
 	SettleTime = 1500 * time.Millisecond
-	// RefreshInterval is how often a report of a database that is not alive is sent anew.
+	// RefreshInterval is the interval at which the report of a database that is not alive is repeated.
 	RefreshInterval = 10 * time.Second
-	// ReportTTL is how long a report counts. One that is older is not accepted.
+	// ReportTTL is how long a report counts without being renewed. Older reports are rejected.
 	ReportTTL = 21 * time.Second
-	// LocalFailureTTL is how long own failures count beside the reports of others.
+	// LocalFailureTTL is how long this proxy's own failed checks count in addition to the reports of others.
 	LocalFailureTTL = 4 * time.Second
-	// MaxSkew is how far ahead a report's time may lie.
+	// MaxSkew is the largest accepted lead of a report's time over the local clock.
 	MaxSkew = 50 * time.Millisecond
-	// HeartbeatInterval is how often a proxy and a planner send something in any case.
+	// HeartbeatInterval is the longest time that a proxy or a planner goes without sending a message.
 	HeartbeatInterval = time.Second
-	// CheckerTimeout is how long a planner waits for a heartbeat before it calls the checker silent.
+	// CheckerTimeout is how long a planner waits for a heartbeat before it declares the checker silent.
 	CheckerTimeout = 5 * time.Second
-	// PlannerTimeout is how long a proxy waits for a digest before it falls back to its peers; its own spread comes on top.
+	// PlannerTimeout is how long a proxy waits for a digest, plus its own jitter, before it falls back to its peers.
 	PlannerTimeout = 4 * time.Second
-	// PeerTimeout is how long it then waits for any peer before it checks alone.
+	// PeerTimeout is how long a proxy then waits for a message of any peer before it falls back to ModeStandalone.
 	PeerTimeout = 6 * time.Second
-	// FallbackJitter is the time over which the proxies of a tier fall back, each at a moment of its own.
+	// FallbackJitter is the time over which the fallbacks of the proxies of a tier are spread.
 	FallbackJitter = 2 * time.Second
-	// MassLossShare is the part of the databases of a checker, or of all checkers of its zone, that are called dead at once beyond which
-	// the checkers are taken for cut off. It lies above one half, since a region of two may be lost.
+	// MassLossShare is the share of its databases that a checker, or all checkers of a zone together, may report dead at once before
+	// they are presumed partitioned. It is above one half because one region of two may fail.
 	MassLossShare = 0.6
-	// MassLossMinDatabases is how many databases must be called dead at least for that.
+	// MassLossMinDatabases is the smallest number of dead databases that counts as a mass loss.
 	MassLossMinDatabases = 3
 )
 
-// The sizes of messages on the wire, in bytes. internal/wire/healthcheck keeps to them.
+// Message sizes on the wire in bytes, and limits on entries. internal/wire/healthcheck must produce exactly these sizes.
 const (
 	ReportBytes  = 20
 	ChangeBytes  = 1 + ReportBytes
 	HeaderBytes  = 13
-	PacketBytes  = 40 // of IP and TCP, or IP and UDP, for each message
-	MaxReports   = 12 // in a message between proxies, so that it holds 256 bytes at most
-	MaxChanges   = 60 // in a digest
-	PeerFanout   = 2  // peers that a proxy sends to at a time
+	PacketBytes  = 40 // IP and TCP, or IP and UDP, headers of each message
+	MaxReports   = 12 // per message between proxies, so that it fits into 256 bytes
+	MaxChanges   = 60 // per digest
+	PeerFanout   = 2  // peers that a proxy sends to in one round
 	peerInterval = 500 * time.Millisecond
 )
--- a/internal/healthcheck/bench_test.go
+++ b/internal/healthcheck/bench_test.go
@@ -7,6 +7,7 @@
 	"havenproxy/internal/subset"
 )
 
+// BenchmarkOneProxySecond820x1300 measures the cost of one second of a proxy in a tier of 820 proxies and 1300 databases.
 func BenchmarkOneProxySecond820x1300(b *testing.B) {
 	var tier []subset.Proxy
 	for i := range 820 {
@@ -22,7 +23,7 @@
 	n.SetDatabases(now, ids)
 	n.SetTier(now, tier)
 	n.SetUsed(now, ids)
-	for b.Loop() { // one second: ten ticks, a digest each, and the outcomes of the checks
+	for b.Loop() { // one second: ten ticks with a digest each, and the outcomes of the checks
 		for range 10 {
 			now += simTick
 			n.ReceiveDigest(now, Digest{})
@@ -33,7 +34,7 @@
 	}
 }
 
-// BenchmarkRelaySecond820 is what a planner's relay costs: a heartbeat of each proxy, and ten looks at each link.
+// BenchmarkRelaySecond820 measures the cost of one second of a planner's relay: ten polls of each link and a heartbeat of each proxy.
 func BenchmarkRelaySecond820(b *testing.B) {
 	relay, now := NewRelay(Config{Plan: Plan{BytesPerSecond: 1600}}), simStart
 	for id := subset.ProxyID(1); id <= 820; id++ {
--- a/internal/healthcheck/budget.go
+++ b/internal/healthcheck/budget.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// byteBudget bounds the bytes sent in a second. It saves up for one second at most.
+// byteBudget limits the bytes sent per second. Unused bytes accumulate up to half a second's worth.
 type byteBudget struct {
-	perSecond float64 // 0 = unbounded
-	saved     float64
-	last      time.Duration
+	bytesPerSecond float64 // 0 = unlimited
+	available      float64
+	filledAt       time.Duration
 }
 
 func newByteBudget(perSecond float64) byteBudget {
-	return byteBudget{perSecond: perSecond, saved: perSecond / 2}
+	return byteBudget{bytesPerSecond: perSecond, available: perSecond / 2}
 }
 
-// fill saves up to now. Half a second's worth is kept at most, so that no second holds more than one and a half times the budget.
-func (b *byteBudget) fill(now time.Duration) {
-	if b.last > 0 {
-		b.saved = min(b.saved+b.perSecond*(now-b.last).Seconds(), b.perSecond/2)
+// refill adds the bytes earned since the last call. At most half a second's worth is kept, so that no second exceeds one and a half times
+// the budget.
+func (b *byteBudget) refill(now time.Duration) {
+	if b.filledAt > 0 {
+		b.available = min(b.available+b.bytesPerSecond*(now-b.filledAt).Seconds(), b.bytesPerSecond/2)
 	}
-	b.last = now
+	b.filledAt = now
 }
 
-// entries gives how many entries of a size fit into one more message now, limit at most; -1 = not even an empty message fits.
-func (b *byteBudget) entries(size, limit int) int {
-	if b.perSecond <= 0 {
+// maxEntries returns how many entries of the given size fit into one more message now, at most limit; -1 = not even an empty message
+// fits.
+func (b *byteBudget) maxEntries(size, limit int) int {
+	if b.bytesPerSecond <= 0 {
 		return limit
 	}
-	left := b.saved - HeaderBytes - PacketBytes
+	left := b.available - HeaderBytes - PacketBytes
 	if left < 0 {
 		return -1
 	}
 	return min(int(left)/size, limit)
 }
 
-// spend takes what a message of n entries costs.
-func (b *byteBudget) spend(size, n int) {
-	b.saved -= float64(HeaderBytes + PacketBytes + size*n)
+// consume charges a message with n entries of the given size to the budget.
+func (b *byteBudget) consume(size, n int) {
+	b.available -= float64(HeaderBytes + PacketBytes + size*n)
 }
--- a/internal/healthcheck/fallback.go
+++ b/internal/healthcheck/fallback.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// fallback says how far a proxy relies on others, by whom it has received something lately.
+// fallback determines the mode of a proxy from when it last received messages of a planner and of peers.
 type fallback struct {
-	config  Config
-	spread  time.Duration // this proxy's share of FallbackJitter
-	planner time.Duration // the last digest
-	peer    time.Duration // the last report of a peer
-	step    Mode
+	config          Config
+	jitter          time.Duration // this proxy's share of FallbackJitter
+	lastDigest      time.Duration
+	lastPeerMessage time.Duration
+	mode            Mode
 }
 
-// newFallback makes one that was received everything up to now: a proxy that starts has its time-outs to find a planner.
+// newFallback returns a fallback that counts now as the time of the last messages, so that a starting proxy has the full timeouts to find
+// a planner. phase, from 0 to 1, is its share of FallbackJitter.
 func newFallback(now time.Duration, config Config, phase float64) *fallback {
-	return &fallback{config: config, spread: time.Duration(phase * float64(FallbackJitter)), planner: now, peer: now}
+	return &fallback{config: config, jitter: time.Duration(phase * float64(FallbackJitter)), lastDigest: now, lastPeerMessage: now}
 }
 
-// update gives the step for now.
+// update returns the mode for the current time.
 func (f *fallback) update(now time.Duration) Mode {
-	plannerLost := f.planner + PlannerTimeout + f.spread
-	peersLost := max(f.peer, plannerLost) + PeerTimeout + f.spread // peers broadcast from plannerLost on
+	plannerTimeout := f.lastDigest + PlannerTimeout + f.jitter
+	peerTimeout := max(f.lastPeerMessage, plannerTimeout) + PeerTimeout + f.jitter // peers start to broadcast at plannerTimeout
 	switch {
-	case now <= plannerLost || !f.config.has(guardFallback):
-		f.step = ModePlanner
-	case now <= peersLost:
-		f.step = ModePeers
+	case now <= plannerTimeout || !f.config.enabled(guardFallback):
+		f.mode = ModePlanner
+	case now <= peerTimeout:
+		f.mode = ModePeers
 	default:
-		f.step = ModeStandalone
+		f.mode = ModeStandalone
 	}
-	return f.step
+	return f.mode
 }
--- a/internal/healthcheck/guards.go
+++ b/internal/healthcheck/guards.go
@@ -1,25 +1,25 @@
 package healthcheck
 
-// guard names a rule that a test may disable, to show that the simulation notices its absence.
+// guard identifies a rule that tests can disable, to show that the simulation detects its absence.
 type guard uint32
 
 const (
-	guardQuorum      guard = 1 << iota // a single checker ejects nothing
-	guardZones                         // the quorum spans zones
-	guardMassLoss                      // checkers that lose most databases at once don't count
-	guardSettle                        // a death counts once the checker had time to lose others as well
-	guardConsecutive                   // one lost check is no death
-	guardEpoch                         // a replaced process is not believed
-	guardOrder                         // an older report doesn't replace a newer one
-	guardAge                           // an old report is not accepted
-	guardSkew                          // a report from the future is not accepted
-	guardSilence                       // reports of a silent checker don't count
-	guardOwnEvidence                   // an own answer outranks older reports
-	guardPace                          // checks keep to the rate
-	guardBytes                         // messages keep to the bytes
-	guardFallback                      // who hears nobody checks alone
-	guardSnapshot                      // a new link is sent what is known
-	guardLast
+	guardQuorum        guard = 1 << iota // a single checker cannot eject a database
+	guardZones                           // the quorum must span zones
+	guardMassLoss                        // checkers that lose most of their databases at once do not count
+	guardSettle                          // a report of a death counts only after SettleTime, in which a partitioned checker notices its other losses
+	guardConsecutive                     // a single unanswered check does not make a database dead
+	guardEpoch                           // reports of a replaced process are rejected
+	guardOrder                           // an older report does not replace a newer one
+	guardAge                             // expired reports are rejected
+	guardSkew                            // reports from the future are rejected
+	guardSilence                         // reports of a silent checker do not count
+	guardLocalEvidence                   // an answer to this proxy outranks older reports
+	guardRate                            // checks stay within the rate limit
+	guardBytes                           // messages stay within the byte budget
+	guardFallback                        // a proxy that receives no messages checks on its own
+	guardSnapshot                        // a new connection is sent the known state
+	guardEnd
 )
 
-func (c *Config) has(g guard) bool { return c.disabled&g == 0 }
+func (c *Config) enabled(g guard) bool { return c.disabled&g == 0 }
--- a/internal/healthcheck/observer.go
+++ b/internal/healthcheck/observer.go
@@ -8,87 +8,89 @@
 	"havenproxy/internal/subset"
 )
 
-// observer makes reports of the outcomes of a proxy's own checks: one for each change, and again from time to time for what is not
+// observer turns the outcomes of a proxy's checks into reports: one for each change, and repeated ones for databases that are not
 // alive.
 type observer struct {
 	config    Config
-	databases map[subset.DatabaseID]*observed
+	databases map[subset.DatabaseID]*checkHistory
 }
 
-// observed is what a checker has found out about a database.
-type observed struct {
+// checkHistory is what this proxy has observed of one database.
+type checkHistory struct {
 	failures int
 	report   Report
 	reported bool
 }
 
 func newObserver(config Config) *observer {
-	return &observer{config: config, databases: map[subset.DatabaseID]*observed{}}
+	return &observer{config: config, databases: map[subset.DatabaseID]*checkHistory{}}
 }
 
-// setDuties forgets what this proxy doesn't check any more.
-func (o *observer) setDuties(ids []subset.DatabaseID) {
-	kept := make(map[subset.DatabaseID]*observed, len(ids))
+// setAssigned sets the databases that this proxy checks on behalf of the tier, and discards the history of all others.
+func (o *observer) setAssigned(ids []subset.DatabaseID) {
+	kept := make(map[subset.DatabaseID]*checkHistory, len(ids))
 	for _, id := range ids {
 		if kept[id] = o.databases[id]; kept[id] == nil {
-			kept[id] = &observed{}
+			kept[id] = &checkHistory{}
 		}
 	}
 	o.databases = kept
 }
 
-// observe takes the outcome of a check. It gives a report where there is something to tell.
-func (o *observer) observe(now time.Duration, id subset.DatabaseID, seen Observation) (Report, bool) {
-	d := o.databases[id]
-	if d == nil {
+// observe processes the outcome of a check. It returns a report and true if there is something to report.
+func (o *observer) observe(now time.Duration, id subset.DatabaseID, observation Observation) (Report, bool) {
+	history := o.databases[id]
+	if history == nil {
 		return Report{}, false
 	}
-	status, sure := o.status(d, seen)
-	if !sure {
+	status, conclusive := o.classify(history, observation)
+	if !conclusive {
 		return Report{}, false
 	}
-	role := seen.Role
+	role := observation.Role
 	if role == subset.RoleUnknown {
-		role = d.report.Role
+		role = history.report.Role
 	}
-	changed := !d.reported || status != d.report.Status || role != d.report.Role
-	refresh := status != Alive && now-d.report.ObservedAt >= RefreshInterval
+	changed := !history.reported || status != history.report.Status || role != history.report.Role
+	refresh := status != Alive && now-history.report.ObservedAt >= RefreshInterval
 	if !changed && !refresh {
 		return Report{}, false
 	}
-	d.reported = true
-	d.report = Report{Origin: o.config.Self.ID, Epoch: o.config.Epoch, Database: id, Status: status, Role: role, ObservedAt: now, Position: seen.Position}
-	return d.report, true
+	history.reported = true
+	history.report = Report{Origin: o.config.Self.ID, Epoch: o.config.Epoch, Database: id, Status: status, Role: role, ObservedAt: now, Position: observation.Position}
+	return history.report, true
 }
 
-// status gives what an outcome says; sure is false where a few more unanswered checks are needed.
-func (o *observer) status(d *observed, seen Observation) (status Status, sure bool) {
-	if !seen.Answered {
-		d.failures++
-		return Dead, d.failures >= FailureThreshold || !o.config.has(guardConsecutive)
+// classify returns the status that an outcome shows. conclusive is false if more checks have to go unanswered before the database is
+// reported dead.
+func (o *observer) classify(history *checkHistory, observation Observation) (status Status, conclusive bool) {
+	if !observation.Answered {
+		history.failures++
+		return Dead, history.failures >= FailureThreshold || !o.config.enabled(guardConsecutive)
 	}
-	d.failures = 0
+	history.failures = 0
 	switch {
-	case seen.Failing:
+	case observation.Failing:
 		return Failing, true
-	case seen.ColdStart:
+	case observation.ColdStart:
 		return ColdStart, true
 	}
 	return Alive, true
 }
 
-// reportAnew lets the next check of each database be reported whatever it finds.
-func (o *observer) reportAnew() {
-	for _, d := range o.databases {
-		d.reported = false
+// forceReports makes the next check of each database produce a report even if nothing has changed.
+func (o *observer) forceReports() {
+	for _, history := range o.databases {
+		history.reported = false
 	}
 }
 
-// current gives what was reported last of each database, for whoever has not received it. The time stays that of the check.
-func (o *observer) current() (reports []Report) {
-	for _, d := range o.databases {
-		if d.reported {
-			reports = append(reports, d.report)
+// lastReports returns the last report about each database, sorted by database, for a receiver that does not have them. Their times remain
+// those of the checks.
+func (o *observer) lastReports() (reports []Report) {
+	for _, history := range o.databases {
+		if history.reported {
+			reports = append(reports, history.report)
 		}
 	}
 	slices.SortFunc(reports, func(x, y Report) int { return cmp.Compare(x.Database, y.Database) })
--- a/internal/healthcheck/plan_test.go
+++ b/internal/healthcheck/plan_test.go
@@ -8,7 +8,7 @@
 	"havenproxy/internal/subset"
 )
 
-// Sharing follows from the settings alone.
+// The plan, and whether checks are shared, depend on the settings alone.
 func TestPlanIsCalculated(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -32,7 +32,7 @@
 	}
 }
 
-// A checker alone changes neither role, position, cold start nor failing; a quorum does.
+// A single checker changes neither role, position, cold start nor failing state of a database; a quorum does.
 func TestOneCheckerIsOutvoted(t *testing.T) {
 	assignment := subset.NewAssignment(subset.Config{Checkers: 3})
 	var tier []subset.Proxy
--- a/internal/healthcheck/relay.go
+++ b/internal/healthcheck/relay.go
@@ -9,74 +9,76 @@
 	"havenproxy/internal/subset"
 )
 
-// Relay is a planner's side: it takes the proxies' reports, and sends each link what has changed. It draws no conclusion of its own but
-// which checkers are silent, so that a planner that is wrong can at most withhold. All of it is soft state.
+// Relay implements a planner's part of shared health checking: it receives the proxies' reports and sends each connected proxy what has
+// changed. Its only conclusion is which checkers are silent, so a faulty planner can at most withhold reports. All of its state is soft.
 type Relay struct {
-	config    Config
-	freshness freshness
-	origins   map[subset.ProxyID]*origin
-	latest    map[reportKey]stored
-	ailing    map[subset.DatabaseID]int // how many of latest call a database anything but alive
-	log       []Change                  // what has changed, the oldest first
-	base      int                       // how many entries have been cut off the front of log
-	links     map[subset.ProxyID]*link
-	ticked    time.Duration
+	config           Config
+	filter           reportFilter
+	origins          map[subset.ProxyID]*originState
+	latest           map[reportKey]storedReport
+	unhealthyReports map[subset.DatabaseID]int // number of reports in latest other than Alive, by database
+	log              []Change                  // changes, oldest first
+	logStart         int                       // number of entries removed from the front of log
+	links            map[subset.ProxyID]*relayLink
+	lastTick         time.Duration
 }
 
-// silenceGrain is how often it is looked up who is silent.
-const silenceGrain = 500 * time.Millisecond
+// silenceCheckInterval is how often the relay checks for silent checkers.
+const silenceCheckInterval = 500 * time.Millisecond
 
-// reportKey names what there is one newest report of.
+// reportKey identifies the origin and the database of a report.
 type reportKey struct {
 	origin   subset.ProxyID
 	database subset.DatabaseID
 }
 
-// stored is the newest report of an origin on a database.
-type stored struct {
-	report Report
-	logged int // the entry of the log that tells of its status and role, counted from the beginning; notLogged = none does
+// storedReport is the newest report of an origin about a database.
+type storedReport struct {
+	report   Report
+	logIndex int // index, counted from the first entry ever, of the log entry with its status and role, or notLogged
 }
 
+// notLogged is the log index of a report that no log entry contains.
 const notLogged = -1
 
-// origin is a proxy as a source of heartbeats.
-type origin struct {
-	heard  time.Duration
-	silent bool
+// originState is the state of a proxy as a source of heartbeats.
+type originState struct {
+	lastHeard time.Duration
+	silent    bool
 }
 
-// link is one proxy's, as it is sent to.
-type link struct {
-	budget  byteBudget
-	sent    int      // entries of the log, counted from its beginning
-	backlog []Change // what was known before the link began
-	last    time.Duration
+// relayLink is the connection to one proxy.
+type relayLink struct {
+	budget    byteBudget
+	nextIndex int      // index of the next log entry to send, counted from the first entry ever
+	backlog   []Change // changes from before the connection was opened
+	lastSent  time.Duration
 }
 
-// maxLog is how many entries are kept for links that lag behind. A link that lags further behind begins anew.
-const maxLog = 16384
+// maxLogEntries is how many log entries are kept for connections that lag behind. A connection that lags further is restarted with a
+// snapshot.
+const maxLogEntries = 16384
 
-// NewRelay makes one that has heard of no proxy. Of the config it needs the plan, and the epoch of the planner's process.
+// NewRelay returns a relay that has not heard from any proxy. It uses Plan and Epoch of the config; Epoch is that of the planner's process.
 func NewRelay(config Config) *Relay {
-	return &Relay{config: config, freshness: newFreshness(config.disabled), origins: map[subset.ProxyID]*origin{},
-		latest: map[reportKey]stored{}, ailing: map[subset.DatabaseID]int{}, links: map[subset.ProxyID]*link{}}
+	return &Relay{config: config, filter: newReportFilter(config.disabled), origins: map[subset.ProxyID]*originState{},
+		latest: map[reportKey]storedReport{}, unhealthyReports: map[subset.DatabaseID]int{}, links: map[subset.ProxyID]*relayLink{}}
 }
 
-// Attach begins a link to a proxy: what is known goes out first, deaths before all else, at the pace of the budget.
+// Attach starts a connection to a proxy. The known state is sent first, deaths before everything else, within the byte budget.
 func (r *Relay) Attach(now time.Duration, id subset.ProxyID) {
-	l := &link{budget: newByteBudget(r.config.Plan.BytesPerSecond), sent: r.base + len(r.log)}
-	if r.config.has(guardSnapshot) {
+	l := &relayLink{budget: newByteBudget(r.config.Plan.BytesPerSecond), nextIndex: r.logStart + len(r.log)}
+	if r.config.enabled(guardSnapshot) {
 		l.backlog = r.snapshot(now)
 	}
 	r.links[id] = l
 }
 
-// Detach ends a link.
+// Detach ends the connection to a proxy.
 func (r *Relay) Detach(id subset.ProxyID) { delete(r.links, id) }
 
-// snapshot gives what a new link has to know: silent checkers, what is not alive (it is refreshed), and what
-// has changed lately.
+// snapshot returns the changes that a new connection is sent first: silent checkers, reports other than Alive (which are refreshed), and
+// reports that have changed recently.
 func (r *Relay) snapshot(now time.Duration) (changes []Change) {
 	for _, id := range slices.Sorted(maps.Keys(r.origins)) {
 		if r.origins[id].silent {
@@ -85,7 +87,7 @@
 	}
 	silent := len(changes)
 	for _, s := range r.latest {
-		recent := now-s.report.ObservedAt <= ReportTTL && (s.logged != notLogged || r.ailing[s.report.Database] > 0)
+		recent := now-s.report.ObservedAt <= ReportTTL && (s.logIndex != notLogged || r.unhealthyReports[s.report.Database] > 0)
 		if s.report.Status != Alive || recent {
 			changes = append(changes, Change{ReportChanged, s.report})
 		}
@@ -97,181 +99,182 @@
 	return changes
 }
 
-// Receive takes a proxy's message.
-func (r *Relay) Receive(now time.Duration, m Message) {
-	if m.Epoch < r.freshness.epochs[m.From] && r.freshness.has(guardEpoch) {
-		r.freshness.counters.StaleEpoch++
+// Receive processes a message of a proxy.
+func (r *Relay) Receive(now time.Duration, message Message) {
+	if message.Epoch < r.filter.epochs[message.From] && r.filter.enabled(guardEpoch) {
+		r.filter.counters.StaleEpoch++
 		return
 	}
-	o := r.origins[m.From]
-	if o == nil {
-		o = &origin{}
-		r.origins[m.From] = o
+	origin := r.origins[message.From]
+	if origin == nil {
+		origin = &originState{}
+		r.origins[message.From] = origin
 	}
-	if o.heard = now; o.silent {
-		o.silent = false
-		r.append(Change{CheckerResumed, Report{Origin: m.From}})
+	if origin.lastHeard = now; origin.silent {
+		origin.silent = false
+		r.append(Change{CheckerResumed, Report{Origin: message.From}})
 	}
-	for _, report := range m.Reports {
-		r.receive(now, m, report)
+	for _, report := range message.Reports {
+		r.receiveReport(now, message, report)
 	}
 }
 
-func (r *Relay) receive(now time.Duration, m Message, report Report) {
-	if report.Origin != m.From { // a proxy speaks to a planner for itself only
-		r.freshness.counters.ForeignOrigin++
+func (r *Relay) receiveReport(now time.Duration, message Message, report Report) {
+	if report.Origin != message.From { // proxies send planners only their own reports
+		r.filter.counters.ForeignOrigin++
 		return
 	}
 	key := keyOf(report)
 	var known *Report
-	next := stored{report, notLogged}
-	if k, ok := r.latest[key]; ok {
-		known, next.logged = &k.report, k.logged
+	next := storedReport{report, notLogged}
+	if stored, ok := r.latest[key]; ok {
+		known, next.logIndex = &stored.report, stored.logIndex
 	}
-	ok, _ := r.freshness.accept(now, report, known)
+	ok, _ := r.filter.accept(now, report, known)
 	if !ok {
 		return
 	}
-	news := r.isNews(report, known)
-	r.drop(key)
+	changed := r.changesState(report, known)
+	r.removeReport(key)
 	if report.Status != Alive {
-		r.ailing[report.Database]++
+		r.unhealthyReports[report.Database]++
 	}
-	if news {
-		next.logged = r.base + len(r.log)
+	if changed {
+		next.logIndex = r.logStart + len(r.log)
 	}
 	r.latest[key] = next
-	if news {
+	if changed {
 		r.append(Change{ReportChanged, report})
 	}
 }
 
-// isNews tells whether a report is to be sent to all. A refreshed one is not: as long as digests come, what was sent before stands. Nor
-// is the first report of a checker that a database is alive, as long as nobody says otherwise: a tier that starts would send all of them
-// to all.
-func (r *Relay) isNews(report Report, known *Report) bool {
+// changesState reports whether a report must be sent to all proxies. A refreshed report need not be: while digests arrive, earlier reports
+// remain valid. Nor must a checker's first report that a database is alive, unless another one says otherwise: in a starting tier every such
+// report would go to every proxy.
+func (r *Relay) changesState(report Report, known *Report) bool {
 	if known != nil {
 		return known.Status != report.Status || known.Role != report.Role
 	}
-	mayHaveToldOtherwise := report.Epoch < r.config.Epoch // to the planner before this one
-	return report.Status != Alive || r.ailing[report.Database] > 0 || mayHaveToldOtherwise
+	mayDifferFromEarlierReport := report.Epoch < r.config.Epoch // sent to the previous planner
+	return report.Status != Alive || r.unhealthyReports[report.Database] > 0 || mayDifferFromEarlierReport
 }
 
-// drop forgets the newest report of an origin on a database.
-func (r *Relay) drop(key reportKey) {
+// removeReport discards the newest report of an origin about a database.
+func (r *Relay) removeReport(key reportKey) {
 	if s, ok := r.latest[key]; ok && s.report.Status != Alive {
-		if r.ailing[key.database]--; r.ailing[key.database] == 0 {
-			delete(r.ailing, key.database)
+		if r.unhealthyReports[key.database]--; r.unhealthyReports[key.database] == 0 {
+			delete(r.unhealthyReports, key.database)
 		}
 	}
 	delete(r.latest, key)
 }
 
-// dropAll forgets all reports of an origin.
-func (r *Relay) dropAll(id subset.ProxyID) {
+// removeReports discards all reports of an origin.
+func (r *Relay) removeReports(id subset.ProxyID) {
 	for key := range r.latest {
 		if key.origin == id {
-			r.drop(key)
+			r.removeReport(key)
 		}
 	}
 }
 
-// RemoveProxy drops a proxy that has left the tier.
+// RemoveProxy discards the state of a proxy that has left the tier. It does not end its connection.
 func (r *Relay) RemoveProxy(id subset.ProxyID) {
 	delete(r.origins, id)
-	r.dropAll(id)
+	r.removeReports(id)
 }
 
-// Tick finds out who is silent. What a silent checker reported is dropped: it reports anew when it is back.
+// Tick detects silent checkers. The reports of a silent checker are discarded; it sends new ones when it returns.
 func (r *Relay) Tick(now time.Duration) {
-	if now-r.ticked < silenceGrain {
+	if now-r.lastTick < silenceCheckInterval {
 		return
 	}
-	r.ticked = now
+	r.lastTick = now
 	for _, id := range slices.Sorted(maps.Keys(r.origins)) {
-		if o := r.origins[id]; !o.silent && now-o.heard > CheckerTimeout {
+		if o := r.origins[id]; !o.silent && now-o.lastHeard > CheckerTimeout {
 			o.silent = true
 			r.append(Change{CheckerSilent, Report{Origin: id}})
-			if r.config.has(guardSilence) {
-				r.dropAll(id)
+			if r.config.enabled(guardSilence) {
+				r.removeReports(id)
 			}
 		}
 	}
 }
 
-// NextDigest gives the digest to be sent to a proxy now; false = there is none.
+// NextDigest returns the digest to send to a proxy now, and false if there is none.
 func (r *Relay) NextDigest(now time.Duration, id subset.ProxyID) (Digest, bool) {
 	l := r.links[id]
 	if l == nil {
 		return Digest{}, false
 	}
-	l.budget.fill(now)
-	if l.sent < r.base { // what it lacks has been cut off
+	l.budget.refill(now)
+	if l.nextIndex < r.logStart { // entries that it has not been sent have been removed from the log
 		r.Attach(now, id)
 		r.links[id].budget, l = l.budget, r.links[id]
 	}
 	r.skipSuperseded(l)
-	waiting := len(l.backlog) + r.base + len(r.log) - l.sent
-	if waiting == 0 && now-l.last < HeartbeatInterval {
+	waiting := len(l.backlog) + r.logStart + len(r.log) - l.nextIndex
+	if waiting == 0 && now-l.lastSent < HeartbeatInterval {
 		return Digest{}, false
 	}
 	n := min(waiting, MaxChanges)
-	if r.config.has(guardBytes) {
-		if n = l.budget.entries(ChangeBytes, n); n < 0 || n == 0 && waiting > 0 && now-l.last < HeartbeatInterval {
+	if r.config.enabled(guardBytes) {
+		if n = l.budget.maxEntries(ChangeBytes, n); n < 0 || n == 0 && waiting > 0 && now-l.lastSent < HeartbeatInterval {
 			return Digest{}, false
 		}
 	}
-	changes := r.takeFor(l, n)
-	l.budget.spend(ChangeBytes, len(changes))
-	l.last = now
+	changes := r.takeChanges(l, n)
+	l.budget.consume(ChangeBytes, len(changes))
+	l.lastSent = now
 	return Digest{changes}, true
 }
 
-// skipSuperseded passes over what a newer entry of the log replaces, so that a link that lags is sent each report once, the newest.
-func (r *Relay) skipSuperseded(l *link) {
-	for l.sent < r.base+len(r.log) && r.superseded(l.sent) {
-		l.sent++
+// skipSuperseded skips log entries that newer ones replace, so that a connection that lags is sent only the newest report of each origin
+// and database.
+func (r *Relay) skipSuperseded(l *relayLink) {
+	for l.nextIndex < r.logStart+len(r.log) && r.superseded(l.nextIndex) {
+		l.nextIndex++
 	}
 }
 
-// superseded tells whether a later entry, or none at all, holds what this one told.
+// superseded reports whether a log entry has been replaced by a later one, or its report discarded.
 func (r *Relay) superseded(entry int) bool {
-	change := r.log[entry-r.base]
-	return change.Kind == ReportChanged && r.latest[keyOf(change.Report)].logged != entry
+	change := r.log[entry-r.logStart]
+	return change.Kind == ReportChanged && r.latest[keyOf(change.Report)].logIndex != entry
 }
 
 func keyOf(r Report) reportKey { return reportKey{r.Origin, r.Database} }
 
-// takeFor takes at most n changes off what waits for a link. A change since the link began outranks the backlog, save for what the backlog says
-// of who is silent, which it begins with.
-func (r *Relay) takeFor(l *link, n int) (changes []Change) {
+// takeChanges removes at most n pending changes of a connection and returns them. Log entries precede the backlog, except for the silent
+// checkers at the head of the backlog.
+func (r *Relay) takeChanges(l *relayLink, n int) (changes []Change) {
 	for len(changes) < n && len(l.backlog) > 0 && l.backlog[0].Kind == CheckerSilent {
 		changes = append(changes, l.backlog[0])
 		l.backlog = l.backlog[1:]
 	}
-	for r.skipSuperseded(l); len(changes) < n && l.sent < r.base+len(r.log); r.skipSuperseded(l) {
-		change := r.log[l.sent-r.base]
+	for r.skipSuperseded(l); len(changes) < n && l.nextIndex < r.logStart+len(r.log); r.skipSuperseded(l) {
+		change := r.log[l.nextIndex-r.logStart]
 		if change.Kind == ReportChanged {
-			change.Report = r.latest[keyOf(change.Report)].report // as refreshed since
+			change.Report = r.latest[keyOf(change.Report)].report // includes refreshes since the entry was made
 		}
 		changes = append(changes, change)
-		l.sent++
+		l.nextIndex++
 	}
 	older := l.backlog[:min(len(l.backlog), n-len(changes))]
 	l.backlog = l.backlog[len(older):]
 	return append(changes, older...)
 }
 
-// append adds to the log, and cuts off what no link needs, or what is too much.
-func (r *Relay) append(c Change) {
-	r.log = append(r.log, c)
-	if len(r.log) < 2*maxLog {
+// append adds an entry to the log. If the log has grown to twice maxLogEntries, the older half is removed.
+func (r *Relay) append(change Change) {
+	r.log = append(r.log, change)
+	if len(r.log) < 2*maxLogEntries {
 		return
 	}
-	cut := len(r.log) - maxLog
-	r.log = slices.Clone(r.log[cut:])
-	r.base += cut
+	removed := len(r.log) - maxLogEntries
+	r.log = slices.Clone(r.log[removed:])
+	r.logStart += removed
 }
 
-// Counters gives what has been accepted and dropped.
-func (r *Relay) Counters() Counters { return r.freshness.counters }
+// Counters returns the counts of accepted and rejected reports.
+func (r *Relay) Counters() Counters { return r.filter.counters }
--- a/internal/healthcheck/sim_test.go
+++ b/internal/healthcheck/scenarios_test.go
@@ -10,19 +10,19 @@
 	"havenproxy/internal/subset"
 )
 
-// scenario is a kind of trouble; the seed draws its times and places.
+// scenario is a kind of fault to simulate; the seed determines when and where it strikes.
 type scenario struct {
 	name        string
 	proxies     int
 	zones       int
 	databases   int
 	bytes       float64
-	loss        float64 // of messages
-	checkLoss   float64
-	served      bool // requests are answered all the while
-	aliveWithin time.Duration
-	knownWithin time.Duration // 0 = not claimed
-	cut         func(w *world, n *simNode, d *simDatabase) bool
+	loss        float64                                         // probability that a message is lost
+	checkLoss   float64                                         // probability that a check is lost
+	served      bool                                            // requests to databases that are up are answered throughout
+	aliveWithin time.Duration                                   // no reachable proxy ejects a database that has been up for this long
+	knownWithin time.Duration                                   // every reachable proxy ejects a database that has been down for this long; 0 = default, negative = not checked
+	cut         func(w *world, n *simNode, d *simDatabase) bool // reports whether the proxy cannot reach the database; nil = always reachable
 	setup       func(w *world)
 }
 
@@ -31,15 +31,15 @@
 	second    = time.Second
 )
 
-// death lets a random database die, and come back.
+// death makes a random database fail, and recover later.
 func death(w *world, from, until time.Duration) {
 	d := w.databases[w.rng.IntN(len(w.databases))]
 	at := w.between(from, until)
-	w.after(at, func() { w.set(d, true) })
-	w.after(at+w.between(6*second, 18*second), func() { w.set(d, false) })
+	w.after(at, func() { w.setDown(d, true) })
+	w.after(at+w.between(6*second, 18*second), func() { w.setDown(d, false) })
 }
 
-// some draws n proxies.
+// some returns n random proxies.
 func some(w *world, n int) (out []*simNode) {
 	for _, i := range w.rng.Perm(len(w.nodes))[:n] {
 		out = append(out, w.nodes[i])
@@ -49,7 +49,7 @@
 
 func inZone(n *simNode, zone int) bool { return n.zone == zone }
 
-// scenarios gives all of them.
+// scenarios returns all scenarios.
 func scenarios() []*scenario {
 	list := []*scenario{
 		{name: "calm", setup: func(w *world) { death(w, 5*second, 20*second) }},
@@ -75,7 +75,7 @@
 		{name: "planners lost, then checkers paused", knownWithin: -1, aliveWithin: ReportTTL + 2*second, setup: setupPausedAmongPeers},
 		{name: "rolling restart", setup: setupRollingRestart},
 		{name: "a checker calls all dead", setup: func(w *world) {
-			some(w, 1)[0].lies = true
+			some(w, 1)[0].reportsAllDead = true
 			death(w, 5*second, 20*second)
 		}},
 		{name: "clocks ahead, then set", knownWithin: -1, setup: setupClocks},
@@ -85,7 +85,7 @@
 		}},
 		{name: "few bytes", bytes: 200, knownWithin: 16 * second, aliveWithin: 16 * second, setup: func(w *world) {
 			for _, d := range w.databases[:3] {
-				w.after(10*second, func() { w.set(d, true) })
+				w.after(10*second, func() { w.setDown(d, true) })
 			}
 		}},
 	}
@@ -133,7 +133,7 @@
 	death(w, 12*second, 16*second)
 }
 
-// setupPlannerReplaced lets a planner fail, and another that knows nothing take over.
+// setupPlannerReplaced stops the planner and starts a new one without any state.
 func setupPlannerReplaced(w *world) {
 	death(w, 5*second, 12*second)
 	death(w, 5*second, 12*second)
@@ -141,7 +141,7 @@
 	w.after(at, func() { w.planner = false })
 	w.after(at+w.between(0, 3*second), func() {
 		config := w.relay.config
-		config.Epoch = 100 // later than those of all proxies
+		config.Epoch = 100 // later than all proxies' epochs, so that the planner expects reports from before its start
 		w.planner, w.relay = true, NewRelay(config)
 		for _, n := range w.nodes {
 			w.relay.Attach(w.now, n.self.ID)
@@ -155,7 +155,7 @@
 		n.muteUntil = w.now + simLength
 	}
 	d := w.databases[w.rng.IntN(len(w.databases))]
-	w.after(w.between(10*second, 16*second), func() { w.set(d, true) })
+	w.after(w.between(10*second, 16*second), func() { w.setDown(d, true) })
 }
 
 func setupZoneGone(w *world) {
@@ -172,39 +172,39 @@
 
 func setupVersions(w *world) {
 	for _, n := range some(w, 4) {
-		n.later = true
+		n.laterVersion = true
 	}
 	death(w, 5*second, 20*second)
 }
 
-// setupPaused lets a database die and come back while those that have seen its death stand still.
+// setupPaused makes a database fail and recover while checkers that have observed the failure are paused.
 func setupPaused(w *world) {
 	d := w.databases[w.rng.IntN(len(w.databases))]
 	at := 5 * second
-	w.after(at, func() { w.set(d, true) })
+	w.after(at, func() { w.setDown(d, true) })
 	w.after(at+w.between(1*second, 4*second), func() {
 		for _, n := range some(w, 5) {
 			w.pause(n, w.between(8*second, 30*second))
 		}
 	})
-	w.after(at+5*second, func() { w.set(d, false) })
+	w.after(at+5*second, func() { w.setDown(d, false) })
 }
 
-// setupPausedAmongPeers does the same where no planner tells who is silent.
+// setupPausedAmongPeers does the same as setupPaused without a planner that would declare the paused checkers silent.
 func setupPausedAmongPeers(w *world) {
 	w.after(1*second, func() { w.planner = false })
 	d := w.databases[w.rng.IntN(len(w.databases))]
-	w.after(9*second, func() { w.set(d, true) })
+	w.after(9*second, func() { w.setDown(d, true) })
 	w.after(w.between(12500*time.Millisecond, 13500*time.Millisecond), func() {
 		for _, n := range some(w, 5) {
 			w.pause(n, simLength)
 		}
 	})
-	w.after(14*second, func() { w.set(d, false) })
+	w.after(14*second, func() { w.setDown(d, false) })
 }
 
-// setupRollingRestart replaces three proxies one by one. The old processes, which have closed what they check with, go on for a while
-// and call all dead.
+// setupRollingRestart replaces three proxies one by one. The old processes, which have already closed their connections for checks, keep
+// reporting dead databases for a while.
 func setupRollingRestart(w *world) {
 	for i, n := range some(w, 3) {
 		w.after(time.Duration(5+3*i)*second, func() {
@@ -221,7 +221,7 @@
 
 func sendAllDead(w *world, id subset.ProxyID, epoch uint32, duties []subset.DatabaseID) {
 	m := Message{From: id, Epoch: epoch, ToPlanner: true}
-	for _, d := range duties[:(len(duties)+1)/2] { // not so many that the checker is taken for cut off
+	for _, d := range duties[:(len(duties)+1)/2] { // few enough that the checker is not presumed partitioned
 		m.Reports = append(m.Reports, Report{Origin: id, Epoch: epoch, Database: d, Status: Dead, ObservedAt: w.now})
 	}
 	w.relay.Receive(w.now, m)
@@ -229,15 +229,15 @@
 
 func setupClocks(w *world) {
 	for _, n := range some(w, 4) {
-		n.ahead = 30 * second
-		w.after(12*second, func() { n.ahead = 0 })
+		n.clockAhead = 30 * second
+		w.after(12*second, func() { n.clockAhead = 0 })
 	}
 	d := w.databases[w.rng.IntN(len(w.databases))]
-	w.after(5*second, func() { w.set(d, true) })
-	w.after(13*second, func() { w.set(d, false) })
+	w.after(5*second, func() { w.setDown(d, true) })
+	w.after(13*second, func() { w.setDown(d, false) })
 }
 
-// runSeed runs one seed, which names the scenario as well.
+// runSeed runs the scenario that the seed selects, and returns the violation found, if any.
 func runSeed(seed int, disabled guard) string {
 	list := scenarios()
 	w := newWorld(list[seed%len(list)], uint64(seed), disabled)
@@ -245,8 +245,8 @@
 	return w.violation
 }
 
-// seeds is how many are run; HEALTHCHECK_SEEDS asks for another number.
-func seeds(t *testing.T, usual int) int {
+// seeds returns the number of seeds to run: HEALTHCHECK_SEEDS, or else the default.
+func seeds(t *testing.T, defaultSeeds int) int {
 	if text := os.Getenv("HEALTHCHECK_SEEDS"); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil {
@@ -254,7 +254,7 @@
 		}
 		return n
 	}
-	return usual
+	return defaultSeeds
 }
 
 func TestInvariantsHold(t *testing.T) {
@@ -272,13 +272,13 @@
 	}
 }
 
-// guardNames are those of the table in docs/design/health-checks.md.
+// guardNames are the names in the table of docs/design/health-checks.md, in the order of the guards.
 var guardNames = []string{"quorum", "zones", "mass loss", "settle time", "consecutive failures", "epoch", "order", "age", "skew", "silence",
 	"own evidence", "pace", "bytes", "fallback", "snapshot"}
 
-// Each guard that is disabled is caught by some seed.
+// Each guard, when disabled, leads to a violation with some seed.
 func TestDisabledGuardsAreCaught(t *testing.T) {
-	if 1<<len(guardNames) != guardLast {
+	if 1<<len(guardNames) != guardEnd {
 		t.Fatal("a guard has no name")
 	}
 	most := seeds(t, 760)
--- a/internal/healthcheck/scheduler.go
+++ b/internal/healthcheck/scheduler.go
@@ -8,88 +8,89 @@
 	"havenproxy/internal/subset"
 )
 
-// scheduler says which database is checked next. Checks are spaced evenly, so that no second holds more than the budget.
+// scheduler determines which database is checked next. Checks are spaced evenly, so that the check rate is not exceeded in any second.
 type scheduler struct {
-	config Config
-	rng    *rand.Rand
-	items  map[subset.DatabaseID]*scheduled
-	order  []*scheduled // by ID, so that a run can be repeated
-	duties int
-	used   int
-	wanted int
-	next   time.Duration // no check before
+	config        Config
+	rng           *rand.Rand
+	entries       map[subset.DatabaseID]*scheduledCheck
+	sorted        []*scheduledCheck // by database ID, for reproducible runs
+	assignedCount int
+	usedCount     int
+	wantedCount   int
+	nextStart     time.Duration // earliest start of the next check
 }
 
-// rechecks is how many checks of a database that doesn't answer follow one another at once: so many that those which lead to a report of
-// its death, and those within SettleTime, do.
-const rechecks = 2 * FailureThreshold
+// maxRechecks is how many checks of a database that does not answer follow one another immediately: enough for the failures that lead to
+// the report of its death, and for those within SettleTime.
+const maxRechecks = 2 * FailureThreshold
 
-// scheduled is one database that may be checked.
-type scheduled struct {
+// scheduledCheck is one database that may be checked.
+type scheduledCheck struct {
 	id       subset.DatabaseID
-	duty     bool // on behalf of the tier
+	assigned bool // checked on behalf of the tier
 	used     bool // this proxy sends requests to it
-	wanted   bool // its verdict asks for own evidence
+	wanted   bool // its verdict requires local evidence
 	running  bool
 	failures int
-	due      time.Duration
+	dueAt    time.Duration
 }
 
 func newScheduler(config Config, rng *rand.Rand) *scheduler {
-	return &scheduler{config: config, rng: rng, items: map[subset.DatabaseID]*scheduled{}}
+	return &scheduler{config: config, rng: rng, entries: map[subset.DatabaseID]*scheduledCheck{}}
 }
 
-// set tells which databases are duties, and which are used. A new one is due at a moment drawn from the interval, so that the proxies
-// of a tier don't check in step.
-func (s *scheduler) set(now time.Duration, duties, used []subset.DatabaseID) {
-	items := make(map[subset.DatabaseID]*scheduled, len(duties)+len(used))
-	add := func(id subset.DatabaseID) *scheduled {
-		item := items[id]
-		if item == nil {
-			if item = s.items[id]; item == nil {
-				item = &scheduled{id: id, due: now + time.Duration(s.rng.Float64()*float64(MinCheckInterval))}
+// setDatabases sets the databases that this proxy checks on behalf of the tier and those that it uses. The first check of a new one is due
+// at a random time within the shortest interval, so that the proxies of a tier do not check in lockstep.
+func (s *scheduler) setDatabases(now time.Duration, assigned, used []subset.DatabaseID) {
+	entries := make(map[subset.DatabaseID]*scheduledCheck, len(assigned)+len(used))
+	add := func(id subset.DatabaseID) *scheduledCheck {
+		entry := entries[id]
+		if entry == nil {
+			if entry = s.entries[id]; entry == nil {
+				entry = &scheduledCheck{id: id, dueAt: now + time.Duration(s.rng.Float64()*float64(MinCheckInterval))}
 			}
-			item.duty, item.used = false, false
-			items[id] = item
+			entry.assigned, entry.used = false, false
+			entries[id] = entry
 		}
-		return item
+		return entry
 	}
-	for _, id := range duties {
-		add(id).duty = true
+	for _, id := range assigned {
+		add(id).assigned = true
 	}
 	for _, id := range used {
 		add(id).used = true
 	}
-	s.items, s.duties, s.used = items, len(duties), len(used)
-	s.order, s.wanted = s.order[:0], 0
-	for _, item := range items {
-		s.order = append(s.order, item)
-		if item.wanted {
-			s.wanted++
+	s.entries, s.assignedCount, s.usedCount = entries, len(assigned), len(used)
+	s.sorted, s.wantedCount = s.sorted[:0], 0
+	for _, entry := range entries {
+		s.sorted = append(s.sorted, entry)
+		if entry.wanted {
+			s.wantedCount++
 		}
 	}
-	slices.SortFunc(s.order, func(x, y *scheduled) int { return int(x.id) - int(y.id) })
+	slices.SortFunc(s.sorted, func(x, y *scheduledCheck) int { return int(x.id) - int(y.id) })
 }
 
-// take gives the checks to be begun now.
-func (s *scheduler) take(now time.Duration, step Mode) (ids []subset.DatabaseID) {
-	for s.mayStart(now) {
-		item := s.mostUrgent(now, step)
-		if item == nil {
+// take returns the databases whose checks start now.
+func (s *scheduler) take(now time.Duration, mode Mode) (ids []subset.DatabaseID) {
+	for s.rateAllows(now) {
+		entry := s.mostUrgent(now, mode)
+		if entry == nil {
 			return ids
 		}
-		item.running = true
-		ids = append(ids, item.id)
-		s.next = max(s.next, now) + s.spacing()
+		entry.running = true
+		ids = append(ids, entry.id)
+		s.nextStart = max(s.nextStart, now) + s.spacing()
 	}
 	return ids
 }
 
-func (s *scheduler) mayStart(now time.Duration) bool {
-	return now >= s.next || !s.config.has(guardPace)
+// rateAllows reports whether the check rate allows a check to start now.
+func (s *scheduler) rateAllows(now time.Duration) bool {
+	return now >= s.nextStart || !s.config.enabled(guardRate)
 }
 
-// spacing is the time between the starts of two checks.
+// spacing returns the time between the starts of two checks.
 func (s *scheduler) spacing() time.Duration {
 	if s.config.Plan.ChecksPerSecond <= 0 {
 		return 0
@@ -97,79 +98,80 @@
 	return time.Duration(float64(time.Second) / s.config.Plan.ChecksPerSecond)
 }
 
-// mostUrgent gives the database to be checked first among those that are due.
-func (s *scheduler) mostUrgent(now time.Duration, step Mode) (best *scheduled) {
-	for _, item := range s.order {
-		if item.running || now < item.due || !item.concerns(step) {
+// mostUrgent returns the database to check first among those that are due, or nil if none is.
+func (s *scheduler) mostUrgent(now time.Duration, mode Mode) (best *scheduledCheck) {
+	for _, entry := range s.sorted {
+		if entry.running || now < entry.dueAt || !entry.appliesIn(mode) {
 			continue
 		}
-		if best == nil || item.before(best) {
-			best = item
+		if best == nil || entry.moreUrgentThan(best) {
+			best = entry
 		}
 	}
 	return best
 }
 
-// concerns tells whether an item is to be checked at all at a step.
-func (x *scheduled) concerns(step Mode) bool {
-	switch step {
+// appliesIn reports whether the database is checked in the given mode.
+func (c *scheduledCheck) appliesIn(mode Mode) bool {
+	switch mode {
 	case ModePlanner:
-		return x.duty || x.used && x.wanted
+		return c.assigned || c.used && c.wanted
 	case ModePeers:
-		return x.duty || x.used
+		return c.assigned || c.used
 	}
-	return x.used
+	return c.used
 }
 
-// before orders items: those that just went unanswered, then duties, then by who waits longest.
-func (x *scheduled) before(y *scheduled) bool {
-	if (x.failures > 0) != (y.failures > 0) {
-		return x.failures > 0
+// moreUrgentThan reports whether c is to be checked before other: databases that have just left a check unanswered come first, then assigned
+// ones, then those that have been due longest.
+func (c *scheduledCheck) moreUrgentThan(other *scheduledCheck) bool {
+	if (c.failures > 0) != (other.failures > 0) {
+		return c.failures > 0
 	}
-	if x.duty != y.duty {
-		return x.duty
+	if c.assigned != other.assigned {
+		return c.assigned
 	}
-	return x.due < y.due
+	return c.dueAt < other.dueAt
 }
 
-// done takes the outcome of a check that was begun at a moment.
-func (s *scheduler) done(now time.Duration, id subset.DatabaseID, step Mode, answered bool) {
-	item := s.items[id]
-	if item == nil {
+// complete processes the outcome of a check and schedules the next one.
+func (s *scheduler) complete(now time.Duration, id subset.DatabaseID, mode Mode, answered bool) {
+	entry := s.entries[id]
+	if entry == nil {
 		return
 	}
-	item.running = false
-	if !answered && item.failures+1 < rechecks {
-		item.failures++
-		item.due = now
+	entry.running = false
+	if !answered && entry.failures+1 < maxRechecks {
+		entry.failures++
+		entry.dueAt = now
 		return
 	}
-	item.failures = 0
-	item.due = now + s.interval(item, step)
+	entry.failures = 0
+	entry.dueAt = now + s.interval(entry, mode)
 }
 
-// interval gives the time until the next check: longer where the budget doesn't allow for the shortest one.
-func (s *scheduler) interval(item *scheduled, step Mode) time.Duration {
+// interval returns the time until the next check, which exceeds MinCheckInterval if the check rate requires it.
+func (s *scheduler) interval(entry *scheduledCheck, mode Mode) time.Duration {
 	switch {
-	case step == ModeStandalone:
-		return s.config.Plan.intervalFor(s.used)
-	case step == ModePeers:
-		return s.config.Plan.intervalFor(s.duties + s.used)
-	case item.duty:
-		return s.config.Plan.intervalFor(s.duties)
+	case mode == ModeStandalone:
+		return s.config.Plan.checkInterval(s.usedCount)
+	case mode == ModePeers:
+		return s.config.Plan.checkInterval(s.assignedCount + s.usedCount)
+	case entry.assigned:
+		return s.config.Plan.checkInterval(s.assignedCount)
 	}
-	return s.config.Plan.intervalFor(s.duties + s.wanted)
+	return s.config.Plan.checkInterval(s.assignedCount + s.wantedCount)
 }
 
-// want tells whether a verdict asks for own evidence on a database.
-func (s *scheduler) want(id subset.DatabaseID, wanted bool) {
-	item := s.items[id]
-	if item == nil || item.wanted == wanted {
+// setWanted records whether the verdict on a database requires local evidence.
+func (s *scheduler) setWanted(id subset.DatabaseID, wanted bool) {
+	entry := s.entries[id]
+	if entry == nil || entry.wanted == wanted {
 		return
 	}
-	if item.wanted = wanted; wanted {
-		s.wanted++
+	if entry.wanted = wanted; wanted {
+		s.wantedCount++
 	} else {
-		s.wanted--
+		s.wantedCount--
 	}
 }
--- a/internal/healthcheck/world_test.go
+++ b/internal/healthcheck/simulation_test.go
@@ -10,7 +10,7 @@
 	"havenproxy/internal/subset"
 )
 
-// world is a tier, its planner and its databases on virtual time.
+// world simulates a tier, its planner and its databases in virtual time.
 type world struct {
 	scenario  *scenario
 	rng       *rand.Rand
@@ -21,30 +21,30 @@
 	tier      []subset.Proxy
 	databases []*simDatabase
 	relay     *Relay
-	planner   bool // it runs
+	planner   bool // whether the planner runs
 	disabled  guard
 	plan      Plan
 	violation string
 }
 
-// simNode is a proxy as the world runs it.
+// simNode is a proxy of the simulation.
 type simNode struct {
-	node      *Node
-	self      subset.Proxy
-	zone      int
-	up        bool
-	since     time.Duration // when it started, woke up, or was last cut off
-	paused    bool
-	held      []func()      // what has come for it while it is paused
-	ahead     time.Duration // how far its wall clock is ahead, as others read it in its messages
-	epoch     uint32
-	lies      bool
-	later     bool // it runs a later version
-	muteUntil time.Duration
-	up2p      time.Duration // the last arrival of its link to the planner, and
-	down2p    time.Duration // of the planner's to it
-	starts    []time.Duration
-	sent      []sentBytes
+	node            *Node
+	self            subset.Proxy
+	zone            int
+	up              bool
+	since           time.Duration // when it last started or resumed
+	paused          bool
+	heldEvents      []func()      // arrived while it was paused
+	clockAhead      time.Duration // by how much the times in its messages are ahead
+	epoch           uint32
+	reportsAllDead  bool
+	laterVersion    bool // it runs a later version, whose reports include an unknown status
+	muteUntil       time.Duration
+	lastToPlanner   time.Duration // last arrival on its link to the planner
+	lastFromPlanner time.Duration // last arrival on the link from the planner
+	starts          []time.Duration
+	sent            []sentBytes
 }
 
 type sentBytes struct {
@@ -55,8 +55,8 @@
 type simDatabase struct {
 	id     subset.DatabaseID
 	down   bool
-	since  time.Duration                    // of its state
-	failed map[subset.ProxyID]time.Duration // the last check by each that was called unanswered
+	since  time.Duration                    // when it last went up or down
+	failed map[subset.ProxyID]time.Duration // when each proxy last found it unresponsive
 }
 
 type event struct {
@@ -105,13 +105,13 @@
 	return w
 }
 
-// after runs something later.
+// after schedules a function to run after a delay.
 func (w *world) after(d time.Duration, run func()) {
 	w.scheduled++
 	heap.Push(&w.events, event{w.now + d, w.scheduled, run})
 }
 
-// between draws a time.
+// between returns a random time in the given range.
 func (w *world) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.rng.Float64()*float64(high-low))
 }
@@ -150,7 +150,7 @@
 	}
 }
 
-// membersChange lets each proxy find out about the tier at a time of its own.
+// membersChange changes the tier; each running proxy learns of it at a random time within two seconds.
 func (w *world) membersChange(tier []subset.Proxy) {
 	w.tier = tier
 	for _, n := range w.nodes {
@@ -171,44 +171,44 @@
 	n.paused = true
 	w.after(d, func() {
 		n.paused, n.since = false, w.now
-		held := n.held
-		n.held = nil
+		held := n.heldEvents
+		n.heldEvents = nil
 		for _, run := range held {
 			run()
 		}
 	})
 }
 
-func (w *world) set(d *simDatabase, down bool) {
+func (w *world) setDown(d *simDatabase, down bool) {
 	if d.down != down {
 		d.down, d.since = down, w.now
 	}
 }
 
-// reachable tells whether a proxy's packets get to a database.
+// reachable reports whether a proxy's packets arrive at a database.
 func (w *world) reachable(n *simNode, d *simDatabase) bool {
 	return w.scenario.cut == nil || !w.scenario.cut(w, n, d)
 }
 
-// deliver runs something at a proxy, unless it has been replaced by then.
+// deliver runs a function at a proxy at the given time, unless the proxy has been stopped or replaced by then. A paused proxy runs it on resuming.
 func (w *world) deliver(n *simNode, at time.Duration, run func()) {
 	epoch := n.epoch
 	w.after(at-w.now, func() {
 		switch {
 		case !n.up || n.epoch != epoch:
 		case n.paused:
-			n.held = append(n.held, run)
+			n.heldEvents = append(n.heldEvents, run)
 		default:
 			run()
 		}
 	})
 }
 
-// streamDelay is that of a reliable link: what is lost is sent again after a growing time.
+// streamDelay returns the delay of a message on a reliable connection, on which lost segments are retransmitted with exponential backoff.
 func (w *world) streamDelay() time.Duration {
-	delay, again := simDelay, 200*time.Millisecond
-	for w.rng.Float64() < w.scenario.loss && again < 2*time.Second {
-		delay, again = delay+again, again*2
+	delay, retransmit := simDelay, 200*time.Millisecond
+	for w.rng.Float64() < w.scenario.loss && retransmit < 2*time.Second {
+		delay, retransmit = delay+retransmit, retransmit*2
 	}
 	return delay
 }
@@ -216,26 +216,26 @@
 func (w *world) check(n *simNode, id subset.DatabaseID) {
 	d := w.databases[id-1]
 	n.starts = append(n.starts, w.now)
-	ok := !d.down && w.reachable(n, d) && w.rng.Float64() >= w.scenario.checkLoss
-	seen, took := Observation{Answered: ok, Role: subset.Replica}, CheckTimeout
-	if ok || n.lies {
+	reached := !d.down && w.reachable(n, d) && w.rng.Float64() >= w.scenario.checkLoss
+	observation, took := Observation{Answered: reached, Role: subset.Replica}, CheckTimeout
+	if reached || n.reportsAllDead {
 		took = simDelay
 	}
-	if seen.Answered = ok && !n.lies; !seen.Answered {
+	if observation.Answered = reached && !n.reportsAllDead; !observation.Answered {
 		d.failed[n.self.ID] = w.now
 	}
 	node := n.node
-	w.deliver(n, w.now+took, func() { node.CompleteCheck(w.now, id, seen) })
+	w.deliver(n, w.now+took, func() { node.CompleteCheck(w.now, id, observation) })
 }
 
 func (w *world) send(n *simNode, m Message) {
 	n.sent = append(n.sent, sentBytes{w.now, HeaderBytes + PacketBytes + ReportBytes*len(m.Reports)})
 	for i := range m.Reports {
 		if m.Reports[i].Origin == n.self.ID {
-			m.Reports[i].ObservedAt += n.ahead
+			m.Reports[i].ObservedAt += n.clockAhead
 		}
 	}
-	if n.later && len(m.Reports) > 0 {
+	if n.laterVersion && len(m.Reports) > 0 {
 		strange := m.Reports[0]
 		strange.Status, strange.ObservedAt = Dead+5, strange.ObservedAt+time.Millisecond
 		m.Reports = append([]Report{strange}, m.Reports...)
@@ -243,15 +243,15 @@
 	switch {
 	case w.now < n.muteUntil:
 	case m.ToPlanner:
-		n.up2p = max(n.up2p, w.now+w.streamDelay())
-		w.after(n.up2p-w.now, func() {
+		n.lastToPlanner = max(n.lastToPlanner, w.now+w.streamDelay())
+		w.after(n.lastToPlanner-w.now, func() {
 			if w.planner {
 				w.relay.Receive(w.now, m)
 			}
 		})
 	case w.rng.Float64() >= w.scenario.loss:
 		delay := w.between(simDelay, 50*time.Millisecond)
-		if w.rng.IntN(5) == 0 { // some come late, by another way
+		if w.rng.IntN(5) == 0 { // some messages are delayed on another network path
 			delay = w.between(0, 8*time.Second)
 		}
 		to := w.nodes[m.To-1]
@@ -259,8 +259,8 @@
 	}
 }
 
-func (w *world) run(lasts time.Duration) {
-	for end := w.now + lasts; w.now < end && w.violation == ""; w.now += simTick {
+func (w *world) run(duration time.Duration) {
+	for end := w.now + duration; w.now < end && w.violation == ""; w.now += simTick {
 		for len(w.events) > 0 && w.events[0].at <= w.now {
 			heap.Pop(&w.events).(event).run()
 		}
@@ -280,8 +280,8 @@
 			continue
 		}
 		if digest, ok := w.relay.NextDigest(w.now, n.self.ID); ok && w.planner && w.now >= n.muteUntil {
-			n.down2p = max(n.down2p, w.now+w.streamDelay())
-			w.deliver(n, n.down2p, func() { n.node.ReceiveDigest(w.now, digest) })
+			n.lastFromPlanner = max(n.lastFromPlanner, w.now+w.streamDelay())
+			w.deliver(n, n.lastFromPlanner, func() { n.node.ReceiveDigest(w.now, digest) })
 		}
 		if n.paused {
 			continue
@@ -302,14 +302,14 @@
 	}
 }
 
-// audit holds what the proxies conclude and do against what is so.
+// audit compares the proxies' conclusions and resource use with the true state.
 func (w *world) audit() {
 	for _, n := range w.nodes {
 		if !n.up || n.paused {
 			continue
 		}
 		w.auditRates(n)
-		if n.lies {
+		if n.reportsAllDead {
 			continue
 		}
 		for _, d := range w.databases {
@@ -338,13 +338,13 @@
 	case !d.down && age > w.scenario.aliveWithin && verdict.State == Ejected:
 		w.fail("proxy %d ejects database %d, up for %v: %+v", n.self.ID, d.id, w.now-d.since, verdict)
 	case d.down && w.scenario.knownWithin > 0 && age > w.scenario.knownWithin && verdict.State != Ejected && w.concerns(n, d):
-		w.fail("proxy %d doesn't know that database %d is down since %v: %+v, step %d", n.self.ID, d.id, w.now-d.since, verdict, n.node.Mode())
+		w.fail("proxy %d does not know that database %d has been down for %v: %+v, step %d", n.self.ID, d.id, w.now-d.since, verdict, n.node.Mode())
 	}
 }
 
-// concerns tells whether a proxy has to know of a database: checking alone it need only know what it uses.
+// concerns reports whether a proxy has to know the state of a database: in ModeStandalone, only if it uses the database.
 func (w *world) concerns(n *simNode, d *simDatabase) bool {
-	item := n.node.scheduler.items[d.id]
+	item := n.node.scheduler.entries[d.id]
 	return n.node.Mode() != ModeStandalone || item != nil && item.used
 }
 
--- a/internal/healthcheck/verdict.go
+++ b/internal/healthcheck/verdict.go
@@ -7,19 +7,19 @@
 	"havenproxy/internal/subset"
 )
 
-// tally counts what the checkers of a database say of it.
+// tally counts the votes of the checkers of a database.
 type tally struct {
-	heard         int // checkers that are not silent
-	dead, doubted int // that call it dead, and that do so while they may be cut off themselves
-	deadZones     zoneSet
-	lastDeath     time.Duration // the newest time of a report of a death, doubted ones as well
-	own           bool          // this proxy is one of the checkers
-	failing, cold int
-	roles         [subset.Primary + 1]sightings
-	positions     []time.Duration
+	active                       int // checkers that are not silent
+	deadVotes, suspectVotes      int // votes for Dead, and such votes of checkers that may be partitioned
+	deadZones                    zoneSet
+	lastDeadReport               time.Duration // time of the newest report of a death, including suspect ones
+	selfIsChecker                bool          // this proxy is one of the checkers
+	failingVotes, coldStartVotes int
+	roleVotes                    [subset.Primary + 1]observationTimes
+	positions                    []time.Duration
 }
 
-// zoneSet is a small set of zones that needs no memory of its own.
+// zoneSet is a small set of zones that does not allocate.
 type zoneSet struct {
 	zones [maxVotes + 1]string
 	count int
@@ -32,26 +32,26 @@
 	}
 }
 
-// Verdict concludes from all evidence on a database.
-func (v *View) Verdict(now time.Duration, id subset.DatabaseID, step Mode) Verdict {
+// Verdict draws the conclusion about a database from all evidence.
+func (v *View) Verdict(now time.Duration, id subset.DatabaseID, mode Mode) Verdict {
 	database := v.databases[id]
 	if database == nil {
 		return Verdict{State: Unknown}
 	}
 	checkers := v.assignment.Checkers(id)
 	var t tally
-	v.count(now, &t, database, checkers)
-	quorum, zones := v.quorum(checkers)
-	verdict := Verdict{Votes: t.dead, Quorum: quorum, Failing: t.failing >= quorum, ColdStart: t.cold >= quorum,
-		Position: t.position(quorum)}
-	verdict.Role, verdict.RoleObservedAt = t.role(quorum)
-	verdict.State = v.state(now, database, &t, quorum, zones, step)
+	v.countVotes(now, &t, database, checkers)
+	quorum, zones := v.quorumSize(checkers)
+	verdict := Verdict{Votes: t.deadVotes, Quorum: quorum, Failing: t.failingVotes >= quorum, ColdStart: t.coldStartVotes >= quorum,
+		Position: t.quorumPosition(quorum)}
+	verdict.Role, verdict.RoleObservedAt = t.quorumRole(quorum)
+	verdict.State = v.state(now, database, &t, quorum, zones, mode)
 	return verdict
 }
 
-// quorum gives how many checkers must call a database dead, and in how many zones they must be.
-func (v *View) quorum(checkers []subset.Proxy) (votes, zones int) {
-	if !v.config.has(guardQuorum) {
+// quorumSize returns how many checkers must report a database dead, and how many zones they must span.
+func (v *View) quorumSize(checkers []subset.Proxy) (votes, zones int) {
+	if !v.config.enabled(guardQuorum) {
 		return 1, 1
 	}
 	var distinct zoneSet
@@ -60,24 +60,24 @@
 	}
 	votes = max(len(checkers)/2+1, 2)
 	zones = min(votes, distinct.count)
-	if !v.config.has(guardZones) {
+	if !v.config.enabled(guardZones) {
 		zones = 1
 	}
 	return votes, zones
 }
 
-// count goes through the votes of a database's checkers. For a checker that has not reported yet, since it has just become one, the
-// vote of another proxy stands in, which was one before.
-func (v *View) count(now time.Duration, t *tally, database *evidence, checkers []subset.Proxy) {
+// countVotes counts the votes of a database's checkers. A checker that has only just been assigned and has not reported yet is replaced by
+// another proxy with a vote, such as a previous checker.
+func (v *View) countVotes(now time.Duration, t *tally, database *evidence, checkers []subset.Proxy) {
 	missing := 0
 	for _, p := range checkers {
 		c := v.checkers[p.ID]
-		if c == nil || c.silent && v.config.has(guardSilence) {
+		if c == nil || c.silent && v.config.enabled(guardSilence) {
 			continue
 		}
-		t.heard++
-		t.own = t.own || p.ID == v.config.Self.ID
-		if x := v.voteOf(now, database, p.ID); x != nil {
+		t.active++
+		t.selfIsChecker = t.selfIsChecker || p.ID == v.config.Self.ID
+		if x := v.currentVote(now, database, p.ID); x != nil {
 			v.countVote(now, t, c, x)
 		} else {
 			missing++
@@ -90,7 +90,7 @@
 		if c == nil || c.silent || assigned {
 			continue
 		}
-		if x := v.voteOf(now, database, origin); x != nil {
+		if x := v.currentVote(now, database, origin); x != nil {
 			v.countVote(now, t, c, x)
 			missing--
 		}
@@ -98,69 +98,69 @@
 }
 
 func (v *View) countVote(now time.Duration, t *tally, c *checker, x *vote) {
-	t.add(x.report)
-	settled := now-x.deadSince >= SettleTime || !v.config.has(guardSettle)
+	t.countReport(x.report)
+	settled := now-x.deadSince >= SettleTime || !v.config.enabled(guardSettle)
 	if x.report.Status != Dead || !settled {
 		return
 	}
-	t.lastDeath = max(t.lastDeath, x.report.ObservedAt)
-	v.countLosses(now) // all databases are gone through, so not before somebody calls one dead
-	if v.cutOff(c) {
-		t.doubted++
+	t.lastDeadReport = max(t.lastDeadReport, x.report.ObservedAt)
+	v.countLosses(now) // iterates over all databases, so it runs only once a death has been reported
+	if v.likelyPartitioned(c) {
+		t.suspectVotes++
 		return
 	}
-	t.dead++
+	t.deadVotes++
 	t.deadZones.add(c.proxy.Zone)
 }
 
-// add counts what a report says besides a death.
-func (t *tally) add(r Report) {
-	switch r.Status {
+// countReport counts the parts of a report other than a death.
+func (t *tally) countReport(report Report) {
+	switch report.Status {
 	case Dead:
 		return
 	case Failing:
-		t.failing++
+		t.failingVotes++
 	case ColdStart:
-		t.cold++
+		t.coldStartVotes++
 	}
-	t.roles[r.Role].add(r.ObservedAt)
-	if r.Position > 0 {
-		t.positions = append(t.positions, r.Position)
+	t.roleVotes[report.Role].add(report.ObservedAt)
+	if report.Position > 0 {
+		t.positions = append(t.positions, report.Position)
 	}
 }
 
-// role gives the role that a quorum has last seen, and the latest time at or behind which a quorum has.
-func (t *tally) role(quorum int) (subset.Role, time.Duration) {
+// quorumRole returns the role that a quorum last observed, and the latest time at or after which a quorum observed it.
+func (t *tally) quorumRole(quorum int) (subset.Role, time.Duration) {
 	for role := subset.Replica; role <= subset.Primary; role++ {
-		if t.roles[role].count >= quorum {
-			return role, t.roles[role].newest(quorum)
+		if t.roleVotes[role].count >= quorum {
+			return role, t.roleVotes[role].newest(quorum)
 		}
 	}
 	return subset.RoleUnknown, 0
 }
 
-// sightings are the times at which checkers have last seen something. They need no memory of their own.
-type sightings struct {
+// observationTimes holds the times at which checkers last observed something. It does not allocate.
+type observationTimes struct {
 	times [maxVotes]time.Duration
 	count int
 }
 
-func (s *sightings) add(at time.Duration) {
+func (s *observationTimes) add(at time.Duration) {
 	if s.count < len(s.times) {
 		s.times[s.count] = at
 		s.count++
 	}
 }
 
-// newest gives the latest time at or behind which n have seen it.
-func (s *sightings) newest(n int) time.Duration {
+// newest returns the latest time at or after which n checkers made the observation.
+func (s *observationTimes) newest(n int) time.Duration {
 	times := s.times[:s.count]
 	slices.Sort(times)
 	return times[len(times)-n]
 }
 
-// position gives the position that a quorum has seen reached or passed, so that a single one too far ahead is outvoted.
-func (t *tally) position(quorum int) time.Duration {
+// quorumPosition returns the position that a quorum has observed as reached, so that a single report that is too far ahead is outvoted.
+func (t *tally) quorumPosition(quorum int) time.Duration {
 	if len(t.positions) < quorum {
 		return 0
 	}
@@ -168,28 +168,28 @@
 	return t.positions[len(t.positions)-quorum]
 }
 
-// state gives the conclusion. An own answer that is newer than the newest report of a death outranks it; an own failure counts as one
-// checker's, of a zone of its own.
-func (v *View) state(now time.Duration, database *evidence, t *tally, quorum, zones int, step Mode) State {
-	ownDead := database.ownFailures >= FailureThreshold
-	if step == ModeStandalone {
-		if ownDead {
+// state returns the state of a database. An answer to this proxy that is newer than the newest report of a death outranks these reports; local
+// failures count as the vote of one more checker, in this proxy's zone.
+func (v *View) state(now time.Duration, database *evidence, t *tally, quorum, zones int, mode Mode) State {
+	locallyDead := database.localFailures >= FailureThreshold
+	if mode == ModeStandalone {
+		if locallyDead {
 			return Ejected
 		}
 		return Serving
 	}
-	dead := t.dead
-	if ownDead && !t.own && now-database.ownFailure <= LocalFailureTTL {
-		dead++
+	deadVotes := t.deadVotes
+	if locallyDead && !t.selfIsChecker && now-database.lastLocalFailure <= LocalFailureTTL {
+		deadVotes++
 		t.deadZones.add(v.config.Self.Zone)
 	}
-	answered := database.ownSuccess > 0 && database.ownSuccess >= t.lastDeath && v.config.has(guardOwnEvidence)
+	answeredSince := database.lastLocalSuccess > 0 && database.lastLocalSuccess >= t.lastDeadReport && v.config.enabled(guardLocalEvidence)
 	switch {
-	case dead >= quorum && t.deadZones.count >= zones && !answered:
+	case deadVotes >= quorum && t.deadZones.count >= zones && !answeredSince:
 		return Ejected
-	case dead+t.doubted >= quorum && !answered:
+	case deadVotes+t.suspectVotes >= quorum && !answeredSince:
 		return Suspect
-	case t.heard == 0:
+	case t.active == 0:
 		return Unknown
 	}
 	return Serving
--- a/internal/healthcheck/view.go
+++ b/internal/healthcheck/view.go
@@ -7,70 +7,70 @@
 	"havenproxy/internal/subset"
 )
 
-// View merges the reports of all checkers with the proxy's own evidence.
+// View combines the reports of all checkers with the proxy's local evidence.
 type View struct {
 	config     Config
 	assignment *subset.Assignment
-	freshness  freshness
+	filter     reportFilter
 	checkers   map[subset.ProxyID]*checker
 	zones      map[string]*losses
 	databases  map[subset.DatabaseID]*evidence
-	// generations counts how often the votes of an origin have been forgotten. Those of earlier generations don't count.
-	generations map[subset.ProxyID]uint32
-	attached    time.Duration // when the present link to a planner began
-	confirmed   time.Duration // the last digest: what this link has told, and has not taken back, holds then
-	dirty       bool          // losses have to be counted anew
-	counted     time.Duration
+	// generations counts how often the votes of an origin have been discarded. Votes of earlier generations do not count.
+	generations     map[subset.ProxyID]uint32
+	connectedAt     time.Duration // when the current connection to a planner was opened
+	lastDigest      time.Duration // when the last digest arrived: reports received over this connection and not replaced since still hold then
+	lossesStale     bool          // losses must be recounted
+	lossesCountedAt time.Duration
 }
 
-// checker is what is known of one proxy as a source of reports.
+// checker is the state of one proxy as a source of reports.
 type checker struct {
 	proxy  subset.Proxy
 	silent bool
 	losses losses
 }
 
-// losses counts the databases that are checked from somewhere, and those that are called dead there.
+// losses counts the databases that a checker or a zone checks, and those of them that it reports dead.
 type losses struct{ checked, dead int }
 
-// mass tells of losses so large that a cut is likelier than as many deaths.
-func (l losses) mass() bool {
+// isMassLoss reports whether the losses are so large that a network partition is more likely than that many deaths.
+func (l losses) isMassLoss() bool {
 	return l.dead >= MassLossMinDatabases && float64(l.dead) > MassLossShare*float64(l.checked)
 }
 
-// evidence is what is known of one database.
+// evidence is what is known about one database.
 type evidence struct {
-	votes       []vote        // one for each origin
-	ownFailures int           // checks in a row that went unanswered here
-	ownSuccess  time.Duration // the last own answer
-	ownFailure  time.Duration // the last own check without one
+	votes            []vote        // one per origin
+	localFailures    int           // this proxy's unanswered checks in a row
+	lastLocalSuccess time.Duration // when it last answered this proxy
+	lastLocalFailure time.Duration // when this proxy's last unanswered check ended
 }
 
-// vote is the newest report of an origin on a database.
+// vote is the newest report of an origin about a database.
 type vote struct {
 	report     Report
 	generation uint32
-	received   time.Duration // last, a repeated one as well
-	deadSince  time.Duration // when the first of its reports of a death in a row came
+	receivedAt time.Duration // when the report was last received, including repetitions
+	deadSince  time.Duration // when the first of consecutive reports of a death was received
 }
 
-// repeated takes a report that was not accepted. One that is known already renews the vote. One that is too old, but newer than what is
-// known, tells that the latter doesn't hold any more.
-func (e *evidence) repeated(now time.Duration, i int, known *Report, r Report) {
+// handleRejected processes a report that was rejected. A repetition of the known report renews the vote. A report that is too old, but
+// newer than the known one, shows that the known one no longer holds, so the vote is removed.
+func (e *evidence) handleRejected(now time.Duration, i int, known *Report, r Report) {
 	switch {
 	case known == nil:
 	case *known == r:
-		e.votes[i].received = now
+		e.votes[i].receivedAt = now
 	case now-r.ObservedAt > ReportTTL && r.ObservedAt > known.ObservedAt && r.Epoch >= known.Epoch:
 		e.votes = slices.Delete(e.votes, i, i+1)
 	}
 }
 
-// maxVotes bounds the votes kept for a database: more than there are checkers before and after a change of the tier.
+// maxVotes limits the votes kept per database. It exceeds the number of checkers before and after a change of the tier taken together.
 const maxVotes = 16
 
-// vote gives the place of a vote, a new one where i is negative. The oldest makes room.
-func (e *evidence) vote(i int) *vote {
+// voteSlot returns the vote at index i, or a new one if i is negative. If maxVotes is reached, the new vote replaces the oldest.
+func (e *evidence) voteSlot(i int) *vote {
 	if i >= 0 {
 		return &e.votes[i]
 	}
@@ -87,17 +87,18 @@
 	return &e.votes[len(e.votes)-1]
 }
 
-// lossInterval is how often losses are counted anew though nothing was received: votes expire.
-const lossInterval = time.Second
+// lossRecountInterval is the interval at which losses are recounted even if nothing was received, because votes expire.
+const lossRecountInterval = time.Second
 
-// NewView makes one that knows of no report.
+// NewView returns a view without reports.
 func NewView(config Config, assignment *subset.Assignment) *View {
-	return &View{config: config, assignment: assignment, freshness: newFreshness(config.disabled),
+	return &View{config: config, assignment: assignment, filter: newReportFilter(config.disabled),
 		checkers: map[subset.ProxyID]*checker{}, zones: map[string]*losses{}, databases: map[subset.DatabaseID]*evidence{},
 		generations: map[subset.ProxyID]uint32{}}
 }
 
-// SetTier tells whose reports count. Those of others are kept all the same: proxies find out at different moments who is in the tier.
+// SetTier sets the proxies whose reports count. Reports of other proxies are kept nevertheless, because proxies learn about changes of the
+// tier at different times.
 func (v *View) SetTier(proxies []subset.Proxy) {
 	members := make(map[subset.ProxyID]*checker, len(proxies))
 	for _, p := range proxies {
@@ -107,10 +108,10 @@
 		}
 		members[p.ID] = &checker{proxy: p}
 	}
-	v.checkers, v.dirty = members, true
+	v.checkers, v.lossesStale = members, true
 }
 
-// SetDatabases tells what may be reported about.
+// SetDatabases sets the databases that reports may be about.
 func (v *View) SetDatabases(ids []subset.DatabaseID) {
 	listed := make(map[subset.DatabaseID]*evidence, len(ids))
 	for _, id := range ids {
@@ -118,14 +119,14 @@
 			listed[id] = &evidence{}
 		}
 	}
-	v.databases, v.dirty = listed, true
+	v.databases, v.lossesStale = listed, true
 }
 
-// Receive takes a report, its own proxy's as well. It tells whether the report was news that was accepted.
+// Receive processes a report, including this proxy's own ones. It returns whether the report was accepted as new.
 func (v *View) Receive(now time.Duration, r Report) bool {
 	database := v.databases[r.Database]
 	if database == nil {
-		v.freshness.counters.UnknownDatabase++
+		v.filter.counters.UnknownDatabase++
 		return false
 	}
 	i := slices.IndexFunc(database.votes, func(x vote) bool { return x.report.Origin == r.Origin })
@@ -133,100 +134,101 @@
 	if i >= 0 && database.votes[i].generation == v.generations[r.Origin] {
 		known = &database.votes[i].report
 	}
-	ok, restarted := v.freshness.accept(now, r, known)
+	ok, restarted := v.filter.accept(now, r, known)
 	if !ok {
-		database.repeated(now, i, known, r)
+		database.handleRejected(now, i, known, r)
 		return false
 	}
-	if restarted && v.config.has(guardEpoch) {
+	if restarted && v.config.enabled(guardEpoch) {
 		v.forgetVotes(r.Origin)
 		known = nil
 	}
-	x := database.vote(i)
+	x := database.voteSlot(i)
 	if r.Status == Dead && (known == nil || x.report.Status != Dead) {
 		x.deadSince = now
 	}
-	x.report, x.received, x.generation, v.dirty = r, now, v.generations[r.Origin], true
+	x.report, x.receivedAt, x.generation, v.lossesStale = r, now, v.generations[r.Origin], true
 	return true
 }
 
-// SetSilent tells whether a planner receives a checker's heartbeats. What a checker reported before it fell silent doesn't count any more,
-// also when it is back: it checks first, and reports anew.
+// SetSilent records whether a planner receives the heartbeats of a checker. The reports that a checker sent before it became silent are
+// discarded and do not count after its return either: it then checks again and sends new reports.
 func (v *View) SetSilent(id subset.ProxyID, silent bool) {
 	c := v.checkers[id]
 	if c == nil {
 		return
 	}
 	c.silent = silent
-	if silent && v.config.has(guardSilence) {
+	if silent && v.config.enabled(guardSilence) {
 		v.forgetVotes(id)
 	}
 }
 
-// PlannerLost forgets who is silent: nobody tells any more.
+// PlannerLost marks all checkers as not silent, because without a planner no information about silent checkers arrives.
 func (v *View) PlannerLost() {
 	for _, c := range v.checkers {
 		c.silent = false
 	}
 }
 
-// RecordLocal takes the outcome of an own check, or an answer to a request.
-func (v *View) RecordLocal(now time.Duration, id subset.DatabaseID, answered bool) {
+// Observe records the outcome of a check by this proxy, or that a request to the database was answered.
+func (v *View) Observe(now time.Duration, id subset.DatabaseID, answered bool) {
 	database := v.databases[id]
 	switch {
 	case database == nil:
 	case answered:
-		database.ownSuccess, database.ownFailures = now, 0
+		database.lastLocalSuccess, database.localFailures = now, 0
 	default:
-		database.ownFailure = now
-		database.ownFailures++
+		database.lastLocalFailure = now
+		database.localFailures++
 	}
 }
 
-// ailing tells whether any vote on a database says anything but alive.
-func (v *View) ailing(id subset.DatabaseID) bool {
+// reportedUnhealthy reports whether any vote on a database is other than Alive.
+func (v *View) reportedUnhealthy(id subset.DatabaseID) bool {
 	database := v.databases[id]
 	return database != nil && slices.ContainsFunc(database.votes, func(x vote) bool { return x.report.Status != Alive })
 }
 
-// Counters gives what has been accepted and dropped.
-func (v *View) Counters() Counters { return v.freshness.counters }
+// Counters returns the counts of accepted and rejected reports.
+func (v *View) Counters() Counters { return v.filter.counters }
 
+// forgetVotes discards all votes of an origin.
 func (v *View) forgetVotes(id subset.ProxyID) {
 	v.generations[id]++
-	v.dirty = true
+	v.lossesStale = true
 }
 
-// PlannerConnected tells of a new link to a planner, which has confirmed nothing yet.
-func (v *View) PlannerConnected(now time.Duration) { v.attached = now }
+// PlannerConnected records a new connection to a planner, which has not confirmed any report yet.
+func (v *View) PlannerConnected(now time.Duration) { v.connectedAt = now }
 
-// DigestReceived tells of a digest.
-func (v *View) DigestReceived(now time.Duration) { v.confirmed = now }
+// DigestReceived records that a digest has arrived.
+func (v *View) DigestReceived(now time.Duration) { v.lastDigest = now }
 
-// voteOf gives a checker's vote on a database, where it has one that counts.
-func (v *View) voteOf(now time.Duration, database *evidence, id subset.ProxyID) *vote {
+// currentVote returns a checker's vote on a database, or nil if it has none that counts.
+func (v *View) currentVote(now time.Duration, database *evidence, id subset.ProxyID) *vote {
 	i := slices.IndexFunc(database.votes, func(x vote) bool { return x.report.Origin == id })
-	if i < 0 || database.votes[i].generation != v.generations[id] || v.expired(now, &database.votes[i]) {
+	if i < 0 || database.votes[i].generation != v.generations[id] || v.voteExpired(now, &database.votes[i]) {
 		return nil
 	}
 	return &database.votes[i]
 }
 
-// expired tells whether a vote has not been renewed for too long. That a database is alive is not renewed.
-func (v *View) expired(now time.Duration, x *vote) bool {
+// voteExpired reports whether a vote has not been renewed within ReportTTL. Votes for Alive never expire, since they are not renewed.
+func (v *View) voteExpired(now time.Duration, x *vote) bool {
 	renewed := x.report.ObservedAt
-	if x.received >= v.attached {
-		renewed = max(renewed, v.confirmed)
+	if x.receivedAt >= v.connectedAt {
+		renewed = max(renewed, v.lastDigest)
 	}
-	return x.report.Status != Alive && now-renewed > ReportTTL && v.config.has(guardAge)
+	return x.report.Status != Alive && now-renewed > ReportTTL && v.config.enabled(guardAge)
 }
 
-// countLosses counts for each checker and zone the databases that it checks and those that it has lost.
+// countLosses counts the checked and the dead databases of each checker and zone.
 func (v *View) countLosses(now time.Duration) {
-	if !v.dirty && now-v.counted < lossInterval {
+	if !v.lossesStale && now-v.lossesCountedAt < lossRecountInterval {
 		return
 	}
-	v.dirty, v.counted = false, now
+	v.lossesStale, v.lossesCountedAt = false, now
 	clear(v.zones)
 	for _, c := range v.checkers {
 		c.losses = losses{}
@@ -244,7 +246,7 @@
 			}
 			c.losses.checked++
 			zone.checked++
-			if x := v.voteOf(now, database, p.ID); x != nil && x.report.Status == Dead {
+			if x := v.currentVote(now, database, p.ID); x != nil && x.report.Status == Dead {
 				c.losses.dead++
 				zone.dead++
 			}
@@ -252,11 +254,12 @@
 	}
 }
 
-// cutOff tells whether a checker, or its whole zone, has lost so many databases at once that the fault is likelier on its side.
-func (v *View) cutOff(c *checker) bool {
-	if !v.config.has(guardMassLoss) {
+// likelyPartitioned reports whether a checker, or its whole zone, has lost so many databases at once that the fault is more likely on its
+// side.
+func (v *View) likelyPartitioned(c *checker) bool {
+	if !v.config.enabled(guardMassLoss) {
 		return false
 	}
 	zone := v.zones[c.proxy.Zone]
-	return c.losses.mass() || c.proxy.Zone != "" && zone != nil && zone.mass()
+	return c.losses.isMassLoss() || c.proxy.Zone != "" && zone != nil && zone.isMassLoss()
 }
