--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,16 +1,17 @@
-// Package peers decides what a proxy tells the others of its tier about the databases, and what it believes of what they tell.
-// With many proxies before one fleet each sees little of any database, and together they see each of them many times in a second:
-// what one has learned from an answer spares the others a ping. It is pure: events and a clock are handed in.
+// Package peers decides which reports on databases a proxy sends to the other proxies of its tier, and which of their reports it accepts.
+// With many proxies in front of one fleet, each proxy gets few answers from any one database, and all together get many a second: what one
+// proxy learns from an answer spares the others a ping. The package does no I/O and reads no clock: callers pass in events and the time.
 //
-// Each fact goes to all at once, since each receiver has its price whoever sends. Who has something to tell waits for its next turn, and
-// holds it back if another has told as much meanwhile, as in Floyd and others, "A Reliable Multicast Framework for Light-weight
-// Sessions" (1997). Nothing is ever repeated: a lost message costs a ping, as if nobody had told, and a doubled or late one tells nothing
-// new. A peer's word never adds a database that the own list has not named, never warms a cold one, and is no sign of life.
+// Each report is sent to all peers at once, since the cost at the receivers doesn't depend on who sends it. A proxy that has something to
+// report waits for its next send time, and suppresses the report if a peer has sent the same meanwhile, as in Floyd and others, "A Reliable
+// Multicast Framework for Light-weight Sessions" (1997). Nothing is retransmitted: a lost message costs a ping, as if it had not been sent,
+// and a duplicate or late one has no effect. A peer's report never adds a database that the proxy's own list lacks, never marks a cold one as
+// warm, and is no sign of life.
 package peers
 
 import "time"
 
-// Role is what a database was when it last spoke, as in package logic.
+// Role is the role of a database at its last answer, as in package logic.
 type Role uint8
 
 // The roles.
@@ -20,67 +21,67 @@
 	Replica
 )
 
-// Status is how a database fared when it was last tried.
+// Status is the outcome of the last attempt to use a database.
 type Status uint8
 
-// The ways in which it may fare. What a peer tells of one that ails is a reason to look, not a verdict.
+// The statuses. A peer's report of Failing or Silent is a reason to check the database, not a verdict.
 const (
 	Healthy Status = iota
-	Failing        // it has answered a request with an error, or broken its connection
-	Silent         // it owes answers and gives none, pings neither
+	Failing        // it answered a request with an error, or closed the connection
+	Silent         // it answers neither requests nor pings
 )
 
-// Report is what was seen of a database. Times are on the proxy's own clock.
+// Report is an observation of a database. Times are on the proxy's own clock.
 type Report struct {
-	Database uint32 // short for the database's number: see Short
+	Database uint32 // as returned by ShortID
 	Role     Role
 	Status   Status
-	At       time.Duration // when it was so
-	Position time.Duration // all commits up to then are applied; 0 = not told
+	At       time.Duration // time of the observation
+	Position time.Duration // all commits up to then are applied; 0 = unknown
 }
 
-// Config is what Gossip needs to know of the deployment. The zero value tells and believes nothing.
+// Config is the configuration of Gossip. With its zero value no reports are sent or accepted.
 type Config struct {
-	Proxies  int           // of the tier
-	Interval time.Duration // a position is told anew once it has moved by so much
-	MaxBatch int           // facts in one message
-	Phase    float64       // 0 to 1, each proxy's own: turns don't come at one time
+	Proxies  int           // number of proxies in the tier
+	Interval time.Duration // minimum time between messages; a position is sent again once it has advanced by this much
+	MaxBatch int           // maximum number of reports in one message
+	Phase    float64       // 0 to 1, different for each proxy, so that they don't send at the same time
 }
 
 const (
-	roleInterval = 500 * time.Millisecond // a role that stays is told anew so often
-	maxAge       = 2 * time.Second        // what lies so far back tells nothing
-	maxClockSkew = 50 * time.Millisecond  // a fact from further ahead comes from a clock that can't be trusted
+	roleInterval = 500 * time.Millisecond // interval at which an unchanged role is sent again
+	maxAge       = 2 * time.Second        // older reports are not sent or accepted
+	maxClockSkew = 50 * time.Millisecond  // reports from further in the future are rejected: the sender's clock is wrong
 )
 
-// Gossip is one proxy's.
+// Gossip holds the reports that one proxy has made and accepted. It is not safe for concurrent use.
 type Gossip struct {
 	cfg       Config
 	databases map[uint64]*database
-	byShortID map[uint32]*database // nil where two databases share a number: nothing can be said of either
+	byShortID map[uint32]*database // nil where two databases have the same short ID: neither can be reported
 	pending   []*database
-	nextSend  time.Duration // when the next message may go out
+	nextSend  time.Duration // earliest time of the next message
 	message   []Report
 }
 
-// known is what there is to know of one database.
+// database is the state of one database.
 type database struct {
 	id            uint64
-	observed      Report // by this proxy, the newest
-	published     Report // the newest that all have heard, from whomever
-	queued        bool   // it is in pending
-	unsentFailure bool   // it has failed since it was last told of
+	ownReport     Report // the newest of this proxy
+	sharedReport  Report // the newest that was sent to all, by this proxy or a peer
+	queued        bool   // in pending
+	unsentFailure bool   // a failure has not been sent yet
 }
 
-// New makes one that knows no database.
+// New returns a Gossip without databases.
 func New(cfg Config) *Gossip {
 	return &Gossip{cfg: cfg, databases: map[uint64]*database{}, byShortID: map[uint32]*database{}}
 }
 
-// Enabled tells whether anything is ever told.
+// Enabled reports whether reports are sent and accepted at all.
 func (g *Gossip) Enabled() bool { return g.cfg.Proxies > 1 && g.cfg.Interval > 0 && g.cfg.MaxBatch > 0 }
 
-// ShortID gives the number of a database in messages, by the finalizer of MurmurHash3.
+// ShortID returns the ID of a database in messages: a hash of its ID by the finalizer of MurmurHash3.
 func ShortID(id uint64) uint32 {
 	id ^= id >> 33
 	id *= 0xff51afd7ed558ccd
@@ -89,21 +90,21 @@
 	return uint32(id >> 32)
 }
 
-// Add lets a database be told of; the own list has named it.
+// Add registers a database that the proxy's own list names, so that it can be reported.
 func (g *Gossip) Add(id uint64) {
 	if !g.Enabled() || g.databases[id] != nil {
 		return
 	}
 	db, short := &database{id: id}, ShortID(id)
 	g.databases[id] = db
-	if _, twice := g.byShortID[short]; twice {
+	if _, collides := g.byShortID[short]; collides {
 		g.byShortID[short] = nil
 		return
 	}
 	g.byShortID[short] = db
 }
 
-// Remove forgets a database. The number of one that shared it stays barred.
+// Remove removes a database. If its short ID collided with another's, that ID remains unusable.
 func (g *Gossip) Remove(id uint64) {
 	if short := ShortID(id); g.databases[id] != nil && g.byShortID[short] == g.databases[id] {
 		delete(g.byShortID, short)
@@ -111,38 +112,38 @@
 	delete(g.databases, id)
 }
 
-// Observe notes what this proxy has seen itself.
+// Observe records an answer of a database to this proxy.
 func (g *Gossip) Observe(now time.Duration, id uint64, role Role, at, position time.Duration) {
 	db := g.databases[id]
 	if db == nil || g.byShortID[ShortID(id)] != db {
 		return
 	}
-	db.observed.Status = Healthy
-	if at >= db.observed.At {
-		db.observed.At = at
+	db.ownReport.Status = Healthy
+	if at >= db.ownReport.At {
+		db.ownReport.At = at
 		if role != Unknown {
-			db.observed.Role = role
+			db.ownReport.Role = role
 		}
 	}
-	db.observed.Position = max(db.observed.Position, position)
+	db.ownReport.Position = max(db.ownReport.Position, position)
 	g.queue(now, db)
 }
 
-// ObserveFailure notes that a database has failed just now. Each failure is told, a silence once: how many fail is what tells a database that
-// fails now and then from one that must be left alone.
+// ObserveFailure records that a request to a database has failed now. Every failure is reported, since their number distinguishes occasional
+// failures from a database that must be avoided; a silence is reported once.
 func (g *Gossip) ObserveFailure(now time.Duration, id uint64, status Status) {
 	db := g.databases[id]
-	if db == nil || g.byShortID[ShortID(id)] != db || status == Silent && db.published.Status == Silent && now-db.published.At < maxAge {
+	if db == nil || g.byShortID[ShortID(id)] != db || status == Silent && db.sharedReport.Status == Silent && now-db.sharedReport.At < maxAge {
 		return
 	}
-	db.observed.Status, db.observed.At, db.unsentFailure = status, now, true
+	db.ownReport.Status, db.ownReport.At, db.unsentFailure = status, now, true
 	g.queue(now, db)
 }
 
-// queue lets news wait for this proxy's turn.
+// queue queues a database for the next message if it has something to report.
 func (g *Gossip) queue(now time.Duration, db *database) {
-	if !db.queued && g.hasNews(db) {
-		if len(g.pending) == 0 { // the turn comes at a time of this proxy's own
+	if !db.queued && g.needsSending(db) {
+		if len(g.pending) == 0 { // delayed by this proxy's phase
 			g.nextSend = max(g.nextSend, now+time.Duration(g.cfg.Phase*float64(g.cfg.Interval)/2))
 		}
 		db.queued = true
@@ -150,19 +151,19 @@
 	}
 }
 
-// news tells whether the others are to hear what this proxy knows of a database.
-func (g *Gossip) hasNews(db *database) bool {
-	observed, published := &db.observed, &db.published
-	if db.unsentFailure || published.At == 0 && observed.At > 0 { // that it answers is news as long as nobody has told
+// needsSending reports whether this proxy's report of a database has news for its peers.
+func (g *Gossip) needsSending(db *database) bool {
+	own, shared := &db.ownReport, &db.sharedReport
+	if db.unsentFailure || shared.At == 0 && own.At > 0 { // the first answer is news unless a peer has reported it
 		return true
 	}
-	if observed.Role != Unknown && observed.At > published.At && (observed.Role != published.Role || observed.At-published.At >= roleInterval) {
+	if own.Role != Unknown && own.At > shared.At && (own.Role != shared.Role || own.At-shared.At >= roleInterval) {
 		return true
 	}
-	return observed.Role == Replica && observed.Position >= published.Position+g.cfg.Interval
+	return own.Role == Replica && own.Position >= shared.Position+g.cfg.Interval
 }
 
-// NextMessage gives what is to be told now, in one message; nil = nothing. It is valid until the next call.
+// NextMessage returns the reports that are to be sent now in one message; nil = none. The result is valid until the next call.
 func (g *Gossip) NextMessage(now time.Duration) []Report {
 	if len(g.pending) == 0 || now < g.nextSend {
 		return nil
@@ -175,10 +176,10 @@
 		}
 		taken++
 		db.queued = false
-		if g.hasNews(db) && now-db.observed.At < maxAge && g.databases[db.id] == db {
-			report := db.observed
+		if g.needsSending(db) && now-db.ownReport.At < maxAge && g.databases[db.id] == db {
+			report := db.ownReport
 			report.Database = ShortID(db.id)
-			db.published, db.unsentFailure = report, false
+			db.sharedReport, db.unsentFailure = report, false
 			g.message = append(g.message, report)
 		}
 	}
@@ -190,8 +191,8 @@
 	return g.message
 }
 
-// Accept holds a peer's word against what is known. It gives the database meant, and the fact as far as it may be used; false =
-// it is of no use: unknown here, from a clock ahead, too old, or claiming data fresher than the moment at which they were seen.
+// Accept checks a peer's report. It returns the ID of its database, and the report with times not later than now. ok is false if the report
+// is rejected: its database is unknown, it is from the future, too old or malformed, or its position is later than the observation.
 func (g *Gossip) Accept(now time.Duration, report Report) (id uint64, used Report, ok bool) {
 	db := g.byShortID[report.Database]
 	if db == nil || report.At > now+maxClockSkew || now-report.At > maxAge || report.Position > report.At || report.Role > Replica || report.Status > Silent || report.At <= 0 {
@@ -199,11 +200,11 @@
 	}
 	report.At = min(report.At, now)
 	report.Position = min(report.Position, now)
-	if report.Position > db.published.Position {
-		db.published.Position = report.Position
+	if report.Position > db.sharedReport.Position {
+		db.sharedReport.Position = report.Position
 	}
-	if report.At > db.published.At {
-		db.published.At, db.published.Role, db.published.Status = report.At, report.Role, report.Status
+	if report.At > db.sharedReport.At {
+		db.sharedReport.At, db.sharedReport.Role, db.sharedReport.Status = report.At, report.Role, report.Status
 	}
 	return db.id, report, true
 }
--- a/internal/planner/client/client.go
+++ b/internal/planner/client/client.go
@@ -1,4 +1,4 @@
-// Package client asks planners on an operator's behalf. It knows nothing of the log.
+// Package client sends operators' requests to planners.
 package client
 
 import (
@@ -13,22 +13,22 @@
 	"havenproxy/internal/wire/tier"
 )
 
-// Client asks planners on an operator's behalf.
+// Client sends operators' requests to planners.
 type Client struct {
 	Planners []string // addresses
 	current  int
 }
 
-// RequestTimeout is how long a planner has for an answer.
+// RequestTimeout bounds the time in which a planner has to answer a request.
 const RequestTimeout = 2 * time.Second
 
-// ErrNoLeader tells that nobody can take a proposal now.
+// ErrNoLeader is returned if no planner can accept a proposal now.
 var ErrNoLeader = errors.New("no planner leads now; try again")
 
-// errNoAnswer tells that no planner could be asked.
+// errNoAnswer is returned if no planner could be reached.
 var errNoAnswer = errors.New("no planner answers")
 
-// one asks one planner.
+// query sends a request to one planner and returns its answer.
 func (c *Client) query(ctx context.Context, address string, ask tier.Ask, timeout time.Duration) (*tier.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -49,12 +49,13 @@
 	}
 	answer, err := tier.Read(bufio.NewReader(conn))
 	if err == nil && answer.Answer == nil {
-		err = fmt.Errorf("%s answers with something else", address)
+		err = fmt.Errorf("%s sent a frame that is not an answer", address)
 	}
 	return answer.Answer, err
 }
 
-// Status asks what holds. The planner that leads knows more than the others; it is asked if it is among those named and answers. The text of policy n comes with it.
+// Status returns the tier's status with the text of the given policy. The leading planner's answer is preferred, since it knows more than
+// the others; otherwise the most recent answer of the others is returned.
 func (c *Client) Status(ctx context.Context, policy rollout.Number) (*tier.Answer, error) {
 	var best *tier.Answer
 	lastErr := errNoAnswer
@@ -76,7 +77,7 @@
 	return nil, lastErr
 }
 
-// Do lets the planner that leads do something.
+// Do sends a request to the leading planner. The error is ErrNoLeader if the last planner that was tried doesn't lead.
 func (c *Client) Do(ctx context.Context, ask tier.Ask) (*tier.Answer, error) {
 	lastErr := errNoAnswer
 	for range c.Planners {
@@ -92,8 +93,8 @@
 	return nil, lastErr
 }
 
-// Propose asks for a change until it is in the log, under one nonce, so that asking twice makes one. An answer with an error tells that there
-// is none.
+// Propose repeats a proposal for up to wait until a leader answers. The nonce of the request makes repetitions harmless. If the answer has an
+// error, no change was created.
 func (c *Client) Propose(ctx context.Context, ask tier.Ask, wait time.Duration) (answer *tier.Answer, err error) {
 	for deadline := time.Now().Add(wait); ; {
 		answer, err = c.Do(ctx, ask)
--- a/internal/planner/config.go
+++ b/internal/planner/config.go
@@ -7,17 +7,17 @@
 	"havenproxy/internal/rollout"
 )
 
-// Config is one planner's.
+// Config is the configuration of a planner.
 type Config struct {
-	ID      uint64            // from 1 on
-	Listen  string            // where proxies, planners and operators come
-	Peers   map[uint64]string // all planners, this one included, with their addresses
-	LogFile string            // of the log
-	Join    bool              // it takes the place of another: its log, which has yet to be begun, comes from the others
+	ID      uint64            // number of this planner, at least 1
+	Listen  string            // address for proxies, planners and operators
+	Peers   map[uint64]string // addresses of all planners, including this one, by number
+	LogFile string            // path
+	Join    bool              // this planner replaces another: it has no log yet and receives it from the others
 	Rollout rollout.Config
 }
 
-// ParsePeers reads "1=ADDRESS,2=ADDRESS".
+// ParsePeers parses a list of planners such as "1=ADDRESS,2=ADDRESS". The result maps numbers to addresses.
 func ParsePeers(text string) (map[uint64]string, error) {
 	peers := map[uint64]string{}
 	for _, item := range strings.Split(text, ",") {
--- a/internal/planner/health.go
+++ b/internal/planner/health.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// relayEvery is how often it is looked what links are to be sent.
+	// relayInterval is the interval at which digests are sent to links.
 	relayInterval = 100 * time.Millisecond
-	// reportBytes bounds what one link is sent of others' reports, in bytes a second.
+	// reportBytesPerSecond bounds the digests that are sent to one link.
 	reportBytesPerSecond = 1600
 )
 
-// healthRelay passes on what proxies report of databases, while this planner leads. All of it is soft state, and the planner's
-// goroutine's alone.
+// healthRelay relays the proxies' reports on databases while this planner leads. Its state is volatile and used by the planner's goroutine
+// only.
 type healthRelay struct {
 	relay *healthcheck.Relay
 	links map[rollout.Link]subset.ProxyID
@@ -37,7 +37,8 @@
 	return wire.Clock{Unix: time.Duration(labclock.Wall().UnixNano()), Now: p.now()}
 }
 
-// health takes a proxy's message. The fence against one that speaks for another: a message counts on its member's own link only.
+// receiveHealth handles a proxy's report. A report is accepted only over the link of the member that it claims to come from, so that no
+// proxy can report on behalf of another.
 func (s *server) receiveHealth(id rollout.Link, message []byte) {
 	p := s.planner
 	if p.leader == nil {
@@ -58,7 +59,7 @@
 	p.healthRelay.relay.Receive(p.now(), report)
 }
 
-// healthDown ends a link.
+// detachHealthLink removes a link that has ended.
 func (p *Planner) detachHealthLink(id rollout.Link) {
 	if p.healthRelay == nil {
 		return
@@ -69,14 +70,14 @@
 	}
 	delete(p.healthRelay.links, id)
 	for _, other := range p.healthRelay.links {
-		if other == from { // it has come again by another link
+		if other == from { // the proxy has reconnected over another link
 			return
 		}
 	}
 	p.healthRelay.relay.Detach(from)
 }
 
-// healthTick sends each link what has changed.
+// relayHealth sends each link a digest of what has changed.
 func (p *Planner) relayHealth() {
 	now, r := p.now(), p.healthRelay
 	if r == nil || now < r.next {
--- a/internal/planner/operator.go
+++ b/internal/planner/operator.go
@@ -10,7 +10,7 @@
 	"havenproxy/internal/wire/tier"
 )
 
-// The operator's commands, and their answers.
+// This file handles operators' requests.
 
 type pendingProposal struct {
 	nonce    uint64
@@ -18,13 +18,13 @@
 	deadline time.Duration
 }
 
-// ask answers the operator.
+// handleOperator handles an operator's request.
 func (s *server) handleOperator(id rollout.Link, request *tier.Ask) {
 	p := s.planner
 	refuse := func(err error) {
 		s.send(id, &tier.Frame{Answer: &tier.Answer{Error: err.Error(), Planner: p.config.ID, Leader: p.leaderID}})
 	}
-	if p.leader != nil && !p.leader.Leading() { // its term has yet to begin in the log: who asks comes again
+	if p.leader != nil && !p.leader.Leading() { // its term has not begun in the log yet: the client retries
 		s.send(id, &tier.Frame{Answer: &tier.Answer{Error: client.ErrNoLeader.Error(), Planner: p.config.ID, State: p.state.WithoutPolicies(0)}})
 		return
 	}
@@ -60,7 +60,7 @@
 		}
 		s.sendStatus(id, "", 0)
 	default:
-		refuse(errors.New("this planner doesn't know the word " + request.Do))
+		refuse(errors.New("unknown request " + request.Do))
 	}
 }
 
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("change %d is undecided: wait for it, or abort it", rollout.Number(e))
 }
 
-// settle answers proposals that the log has had.
+// answerProposals answers the proposals that a committed command settles, and drops those whose deadline has passed.
 func (s *server) answerProposals(command rollout.Command, err error) {
 	if command.Kind != rollout.Propose {
 		return
--- a/internal/planner/peer_links.go
+++ b/internal/planner/peer_links.go
@@ -15,15 +15,15 @@
 	"havenproxy/internal/wire/tier"
 )
 
-// The links between planners: those that this one opens to send on, and those of others on which it receives.
+// This file holds the links between planners. A planner sends on links that it opens and receives on links that others open.
 
-// toPeer is the way to another planner.
+// peerQueue is the queue of messages to another planner.
 type peerQueue struct {
 	address  string
 	messages chan []byte
 }
 
-// toPeer sends a message of the consensus; where its link doesn't keep up it is lost, which the consensus bears.
+// sendToPeer queues a raft message to another planner. If the queue is full the message is dropped, which raft tolerates.
 func (s *server) sendToPeer(m *pb.Message) {
 	text, err := proto.Marshal(m)
 	if err != nil {
@@ -46,15 +46,15 @@
 	s.planner.node.ReportUnreachable(m.GetTo())
 }
 
-// outgoing is a link that this planner has opened to another.
+// peerConn is a link that this planner has opened to another.
 type peerConn struct {
 	conn   net.Conn
-	closed chan struct{} // closed once the other has closed it
+	closed chan struct{} // closed once the other planner has closed the link
 }
 
-// dial keeps a link to another planner, whether or not there is anything to send: who has heard what this one has promised may be any of
-// them, and judges by how a link begins whether it still holds it. What can't be sent is lost. A planner that has yet to join has promised
-// nothing, and is none of the tier's: it opens a link once it has something to send.
+// dial keeps a link to another planner open, whether or not there is anything to send: each planner may have received promises of this one,
+// and checks by the start record of the link whether they are still on disk. Messages that can't be sent are lost. A planner that has yet to
+// join has promised nothing and is not part of the tier, so it opens a link only when it has something to send.
 func (s *server) dial(id uint64, queue *peerQueue) {
 	redials := time.NewTicker(redialInterval)
 	defer redials.Stop()
@@ -92,7 +92,7 @@
 	}
 }
 
-// open opens a link to another planner, which begins with what this planner's disk holds; no connection = it can't be opened.
+// open opens a link to another planner and sends this planner's start record. The connection is nil if that fails.
 func (s *server) open(id uint64, address string) peerConn {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -117,7 +117,7 @@
 	}
 }
 
-// write writes a message to another planner in a bounded time; a connection on which it fails is closed.
+// writeMessage writes a message to another planner within writeTimeout. It closes the connection and returns false if that fails.
 func writeMessage(conn net.Conn, message []byte) bool {
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := conn.Write(message); err != nil {
@@ -127,7 +127,7 @@
 	return true
 }
 
-// listenTo hears on a link to another planner why that one doesn't take this one's messages, if so.
+// awaitRejection reads from a link to another planner. That planner sends nothing but the reason why it rejects this one's messages.
 func (s *server) awaitRejection(conn net.Conn, id uint64) {
 	frame, err := tier.Read(bufio.NewReader(conn))
 	if conn.Close(); err == nil && frame.Strange != "" {
@@ -135,15 +135,15 @@
 	}
 }
 
-// fromPlanner takes a message of another planner. Only one whose disk is known to hold what it has promised is heard.
+// receiveRaft handles a raft message of another planner. It is accepted only if the sender's start record was verified on this link.
 func (s *server) receiveRaft(id rollout.Link, l *link, text []byte) {
 	p, m := s.planner, &pb.Message{}
 	if proto.Unmarshal(text, m) != nil || l.peerID == 0 || m.GetFrom() != l.peerID {
 		return
 	}
-	member := len(p.conf.GetVoters()) == 0 || slices.Contains(p.conf.GetVoters(), l.peerID) || slices.Contains(p.conf.GetVotersOutgoing(), l.peerID)
+	member := len(p.confState.GetVoters()) == 0 || slices.Contains(p.confState.GetVoters(), l.peerID) || slices.Contains(p.confState.GetVotersOutgoing(), l.peerID)
 	if !member {
-		if p.leader != nil && p.leader.Leading() { // who leads has all of the log: it has been replaced. Others may not have heard of a new one yet
+		if p.leader != nil && p.leader.Leading() { // the leader has the whole log, so the sender has been replaced; a follower may not have received the change that adds the sender
 			s.reject(id, l.peerID, fmt.Sprintf("planner %d has been replaced: stop it for good", l.peerID))
 			return
 		}
@@ -156,7 +156,7 @@
 	p.node.Step(m)
 }
 
-// started judges a planner as a link of it begins.
+// receiveStart verifies the start record with which a link of another planner begins.
 func (s *server) receiveStart(id rollout.Link, l *link, start *tier.Start) {
 	reason, err := s.planner.verifyStart(start)
 	switch {
@@ -169,7 +169,7 @@
 	}
 }
 
-// strange tells another planner that it isn't heard, and why.
+// reject sends another planner the reason why its messages are rejected.
 func (s *server) reject(id rollout.Link, peerID uint64, reason string) {
 	if peer := s.planner.peer(peerID); !peer.rejectionLogged {
 		peer.rejectionLogged = true
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,6 +1,6 @@
-// Package planner is the planner's process: it keeps the tier's policies, changes and members in a log that is the same at all planners.
-// Consensus is etcd's raft, driven here by one goroutine in the way of its Ready; the log lies in a file of bbolt's. What a change needs to
-// come into force is decided by package rollout, which this one feeds with what proxies say, what the log brings, and the clock.
+// Package planner implements the planner process. The planners replicate the tier's policies, changes and members through a log. Consensus
+// is etcd's raft, driven by one goroutine that handles its Ready; the log is stored in a bbolt file. Package rollout decides when a change
+// comes into force; this package passes it the proxies' messages, the committed commands and the time.
 package planner
 
 import (
@@ -25,50 +25,50 @@
 )
 
 const (
-	tickInterval         = 20 * time.Millisecond            // of the clock
-	heartbeatTicks       = 2                                // steps
-	electionTicks        = 15                               // steps without a leader, and up to twice that, by chance
-	aliveTimeout         = 2 * electionTicks * tickInterval // that a planner counts as alive behind a message: within it, a follower takes its leader for lost
-	maxQueuedEvents      = 4096                             // that wait for the planner; who has more to say waits with it, in its own socket
-	maxEventBatch        = 256                              // of them that are worked off before the planners' own words have another turn
-	snapshotInterval     = 2000                             // entries
-	entriesAfterSnapshot = 500
+	tickInterval     = 20 * time.Millisecond            // of raft's clock
+	heartbeatTicks   = 2                                // ticks between heartbeats of the leader
+	electionTicks    = 15                               // ticks without a leader before an election; randomised up to twice that
+	aliveTimeout     = 2 * electionTicks * tickInterval // a planner counts as alive for this long after a message; a follower gives up a silent leader within it
+	maxQueuedEvents  = 4096                             // events in the queue; beyond it, senders wait in their own sockets
+	maxEventBatch    = 256                              // events that are handled before messages of other planners are handled again
+	snapshotInterval = 2000                             // log entries
+	retainedEntries  = 500
 )
 
-// Planner is one.
+// Planner is one planner of a tier.
 type Planner struct {
 	config      Config
 	store       *store
 	node        *raft.RawNode
-	conf        *pb.ConfState
+	confState   *pb.ConfState
 	state       *rollout.State
 	leader      *rollout.Leader // nil while another leads
-	leaderID    uint64          // who, as far as known
+	leaderID    uint64          // 0 = unknown
 	healthRelay *healthRelay    // nil while another leads
 	startTime   time.Time
 
 	history                     *rollout.MembershipHistory
 	appliedIndex, snapshotIndex uint64
-	readIndexCount              uint64 // confirmations asked for
-	processID                   uint64 // drawn when this process began
-	initialTerm                 uint64 // the disk's term and last entry then
+	readIndexCount              uint64 // number of requested confirmations
+	processID                   uint64 // random, chosen at the start of this process
+	initialTerm                 uint64 // the term and last index on disk at the start of this process
 	initialLastIndex            uint64
-	pendingChange               rollout.Number // the last change that was undecided,
-	pendingSince                time.Duration  // and when this planner first had it
+	pendingChange               rollout.Number // the last change that was undecided
+	pendingSince                time.Duration  // when this planner applied that change
 
 	server     *server
-	events     chan func() // what proxies and operators say
-	peerEvents chan func() // what planners say to one another: behind thousands of proxies' words it would come too late, and another election begin
+	events     chan func() // messages of proxies and operators
+	peerEvents chan func() // messages of other planners: queued behind thousands of proxies' messages they would be so late that elections begin
 	done       chan struct{}
 	err        error
 	peers      map[uint64]*peer
 }
 
-// Open makes a planner that doesn't run yet.
+// Open opens the log, begins to listen, and returns a planner. Run must be called to run it.
 func Open(cfg Config) (*Planner, error) {
 	cfg.Rollout = cfg.Rollout.WithDefaults()
 	if cfg.Peers[cfg.ID] == "" {
-		return nil, fmt.Errorf("planner %d is not among the planners named", cfg.ID)
+		return nil, fmt.Errorf("planner %d is missing from the list of planners", cfg.ID)
 	}
 	var ids []uint64
 	for id := range cfg.Peers {
@@ -82,10 +82,10 @@
 	p := &Planner{config: cfg, store: store, state: &rollout.State{}, startTime: time.Now(), events: make(chan func(), maxQueuedEvents),
 		history:    rollout.NewMembershipHistory(cfg.Rollout),
 		peerEvents: make(chan func(), maxQueuedEvents), done: make(chan struct{}), peers: map[uint64]*peer{}}
-	if cfg.Join && !fresh && store.hasSnapshot() { // started again: it has joined already
+	if cfg.Join && !fresh && store.hasSnapshot() { // a restart of a planner that has joined already
 		cfg.Join = false
 	}
-	if fresh && !cfg.Join { // all planners begin with the same snapshot of nothing
+	if fresh && !cfg.Join { // all planners begin with the same snapshot of an empty state
 		empty, err := tier.EncodeState(p.state)
 		if err == nil {
 			one := uint64(1)
@@ -123,10 +123,12 @@
 	return p, nil
 }
 
-// ErrReplaced tells that this planner has been replaced, and ErrRejected that the others don't take its messages.
+// The errors with which Run returns if this planner must not take part any more.
 var (
+	// ErrReplaced is returned when this planner has been replaced by another.
 	ErrReplaced = errors.New("this planner has been replaced: stop it for good")
-	ErrRejected = errors.New("the other planners don't take this one's messages")
+	// ErrRejected is returned when another planner rejects this one's messages.
+	ErrRejected = errors.New("the other planners reject this one's messages")
 )
 
 func (p *Planner) restore(snap *pb.Snapshot) (err error) {
@@ -136,12 +138,12 @@
 	p.history.MarkIncomplete(p.now())
 	p.history.Applied(p.now(), p.state)
 	p.appliedIndex, p.snapshotIndex = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex()
-	p.conf = snap.GetMetadata().GetConfState()
+	p.confState = snap.GetMetadata().GetConfState()
 	p.connect()
 	return nil
 }
 
-// connect keeps links to the planners that the log names, and no others.
+// connect opens links to the planners that the log names and closes all others.
 func (p *Planner) connect() {
 	if p.server == nil {
 		return
@@ -152,7 +154,7 @@
 			want[id] = cmp.Or(p.state.Planners[id], p.config.Peers[id])
 		}
 	}
-	if len(p.conf.GetVoters()) == 0 { // the log has yet to come from the others
+	if len(p.confState.GetVoters()) == 0 { // this planner has not received the log from the others yet
 		for id, address := range p.config.Peers {
 			want[id] = address
 		}
@@ -161,16 +163,16 @@
 	p.server.connect(want)
 }
 
-// Address tells where it listens.
+// Address returns the address that the planner listens on.
 func (p *Planner) Address() string { return p.server.listener.Addr().String() }
 
-// now is the planner's own clock, on which leases are counted: it is monotonic.
+// now returns the time of the planner's monotonic clock, on which leases are measured. It is greater than 0.
 func (p *Planner) now() time.Duration { return labclock.Since(p.startTime) + time.Second }
 
 func (p *Planner) unixMillis() int64 { return labclock.Wall().UnixMilli() }
 
-// post hands what a proxy or an operator has said to the planner's goroutine. Where too much waits, it waits too, and so its link is read no
-// further: a link that is closed would come again with more to say. false = the planner has ended.
+// post queues the handling of a message of a proxy or operator for the planner's goroutine; false = the planner has ended. If the queue is
+// full it blocks, so that the link is not read meanwhile. Closing the link instead would make the sender reconnect and send even more.
 func (p *Planner) post(f func()) bool {
 	select {
 	case p.events <- f:
@@ -180,7 +182,8 @@
 	}
 }
 
-// hurry hands over what another planner has said; false = too much waits, and it is dropped, as the consensus bears.
+// postFromPeer queues the handling of a message of another planner; false = the queue is full and the message is dropped, which raft
+// tolerates.
 func (p *Planner) postFromPeer(f func()) bool {
 	select {
 	case p.peerEvents <- f:
@@ -190,9 +193,9 @@
 	}
 }
 
-// Run runs it until the context ends or it can't go on.
+// Run runs the planner until the context ends or an error occurs that it can't recover from. It returns nil in the first case.
 func (p *Planner) Run(ctx context.Context) (err error) {
-	defer func() { // the consensus ends a process whose log can't be what it promised: an older copy, say
+	defer func() { // raft panics if the log lacks entries that were acknowledged, for example if it is an older copy
 		if recovered := recover(); recovered != nil {
 			if reason, ok := recovered.(consensusPanic); ok {
 				err = fmt.Errorf("the log lacks what this planner has acknowledged to the others: it was lost, or is an older copy. Put a new one in its place: havenproxy policy replace (%s)", string(reason))
@@ -221,7 +224,7 @@
 			event()
 		case event := <-p.events:
 			event()
-			for n := min(len(p.events), maxEventBatch); n > 0; n-- { // what came together is written together
+			for n := min(len(p.events), maxEventBatch); n > 0; n-- { // a batch of events is written in one transaction
 				(<-p.events)()
 			}
 		}
@@ -235,7 +238,7 @@
 	return p.err
 }
 
-// begin begins to lead.
+// becomeLeader begins a term as the leader.
 func (p *Planner) becomeLeader(term rollout.Term) {
 	p.leader = rollout.NewLeader(p.config.Rollout, p.state, term)
 	p.leader.SetChangeStart(p.pendingChange, p.pendingSince)
@@ -245,7 +248,7 @@
 	}
 }
 
-// lead carries out what the leader's side wants; it tells whether there was anything.
+// runLeader carries out what the leader requests. It reports whether there was anything to do.
 func (p *Planner) runLeader() bool {
 	if p.leader == nil {
 		return false
@@ -272,17 +275,17 @@
 	return !ready.Empty()
 }
 
-// ready does what the consensus asks for, the disk first.
+// handleReady carries out what raft requests. Everything is written to disk before messages are sent.
 func (p *Planner) handleReady() {
 	ready := p.node.Ready()
 	if term := rollout.Term(p.node.BasicStatus().HardState.GetTerm()); p.leader != nil && term != p.leader.Term() {
-		p.leader, p.healthRelay = nil, nil // it led, another did, and it leads again: what it knew of leases is void
+		p.leader, p.healthRelay = nil, nil // another planner has led in between: what this one knows of leases is obsolete
 		if p.node.BasicStatus().RaftState == raft.StateLeader {
 			p.becomeLeader(term)
 		}
 	}
 	if err := p.store.save(&ready); err != nil {
-		// Nothing of this has been promised to anyone yet: who goes on without it would break a promise.
+		// Nothing of this has been acknowledged to other planners yet. Going on without it could break what they are told later.
 		p.err = fmt.Errorf("the log can't be written, so this planner ends: %w", err)
 		return
 	}
@@ -312,7 +315,7 @@
 	}
 }
 
-// turn takes news of who leads.
+// handleSoftState handles a change of the leader.
 func (p *Planner) handleSoftState(state *raft.SoftState) {
 	if p.leaderID = state.Lead; state.RaftState == raft.StateLeader {
 		if p.leader == nil {
@@ -323,7 +326,7 @@
 		return
 	}
 	if p.leader != nil {
-		slog.Info("this planner leads no more", "leader", state.Lead)
+		slog.Info("this planner no longer leads", "leader", state.Lead)
 		p.leader, p.healthRelay = nil, nil
 		p.server.dropProxies()
 	}
@@ -341,7 +344,7 @@
 		p.applyConfChange(&confChange)
 		return
 	}
-	if len(entry.GetData()) == 0 { // a new leader's own
+	if len(entry.GetData()) == 0 { // the empty entry with which raft begins a term
 		return
 	}
 	command, err := tier.DecodeCommand(entry.GetData())
@@ -377,10 +380,10 @@
 func (p *Planner) compactLog() {
 	text, err := tier.EncodeState(p.state)
 	if err == nil {
-		err = p.store.compact(p.appliedIndex, p.conf, text, entriesAfterSnapshot)
+		err = p.store.compact(p.appliedIndex, p.confState, text, retainedEntries)
 	}
 	if err != nil {
-		p.err = fmt.Errorf("the log can't be shortened, so this planner ends: %w", err)
+		p.err = fmt.Errorf("the log can't be compacted, so this planner ends: %w", err)
 		return
 	}
 	p.snapshotIndex = p.appliedIndex
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -17,89 +17,91 @@
 	"havenproxy/internal/wire/tier"
 )
 
-// What another planner promised is held against what its disk holds when it comes again; what it may lawfully have lost is not.
+// The start record of another planner is checked against what that planner has promised. Entries that it may have lost without breaking a
+// promise don't lead to a rejection.
 func TestStartIsCheckedAgainstPromises(t *testing.T) {
-	st, _, err := openStore(filepath.Join(t.TempDir(), "log"), "planner 1")
+	store, _, err := openStore(filepath.Join(t.TempDir(), "log"), "planner 1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer st.close()
-	p := &Planner{store: st, peers: map[uint64]*peer{}}
-	says := func(kind pb.MessageType, term, index uint64, reject bool) {
+	defer store.close()
+	planner := &Planner{store: store, peers: map[uint64]*peer{}}
+	receive := func(kind pb.MessageType, term, index uint64, reject bool) {
 		from := uint64(2)
-		p.recordPromise(&pb.Message{Type: &kind, From: &from, Term: &term, Index: &index, Reject: &reject})
+		planner.recordPromise(&pb.Message{Type: &kind, From: &from, Term: &term, Index: &index, Reject: &reject})
 	}
-	for _, x := range []struct {
-		do        func()
-		term, end uint64
-		disk      uint64
-		why       string
+	for _, test := range []struct {
+		setup      func()
+		term, last uint64
+		disk       uint64
+		want       string
 	}{
 		{func() {}, 1, 1, 77, ""},
-		{func() { says(pb.MessageType_MsgAppResp, 3, 20, false) }, 3, 20, 77, ""},
-		{func() {}, 3, 19, 77, "older copy"},                                                // it had acknowledged 20 to the leader of term 3
-		{func() {}, 2, 30, 77, "older copy"},                                                // it had been in term 3
-		{func() {}, 4, 12, 77, ""},                                                          // a later leader has had it cut what nobody needed
-		{func() { says(pb.MessageType_MsgVoteResp, 6, 0, false) }, 5, 20, 77, "older copy"}, // it may have voted in 6
-		{func() { says(pb.MessageType_MsgPreVoteResp, 9, 0, false) }, 6, 20, 77, ""},        // that promises nothing
-		{func() { says(pb.MessageType_MsgAppResp, 6, 40, true) }, 6, 20, 77, ""},            // nor does a word that it lacks an entry
+		{func() { receive(pb.MessageType_MsgAppResp, 3, 20, false) }, 3, 20, 77, ""},
+		{func() {}, 3, 19, 77, "older copy"},                                                   // it has acknowledged entry 20 to the leader of term 3
+		{func() {}, 2, 30, 77, "older copy"},                                                   // it has been in term 3
+		{func() {}, 4, 12, 77, ""},                                                             // a later leader may have truncated uncommitted entries
+		{func() { receive(pb.MessageType_MsgVoteResp, 6, 0, false) }, 5, 20, 77, "older copy"}, // it may have voted in term 6
+		{func() { receive(pb.MessageType_MsgPreVoteResp, 9, 0, false) }, 6, 20, 77, ""},        // a pre-vote is no promise
+		{func() { receive(pb.MessageType_MsgAppResp, 6, 40, true) }, 6, 20, 77, ""},            // neither is a rejected append
 		{func() {}, 6, 20, 78, "has begun its log anew"},
 	} {
-		x.do()
-		if why, err := p.verifyStart(&tier.Start{Planner: 2, Disk: x.disk, Term: x.term, Last: x.end}); err != nil || (why == "") != (x.why == "") || !strings.Contains(why, x.why) {
-			t.Errorf("term %d, entry %d, disk %d: %q, %v", x.term, x.end, x.disk, why, err)
+		test.setup()
+		if reason, err := planner.verifyStart(&tier.Start{Planner: 2, Disk: test.disk, Term: test.term, Last: test.last}); err != nil || (reason == "") != (test.want == "") || !strings.Contains(reason, test.want) {
+			t.Errorf("term %d, entry %d, disk %d: %q, %v", test.term, test.last, test.disk, reason, err)
 		}
 	}
 }
 
-// A planner starts with an older copy of its log, and the first link that it opens to this one is lost with what it began with. Until the
-// next, who leads has filled its log up.
+// A planner starts with an older copy of its log, and the start record on its first link is lost. Before it opens another link, the leader
+// has brought its log up to date. The older copy must still be detected.
 func TestOlderCopyIsDetectedAfterLostLink(t *testing.T) {
 	p := openPlanner(t)
-	start := func(process, beganLast, last uint64) (why string) {
-		why, err := p.verifyStart(&tier.Start{Planner: 2, Disk: 77, Term: 3, Last: last, Process: process, BeganTerm: 3, BeganLast: beganLast})
+	verify := func(process, initialLast, last uint64) (reason string) {
+		reason, err := p.verifyStart(&tier.Start{Planner: 2, Disk: 77, Term: 3, Last: last, Process: process, BeganTerm: 3, BeganLast: initialLast})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return why
+		return reason
 	}
-	if why := start(1, 1, 1); why != "" {
-		t.Fatal(why)
+	if reason := verify(1, 1, 1); reason != "" {
+		t.Fatal(reason)
 	}
 	kind, term, index, from := pb.MessageType_MsgAppResp, uint64(3), uint64(20), uint64(2)
 	p.recordPromise(&pb.Message{Type: &kind, From: &from, Term: &term, Index: &index})
-	if why := start(1, 1, 20); why != "" {
-		t.Errorf("another link of a process that has been judged: %s", why)
+	if reason := verify(1, 1, 20); reason != "" {
+		t.Errorf("another link of a verified process is rejected: %s", reason)
 	}
-	if why := start(2, 12, 20); !strings.Contains(why, "older copy") {
-		t.Errorf("a process that began with 12 entries of 20: %q", why)
+	if reason := verify(2, 12, 20); !strings.Contains(reason, "older copy") {
+		t.Errorf("a process that started with 12 of 20 entries: %q", reason)
 	}
-	if why := start(2, 12, 20); why == "" {
-		t.Error("it is believed when it comes again")
+	if reason := verify(2, 12, 20); reason == "" {
+		t.Error("it is accepted on the second link")
 	}
-	if why := start(3, 20, 25); why != "" {
-		t.Errorf("a process that began with all: %s", why)
+	if reason := verify(3, 20, 25); reason != "" {
+		t.Errorf("a process that started with all entries is rejected: %s", reason)
 	}
 }
 
-// A planner counts as alive by its last message, whatever it was, and not by a mark that is taken off now and then.
+// A planner counts as alive by the time of its last message, of any kind, and not by raft's mark of active followers, which is cleared
+// regularly.
 func TestLivePlannersAreCountedByLastMessage(t *testing.T) {
 	p := openPlanner(t)
 	voters := []uint64{1, 2, 3}
-	if n := p.countLive(voters, 3); n != 1 {
-		t.Errorf("%d live, and none but this one has ever been heard", n)
+	if count := p.countLive(voters, 3); count != 1 {
+		t.Errorf("%d alive before any message of the others", count)
 	}
 	p.peer(2).lastMessage, p.peer(3).lastMessage = p.now(), p.now()
-	if n := p.countLive(voters, 3); n != 2 {
-		t.Errorf("%d live, one was heard just now", n)
+	if count := p.countLive(voters, 3); count != 2 {
+		t.Errorf("%d alive after a message of one other", count)
 	}
 	p.peer(2).lastMessage = p.now() - 2*aliveTimeout
-	if n := p.countLive(voters, 3); n != 1 {
-		t.Errorf("%d live, the other has been silent for long", n)
+	if count := p.countLive(voters, 3); count != 1 {
+		t.Errorf("%d alive while the other is silent", count)
 	}
 }
 
-// alone opens one planner of three, of which the test plays the others.
+// openPlanner opens one planner of three. The test takes the part of the others.
 func openPlanner(t *testing.T) *Planner {
 	p, err := Open(Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "127.0.0.1:0", 2: "127.0.0.1:1", 3: "127.0.0.1:1"},
 		LogFile: filepath.Join(t.TempDir(), "log")})
@@ -110,51 +112,51 @@
 	return p
 }
 
-// A message counts once its sender has said what its disk holds, and only from who it says it is.
+// Raft messages are accepted only on a link with a verified start record, and only from the planner of that record.
 func TestRaftMessagesNeedVerifiedSender(t *testing.T) {
 	p := openPlanner(t)
-	says := func(l *link, from, term uint64) uint64 {
+	receiveHeartbeat := func(verified *link, from, term uint64) uint64 {
 		to, kind := uint64(1), pb.MessageType_MsgHeartbeat
 		text, err := proto.Marshal(&pb.Message{Type: &kind, From: &from, To: &to, Term: &term})
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.server.receiveRaft(1, l, text)
+		p.server.receiveRaft(1, verified, text)
 		return p.node.BasicStatus().HardState.GetTerm()
 	}
-	l := &link{}
-	if term := says(l, 2, 7); term != 1 {
-		t.Fatalf("term %d by one that has not said what it holds", term)
+	verified := &link{}
+	if term := receiveHeartbeat(verified, 2, 7); term != 1 {
+		t.Fatalf("term %d from a planner without a start record", term)
 	}
-	p.server.receiveStart(1, l, &tier.Start{Planner: 2, Disk: 5, Term: 1, Last: 1})
-	if term := says(l, 3, 8); term != 1 {
-		t.Fatalf("term %d by one in another's name", term)
+	p.server.receiveStart(1, verified, &tier.Start{Planner: 2, Disk: 5, Term: 1, Last: 1})
+	if term := receiveHeartbeat(verified, 3, 8); term != 1 {
+		t.Fatalf("term %d from a planner in another's name", term)
 	}
-	if term := says(l, 2, 9); term != 9 {
-		t.Fatalf("term %d: it isn't heard", term)
+	if term := receiveHeartbeat(verified, 2, 9); term != 9 {
+		t.Fatalf("term %d: the message of a verified planner is ignored", term)
 	}
-	anew := &link{}
-	p.server.receiveStart(2, anew, &tier.Start{Planner: 2, Disk: 6, Term: 1, Last: 1})
-	if term := says(anew, 2, 20); term != 9 {
-		t.Errorf("term %d by one whose disk is another", term)
+	otherDisk := &link{}
+	p.server.receiveStart(2, otherDisk, &tier.Start{Planner: 2, Disk: 6, Term: 1, Last: 1})
+	if term := receiveHeartbeat(otherDisk, 2, 20); term != 9 {
+		t.Errorf("term %d from a planner with another disk", term)
 	}
 }
 
 func TestReplaceRefusals(t *testing.T) {
 	p := openPlanner(t)
-	p.store.recordPeerDisk(9, 77) // it was one of the tier's, long ago
-	for _, x := range []struct {
+	p.store.recordPeerDisk(9, 77) // a former planner of the tier
+	for _, test := range []struct {
 		old, id uint64
-		why     string
-	}{{4, 5, "is none of the tier's"}, {2, 3, "needs a number of its own"}, {2, 9, "needs a number of its own"}, {2, 0, "needs a number of its own"},
-		{1, 5, "planner 1 leads"}, {2, 5, "of 3 live, and 2 have to"}} {
-		if err := p.Replace(x.old, x.id, "127.0.0.1:1"); err == nil || !strings.Contains(err.Error(), x.why) {
-			t.Errorf("%d by %d: %v, %q was expected", x.old, x.id, err, x.why)
+		want    string
+	}{{4, 5, "is not one of the tier's"}, {2, 3, "needs a number of its own"}, {2, 9, "needs a number of its own"}, {2, 0, "needs a number of its own"},
+		{1, 5, "planner 1 leads"}, {2, 5, "of 3 are alive, and 2 are needed"}} {
+		if err := p.Replace(test.old, test.id, "127.0.0.1:1"); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("replacing %d by %d: %v, want %q", test.old, test.id, err, test.want)
 		}
 	}
 }
 
-// While a planner is being replaced, most of the old planners are needed as well: the old one is told as one that votes until it has left.
+// While a planner is being replaced, a majority of the old planners is needed too: the status lists the old one as a voter until it has left.
 func TestReplacedPlannerIsReportedAsVoter(t *testing.T) {
 	p := openPlanner(t)
 	conn, err := net.Dial("tcp", p.Address())
@@ -162,17 +164,17 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	ask, err := tier.Append(nil, &tier.Frame{Ask: &tier.Ask{Do: tier.DoStatus}})
+	request, err := tier.Append(nil, &tier.Frame{Ask: &tier.Ask{Do: tier.DoStatus}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	answers := bufio.NewReader(conn)
-	for _, x := range []struct{ voters, leaving, want []uint64 }{
+	for _, test := range []struct{ voters, leaving, want []uint64 }{
 		{voters: []uint64{2, 3, 4}, leaving: []uint64{1, 2, 3}, want: []uint64{1, 2, 3, 4}},
 		{voters: []uint64{2, 3, 4}, want: []uint64{2, 3, 4}},
 	} {
-		p.conf = &pb.ConfState{Voters: x.voters, VotersOutgoing: x.leaving}
-		if _, err := conn.Write(ask); err != nil {
+		p.confState = &pb.ConfState{Voters: test.voters, VotersOutgoing: test.leaving}
+		if _, err := conn.Write(request); err != nil {
 			t.Fatal(err)
 		}
 		(<-p.events)()
@@ -180,13 +182,13 @@
 		if err != nil || f.Answer == nil {
 			t.Fatalf("%+v, %v", f, err)
 		}
-		if !slices.Equal(f.Answer.Planners, x.want) {
-			t.Errorf("voters %v, leaving %v: told %v, want %v", x.voters, x.leaving, f.Answer.Planners, x.want)
+		if !slices.Equal(f.Answer.Planners, test.want) {
+			t.Errorf("voters %v, leaving %v: status has %v, want %v", test.voters, test.leaving, f.Answer.Planners, test.want)
 		}
 	}
 }
 
-// besideListener opens planner 1 of three, with the test in place of planner 2. nextLink gives the next link that it opens to that one.
+// openPlannerWithPeer opens planner 1 of three, with the test in place of planner 2. nextLink returns the next link that it opens to planner 2.
 func openPlannerWithPeer(t *testing.T) (p *Planner, nextLink func() net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -203,21 +205,21 @@
 		ln.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
 		conn, err := ln.Accept()
 		if err != nil {
-			t.Fatal("nobody comes: ", err)
+			t.Fatal("no link is opened: ", err)
 		}
 		return conn
 	}
 }
 
-// Who has heard what a planner promised may be one to which that one has nothing to send: it is told of the start all the same, so that it
-// can judge it. Each link begins with what the disk held as the process began, though who leads has filled it up meanwhile, and with what it
+// A planner opens a link with its start record even to planners to which it has nothing to send, since they may have received its promises.
+// Each start record has what the disk held at the start of the process, even if the leader has brought it up to date since, and what it
 // holds now.
 func TestLinksBeginWithStartRecord(t *testing.T) {
 	p, nextLink := openPlannerWithPeer(t)
 	first := nextLink()
 	f, err := tier.Read(bufio.NewReader(first))
 	if err != nil || f.Start == nil || f.Start.Planner != 1 || f.Start.Process != p.processID || p.processID == 0 {
-		t.Errorf("%+v, %v: the start of process %d was expected", f.Start, err, p.processID)
+		t.Errorf("%+v, %v, want the start record of process %d", f.Start, err, p.processID)
 	}
 	index, term := uint64(2), uint64(1)
 	if err := p.store.save(&raft.Ready{Entries: []*pb.Entry{{Index: &index, Term: &term}}}); err != nil {
@@ -228,11 +230,11 @@
 	defer second.Close()
 	f, err = tier.Read(bufio.NewReader(second))
 	if err != nil || f.Start == nil || f.Start.BeganLast != 1 || f.Start.Last != 2 || f.Start.Process != p.processID {
-		t.Errorf("%+v, %v: entry 1 as process %d began and 2 now were expected", f.Start, err, p.processID)
+		t.Errorf("%+v, %v, want entry 1 at the start of process %d and entry 2 now", f.Start, err, p.processID)
 	}
 }
 
-// A planner that begins, or is sent the state as a whole, may have missed lists of members: it says of none that all are known.
+// A planner that starts, or receives a snapshot, may have missed lists of members, so its history is incomplete.
 func TestMembershipHistoryIsIncompleteAfterStart(t *testing.T) {
 	p, err := Open(Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "127.0.0.1:0"}, LogFile: filepath.Join(t.TempDir(), "log"),
 		Rollout: rollout.Config{Lease: time.Hour}})
@@ -241,15 +243,16 @@
 	}
 	defer p.store.close()
 	defer p.server.close()
-	if _, whole := p.history.Past(p.now()); whole {
-		t.Error("it knows all lists")
+	if _, complete := p.history.Past(p.now()); complete {
+		t.Error("the history is complete")
 	}
 }
 
-// Who says more than the planner can work off waits in its own socket, and keeps its link; what planners say to one another doesn't wait behind it.
+// A client that sends more than the planner can handle is blocked in its own socket and keeps its link. Messages of other planners don't wait
+// behind it.
 func TestFullEventQueueBlocksLinks(t *testing.T) {
 	p := openPlanner(t)
-	say := func(f *tier.Frame, times int) net.Conn {
+	send := func(f *tier.Frame, times int) net.Conn {
 		conn, err := net.Dial("tcp", p.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -268,16 +271,16 @@
 		}()
 		return conn
 	}
-	first := say(&tier.Frame{Strange: "nothing that a planner answers"}, maxQueuedEvents+100)
+	first := send(&tier.Frame{Strange: "nothing that a planner answers"}, maxQueuedEvents+100)
 	for len(p.events) < maxQueuedEvents {
 		time.Sleep(time.Millisecond)
 	}
-	say(&tier.Frame{Raft: []byte("x")}, 1)
+	send(&tier.Frame{Raft: []byte("x")}, 1)
 	(<-p.peerEvents)()
 	done := make(chan bool)
 	go func() {
 		defer close(done)
-		for n := 0; n < maxQueuedEvents+101; n++ { // the last is the end of the link, as the test lets it end
+		for n := 0; n < maxQueuedEvents+101; n++ { // the last event is the end of the link, which the test closes
 			(<-p.events)()
 			if n == maxQueuedEvents+99 {
 				first.Close()
--- a/internal/planner/promises.go
+++ b/internal/planner/promises.go
@@ -9,21 +9,22 @@
 	"havenproxy/internal/wire/tier"
 )
 
-// What other planners have promised, held against what their disks hold: votes and acknowledged entries.
+// This file checks what other planners have promised, that is votes and acknowledged entries, against what their disks hold.
 
-// peer is what is known of another planner.
+// peer is the state of another planner.
 type peer struct {
-	ackedTerm, ackedIndex uint64        // it has acknowledged entries up to acked to the leader of term, which may be this one
-	lastTerm              uint64        // it has been in that term, at least
-	rejectionLogged       bool          // that its messages are not taken
-	verifiedProcess       uint64        // that said what its disk held, and was believed
-	lastMessage           time.Duration // its last message
+	ackedTerm, ackedIndex uint64        // it has acknowledged entries up to ackedIndex to the leader of ackedTerm, which may be this planner
+	lastTerm              uint64        // the latest term that it is known to have reached
+	rejectionLogged       bool          // a rejection of its messages was logged
+	verifiedProcess       uint64        // ID of the last process whose start record was verified
+	lastMessage           time.Duration // time of its last message
 }
 
-// met judges what another planner says that its disk holds. The text tells why its messages can't be taken: a vote or an entry that it has
-// promised and forgotten would break what the consensus stands on. Of a process that has not been judged yet the disk counts as it was when
-// the process began: an older copy may have been filled up by who leads before a link of it has come here. Nothing was acknowledged to
-// this planner meanwhile, since it takes no messages of a process before it has judged it.
+// verifyStart checks another planner's start record against what that planner has promised. A non-empty reason tells why its messages must
+// be rejected: consensus breaks if a planner forgets a vote or an entry that it has acknowledged. For a process that has not been verified
+// yet, the term and last entry at the start of the process are checked, since the leader may have brought an older copy up to date before
+// a link of that process reached this planner. It can't have acknowledged anything to this planner in the meantime, since messages of an
+// unverified process are not accepted.
 func (p *Planner) verifyStart(start *tier.Start) (reason string, err error) {
 	known, err := p.store.recordPeerDisk(start.Planner, start.Disk)
 	if err != nil {
@@ -52,7 +53,8 @@
 	return p.peers[id]
 }
 
-// said notes what another planner has promised by a message. All but the messages before a vote are sent once the disk has what they say.
+// recordPromise records what another planner has promised by a message. All messages except those of a pre-vote are sent only after their
+// promise is on disk.
 func (p *Planner) recordPromise(m *pb.Message) {
 	peer := p.peer(m.GetFrom())
 	switch m.GetType() {
@@ -71,7 +73,7 @@
 	peer.lastTerm = max(peer.lastTerm, m.GetTerm())
 }
 
-// start is what this planner's disk holds.
+// startRecord returns a description of what this planner's disk holds.
 func (p *Planner) startRecord() *tier.Start {
 	hard, _, _ := p.store.memory.InitialState()
 	last, _ := p.store.memory.LastIndex()
--- a/internal/planner/replace.go
+++ b/internal/planner/replace.go
@@ -9,36 +9,36 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Replacing a planner by another: both at one moment, by joint consensus.
+// This file implements the replacement of a planner by another, by joint consensus.
 
-// voting gives the planners that vote now, by number. While one is being replaced, those are the old ones and the new one: most of either set
-// are needed, so that the old one is not replaced before it has left.
+// voters returns the numbers of the planners that vote now, sorted. While one is being replaced, both the old and the new one vote, since a
+// majority of either set is needed: the old one is not replaced before it has left.
 func (p *Planner) voters() []uint64 {
-	all := append(slices.Clone(p.conf.GetVoters()), p.conf.GetVotersOutgoing()...)
+	all := append(slices.Clone(p.confState.GetVoters()), p.confState.GetVotersOutgoing()...)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// Replace begins to put a new planner in an old one's place: both at one moment, by joint consensus, so that at no time one more may fail than
-// before. The error tells why it can't be.
+// Replace begins the replacement of a planner by a new one. Both changes take effect at once, by joint consensus, so that the number of
+// failures that the planners tolerate never decreases. The error is the reason why the replacement is not possible.
 func (p *Planner) Replace(oldID, newID uint64, address string) error {
-	voters := p.conf.GetVoters()
+	voters := p.confState.GetVoters()
 	disk, err := p.store.peerDisk(newID)
 	switch {
 	case err != nil:
 		return err
-	case len(p.conf.GetVotersOutgoing()) > 0:
+	case len(p.confState.GetVotersOutgoing()) > 0:
 		return errors.New("another planner is being replaced")
 	case !slices.Contains(voters, oldID):
-		return fmt.Errorf("planner %d is none of the tier's: those are %d", oldID, voters)
+		return fmt.Errorf("planner %d is not one of the tier's planners, which are %d", oldID, voters)
 	case newID == 0 || slices.Contains(voters, newID) || p.state.Planners[newID] != "" || disk != 0:
-		return fmt.Errorf("planner %d is or was one of the tier's: a new one needs a number of its own, since the others remember what it said", newID)
+		return fmt.Errorf("planner %d is or was one of the tier's: a new one needs a number of its own, since the others remember what the old one acknowledged", newID)
 	case oldID == p.config.ID:
 		return fmt.Errorf("planner %d leads: stop it first, or ask again once another leads", oldID)
 	}
 	live := p.countLive(voters, oldID)
 	if n := len(voters)/2 + 1; live < n {
-		return fmt.Errorf("beside planner %d only %d of %d live, and %d have to", oldID, live, len(voters), n)
+		return fmt.Errorf("besides planner %d only %d of %d are alive, and %d are needed", oldID, live, len(voters), n)
 	}
 	single := func(t pb.ConfChangeType, newID uint64) *pb.ConfChangeSingle {
 		return &pb.ConfChangeSingle{Type: &t, NodeId: &newID}
@@ -47,8 +47,8 @@
 		single(pb.ConfChangeType_ConfChangeRemoveNode, oldID)}, Context: []byte(address)})
 }
 
-// live counts the voters but one that have been heard lately, this planner among them. The consensus' own mark of them is of no use: it is
-// taken off all of them once in each election time-out, and comes back with the next message of each.
+// countLive counts the voters, without the one given by except, that have sent a message within aliveTimeout; this planner always counts.
+// Raft's own mark of active followers can't be used: it is cleared for all of them once per election timeout, until the next message of each.
 func (p *Planner) countLive(voters []uint64, except uint64) (count int) {
 	for _, id := range voters {
 		if id == except {
@@ -61,10 +61,10 @@
 	return count
 }
 
-// changed takes a change of the planners that has come through the log.
+// applyConfChange applies a committed change of the set of planners.
 func (p *Planner) applyConfChange(confChange *pb.ConfChangeV2) {
-	before := p.conf.GetVoters()
-	p.conf = p.node.ApplyConfChange(confChange)
+	before := p.confState.GetVoters()
+	p.confState = p.node.ApplyConfChange(confChange)
 	for _, change := range confChange.GetChanges() {
 		if change.GetType() == pb.ConfChangeType_ConfChangeAddNode && !slices.Contains(before, change.GetNodeId()) {
 			if p.state.Planners == nil {
@@ -73,10 +73,10 @@
 			p.state.Planners[change.GetNodeId()] = string(confChange.GetContext())
 		}
 	}
-	slog.Info("planners", "voters", p.conf.GetVoters(), "leaving", p.conf.GetVotersOutgoing())
+	slog.Info("planners", "voters", p.confState.GetVoters(), "leaving", p.confState.GetVotersOutgoing())
 	p.connect()
-	p.compactLog() // the new one begins with a snapshot that names it
-	if !slices.Contains(p.conf.GetVoters(), p.config.ID) && len(p.conf.GetVotersOutgoing()) == 0 && slices.Contains(before, p.config.ID) {
+	p.compactLog() // the new planner needs a snapshot that includes it
+	if !slices.Contains(p.confState.GetVoters(), p.config.ID) && len(p.confState.GetVotersOutgoing()) == 0 && slices.Contains(before, p.config.ID) {
 		p.err = ErrReplaced
 	}
 }
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	linkQueueLength     = 256              // frames that wait for one link; beyond, the link is closed
-	writeTimeout        = 2 * time.Second  // that a frame may take
-	readTimeout         = 30 * time.Second // a link that says nothing for so long is closed
+	linkQueueLength     = 256              // frames in the send queue of a link; beyond it the link is closed
+	writeTimeout        = 2 * time.Second  // for one frame
+	readTimeout         = 30 * time.Second // a link that receives nothing for this long is closed
 	dialTimeout         = time.Second
 	redialInterval      = 200 * time.Millisecond
-	badFrameLogInterval = time.Minute // one line a peer about unreadable frames
+	badFrameLogInterval = time.Minute // interval of log lines about unreadable frames, for each remote host
 	proposalTimeout     = 2 * time.Second
 )
 
-// server holds the planner's links. Each has a goroutine that reads and one that writes; what they bring goes through Planner.post.
+// server holds the planner's links. Each link has one goroutine that reads and one that writes. Received frames are handled on the planner's
+// goroutine, by way of Planner.post and Planner.postFromPeer.
 type server struct {
 	planner        *Planner
 	listener       net.Listener
@@ -32,14 +33,14 @@
 	lastLink       rollout.Link
 	badFrameLogged map[string]time.Time
 
-	proposals []pendingProposal // proposals that are not in the log yet; the planner's goroutine's alone
+	proposals []pendingProposal // proposals that are not in the log yet; used by the planner's goroutine only
 }
 
 type link struct {
 	conn      net.Conn
 	sendQueue chan []byte
 	isProxy   bool
-	peerID    uint64 // another one that has said what its disk holds, and may be believed; the planner's goroutine's alone
+	peerID    uint64 // the other planner once its start record is verified; used by the planner's goroutine only
 	closeOnce sync.Once
 }
 
@@ -55,7 +56,7 @@
 	return s, nil
 }
 
-// connect keeps a way to each of these planners, and to no other.
+// connect opens a link to each of the given planners and closes the links to all others.
 func (s *server) connect(want map[uint64]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +95,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(redialInterval) // no descriptors, say: those that are there go on
+			time.Sleep(redialInterval) // for example no file descriptors: existing links are not affected
 			continue
 		}
 		s.mu.Lock()
@@ -112,7 +113,7 @@
 		l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := l.conn.Write(b); err != nil {
 			l.conn.Close()
-			for range l.sendQueue { // until it is closed
+			for range l.sendQueue { // drains the queue until it is closed
 			}
 			return
 		}
@@ -133,7 +134,7 @@
 		case f.Raft != nil:
 			s.planner.postFromPeer(handle)
 			continue
-		case f.Start != nil && s.planner.postFromPeer(handle), f.Start == nil && s.planner.post(handle): // without its start nothing would be heard on this link
+		case f.Start != nil && s.planner.postFromPeer(handle), f.Start == nil && s.planner.post(handle): // a link must not continue without its start record
 			continue
 		}
 		break
@@ -163,7 +164,7 @@
 	}
 }
 
-// heard takes a frame; it runs on the planner's goroutine.
+// handleFrame handles a received frame on the planner's goroutine.
 func (s *server) handleFrame(id rollout.Link, l *link, f *tier.Frame) {
 	p := s.planner
 	switch {
@@ -185,7 +186,7 @@
 	}
 }
 
-// send puts a frame on its way; a link that doesn't keep up is closed.
+// send queues a frame for a link. A link whose queue is full is closed.
 func (s *server) send(id rollout.Link, f *tier.Frame) {
 	b, err := tier.Append(nil, f)
 	if err != nil {
@@ -205,7 +206,7 @@
 	}
 }
 
-// dropProxies lets proxies look for who leads now.
+// dropProxies closes the links of all proxies, so that they look for the new leader.
 func (s *server) dropProxies() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/planner/store.go
+++ b/internal/planner/store.go
@@ -16,32 +16,32 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// store keeps the log on disk: one file of bbolt's, written in whole transactions, so that a torn last write is as if it had not been
-// begun. Each value bears a sum (xxhash), so that a disk that gives back other bits than it was given is noticed: a planner that can't read
-// what it has promised must not take part.
+// store keeps the log on disk in one bbolt file. It is written in transactions, so that a torn write has no effect. Each value has a
+// checksum (xxhash), so that corruption by the disk is detected: a planner that can't read what it has promised must not take part in the
+// consensus.
 type store struct {
 	db     *bolt.DB
-	memory *raft.MemoryStorage // the same, as the consensus reads it
-	diskID uint64              // drawn when the log was begun
+	memory *raft.MemoryStorage // the same data in memory, read by raft
+	diskID uint64              // random, chosen when the log was created
 }
 
 var (
-	logBucket  = []byte("log")  // entries by their index, 8 bytes big-endian
-	metaBucket = []byte("meta") // hard, snap
+	logBucket  = []byte("log")  // log entries; the key is the index, 8 bytes big-endian
+	metaBucket = []byte("meta") // values under the keys below
 	hardKey    = []byte("hard")
 	snapKey    = []byte("snap")
-	ownerKey   = []byte("who") // this planner's number, so that a disk isn't taken for another's
+	ownerKey   = []byte("who") // this planner's number, so that the log of another planner is not opened by mistake
 	diskKey    = []byte("disk")
-	disksKey   = []byte("disks/") // and a planner's number: its disk, as it said
+	disksKey   = []byte("disks/") // prefix of a planner's number; the value is the disk ID that it announced
 )
 
-// errDamaged tells of bits that are not those that were written.
+// errCorrupt is returned if a checksum doesn't match.
 var errCorrupt = errors.New("the disk gives back other bits than it was given")
 
-// openWait is how long another process may hold the file.
+// openTimeout bounds the wait for another process that has locked the file.
 const openTimeout = time.Second
 
-// openStore opens the log of a planner, or begins one. fresh tells that there was none.
+// openStore opens or creates the log of the planner that is named who. fresh is true if the log was created.
 func openStore(path, who string) (st *store, fresh bool, err error) {
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: openTimeout})
 	if err != nil {
@@ -60,8 +60,8 @@
 			if err := meta.Put(ownerKey, []byte(who)); err != nil {
 				return err
 			}
-		} else if own, _, _ := strings.Cut(string(was), " of "); own != who { // earlier versions kept all planners' numbers too
-			return fmt.Errorf("it is that of %s, and this is %s", own, who)
+		} else if own, _, _ := strings.Cut(string(was), " of "); own != who { // earlier versions stored the numbers of all planners too
+			return fmt.Errorf("it belongs to %s, and this is %s", own, who)
 		}
 		if b := meta.Get(diskKey); len(b) == 8 {
 			st.diskID = binary.BigEndian.Uint64(b)
@@ -80,7 +80,7 @@
 	return st, fresh, nil
 }
 
-// seal puts the sum before a value, open takes it off.
+// addChecksum returns a value with its checksum prepended.
 func addChecksum(b []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(b)), b...)
 }
@@ -126,7 +126,7 @@
 
 func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
-// save writes what the consensus wants kept, in one transaction, and returns when the disk has it.
+// save writes the state, entries and snapshot of a Ready in one transaction. It returns once they are on disk.
 func (s *store) save(ready *raft.Ready) error {
 	if raft.IsEmptyHardState(ready.HardState) && len(ready.Entries) == 0 && raft.IsEmptySnap(ready.Snapshot) {
 		return nil
@@ -148,7 +148,7 @@
 				return err
 			}
 		}
-		if len(ready.Entries) > 0 { // what stands behind the first of them is replaced
+		if len(ready.Entries) > 0 { // entries from the first new index on are replaced
 			c := log.Cursor()
 			for k, _ := c.Seek(indexKey(ready.Entries[0].GetIndex())); k != nil; k, _ = c.Next() {
 				if err := c.Delete(); err != nil {
@@ -180,7 +180,7 @@
 	return s.memory.Append(ready.Entries)
 }
 
-// begun tells whether the log holds anything.
+// hasSnapshot reports whether the log holds a snapshot, that is, anything at all.
 func (s *store) hasSnapshot() bool {
 	snap, err := s.memory.Snapshot()
 	return err == nil && !raft.IsEmptySnap(snap)
@@ -190,7 +190,7 @@
 	return binary.BigEndian.AppendUint64(slices.Clone(disksKey), planner)
 }
 
-// known gives the disk that another planner has said it has; 0 = it has never been heard of.
+// peerDisk returns the disk ID that another planner announced first; 0 = it has never announced one.
 func (s *store) peerDisk(planner uint64) (disk uint64, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
 		if b := tx.Bucket(metaBucket).Get(diskKeyOf(planner)); len(b) == 8 {
@@ -201,7 +201,7 @@
 	return disk, err
 }
 
-// knows notes the disk of another planner where none is noted, and gives the one that is.
+// recordPeerDisk records the disk ID of another planner unless one is recorded already. It returns the recorded one.
 func (s *store) recordPeerDisk(planner, disk uint64) (uint64, error) {
 	if was, err := s.peerDisk(planner); err != nil || was != 0 {
 		return was, err
@@ -221,7 +221,8 @@
 	return nil
 }
 
-// shorten keeps the state as of an index, and drops the entries up to it but for the last few, which others may still want.
+// compact stores the state as of an index as a snapshot and deletes the entries up to it, except the last keep ones, which followers may
+// still need.
 func (s *store) compact(index uint64, conf *pb.ConfState, state []byte, keep uint64) error {
 	snap, err := s.memory.CreateSnapshot(index, conf, state)
 	if err != nil {
--- a/internal/planner/store_test.go
+++ b/internal/planner/store_test.go
@@ -25,7 +25,7 @@
 	if err := s.save(&raft.Ready{HardState: &pb.HardState{Term: &term, Vote: &vote, Commit: &commit}, Entries: []*pb.Entry{entry(1, 2, "one"), entry(2, 2, "two"), entry(3, 2, "three")}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.save(&raft.Ready{Entries: []*pb.Entry{entry(2, 3, "another two")}}); err != nil { // replaces what stood behind it
+	if err := s.save(&raft.Ready{Entries: []*pb.Entry{entry(2, 3, "another two")}}); err != nil { // replaces all entries from index 2 on
 		t.Fatal(err)
 	}
 	s.close()
@@ -51,11 +51,11 @@
 		t.Fatal(err)
 	}
 	if first, _ := s.memory.FirstIndex(); first != 2 {
-		t.Errorf("the log begins with %d", first)
+		t.Errorf("the first index is %d", first)
 	}
 }
 
-// A vote that was forgotten, or an entry that reads otherwise, would break what was promised to others.
+// A flipped bit in an entry is detected: a planner with a corrupt vote or entry would break what it has promised to others.
 func TestStoreDetectsBitFlip(t *testing.T) {
 	path := writeTestLog(t)
 	text, err := os.ReadFile(path)
@@ -64,9 +64,9 @@
 	}
 	at := strings.Index(string(text), "another two")
 	if at < 0 {
-		t.Fatal("the entry isn't there")
+		t.Fatal("the entry is not in the file")
 	}
-	for at >= 0 { // bbolt may hold an earlier copy of a page too
+	for at >= 0 { // the file may also hold an earlier copy of the page
 		text[at] ^= 4
 		next := strings.Index(string(text[at+1:]), "another two")
 		if next < 0 {
@@ -82,7 +82,7 @@
 
 func TestStoreBelongsToOnePlanner(t *testing.T) {
 	path := writeTestLog(t)
-	if _, _, err := openStore(path, "planner 2"); err == nil || !strings.Contains(err.Error(), "it is that of planner 1") {
+	if _, _, err := openStore(path, "planner 2"); err == nil || !strings.Contains(err.Error(), "it belongs to planner 1") {
 		t.Errorf("%v", err)
 	}
 }
@@ -93,7 +93,7 @@
 	}
 	for _, bad := range []string{"", "a:1", "0=a:1", "1=a:1,1=b:1", "1="} {
 		if _, err := ParsePeers(bad); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,7 +1,7 @@
-// Package policy is what a whole tier of proxies is to do alike: the classes with their effects, limits and attempts, levels of reduced
-// service, what is held through a change of primary, and routing. A policy is one typed value with one canonical form (RFC 8949, 4.2.1: core
-// deterministic encoding of CBOR) and a hash. The package says what may change while a proxy runs, and how two policies differ. It is pure:
-// who puts a policy into effect is package run, by the ways that a reload takes.
+// Package policy defines the settings that all proxies of a tier share: the classes with their effects, limits and attempts, levels of
+// reduced service, which requests are held during a change of primary, and routing. A policy is one typed value with a canonical form
+// (RFC 8949, 4.2.1: core deterministic encoding of CBOR) and a hash. The package checks which changes are possible while a proxy runs, and
+// compares policies. It has no side effects: package run puts a policy into effect, in the same way as a reload.
 package policy
 
 import (
@@ -21,19 +21,19 @@
 	"havenproxy/logic"
 )
 
-// Policy is a tier's. Its classes are in their order in the configuration.
+// Policy is the policy of a tier. Its classes are in the order of the configuration.
 type Policy struct {
 	Classes     []logic.Class
 	MaxAttempts int
-	MayComeBack bool          // clients are told when to come back
-	MaxComeBack time.Duration // the longest hint
+	MayComeBack bool          // refusals tell clients when to retry
+	MaxComeBack time.Duration // the longest such hint
 
 	Levels   *levels.Config // of reduced service; nil = off
 	Handover handover.Config
 	Tuning   logic.Tuning
 }
 
-// MaxBytes bounds a policy's encoded form.
+// MaxBytes bounds the encoded form of a policy.
 const MaxBytes = 128 << 10
 
 var (
@@ -42,155 +42,156 @@
 		MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode()
 )
 
-// Encode gives the canonical form: equal policies have equal bytes.
+// Encode returns the canonical form: equal policies have equal bytes. It returns an error if the form is longer than MaxBytes.
 func (p *Policy) Encode() ([]byte, error) {
 	text, err := encoder.Marshal(p)
 	if err == nil && len(text) > MaxBytes {
-		err = fmt.Errorf("policy: %d bytes, %d at most were expected", len(text), MaxBytes)
+		err = fmt.Errorf("policy: %d bytes, at most %d are allowed", len(text), MaxBytes)
 	}
 	return text, err
 }
 
-// Decode reads a policy. A field that it doesn't know is an error: a policy that is understood in part must not be served under.
+// Decode decodes a policy. Unknown fields are an error, since a proxy must not serve under a policy that it understands only in part.
 func Decode(text []byte) (*Policy, error) {
 	if len(text) > MaxBytes {
-		return nil, fmt.Errorf("policy: %d bytes, %d at most were expected", len(text), MaxBytes)
+		return nil, fmt.Errorf("policy: %d bytes, at most %d are allowed", len(text), MaxBytes)
 	}
 	p := &Policy{}
 	if err := decoder.Unmarshal(text, p); err != nil {
-		return nil, fmt.Errorf("policy: not readable by this version: %w", err)
+		return nil, fmt.Errorf("policy: this version can't decode it: %w", err)
 	}
-	again, err := p.Encode()
-	if err == nil && !bytes.Equal(again, text) {
+	encoded, err := p.Encode()
+	if err == nil && !bytes.Equal(encoded, text) {
 		err = fmt.Errorf("policy: not in its canonical form")
 	}
 	return p, err
 }
 
-// Hash names a policy's text: 16 hexadecimal digits of its SHA-256.
+// Hash returns the first 16 hexadecimal digits of the SHA-256 of an encoded policy.
 func Hash(text []byte) string {
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:8])
 }
 
-// Diff tells line by line how two policies differ, "-" what was and "+" what comes; nil stands for none.
+// Diff returns the lines in which two policies differ, with "- " before a line of from and "+ " before a line of to. Either may be nil.
 func Diff(from, to *Policy) (lines []string) {
-	a, b := from.Lines(), to.Lines()
-	for _, l := range a {
-		if !slices.Contains(b, l) {
-			lines = append(lines, "- "+l)
+	before, after := from.Lines(), to.Lines()
+	for _, line := range before {
+		if !slices.Contains(after, line) {
+			lines = append(lines, "- "+line)
 		}
 	}
-	for _, l := range b {
-		if !slices.Contains(a, l) {
-			lines = append(lines, "+ "+l)
+	for _, line := range after {
+		if !slices.Contains(before, line) {
+			lines = append(lines, "+ "+line)
 		}
 	}
-	key := func(l string) string { return strings.SplitN(l[2:], " = ", 2)[0] }
+	key := func(line string) string { return strings.SplitN(line[2:], " = ", 2)[0] }
 	slices.SortStableFunc(lines, func(x, y string) int { return strings.Compare(key(x), key(y)) })
 	return lines
 }
 
-// Lines writes each setting that isn't at its zero as "path = value".
-func (p *Policy) Lines() (out []string) {
+// Lines returns each setting that isn't zero as "path = value", sorted.
+func (p *Policy) Lines() (lines []string) {
 	if p == nil {
 		return nil
 	}
-	var walk func(path string, v reflect.Value)
-	walk = func(path string, v reflect.Value) {
-		if v.IsZero() {
+	var appendLines func(path string, value reflect.Value)
+	appendLines = func(path string, value reflect.Value) {
+		if value.IsZero() {
 			return
 		}
-		if s, ok := v.Interface().(fmt.Stringer); ok {
-			out = append(out, path+" = "+s.String())
+		if stringer, ok := value.Interface().(fmt.Stringer); ok {
+			lines = append(lines, path+" = "+stringer.String())
 			return
 		}
-		switch v.Kind() {
+		switch value.Kind() {
 		case reflect.Pointer:
-			walk(path, v.Elem())
+			appendLines(path, value.Elem())
 		case reflect.Struct:
-			for i := range v.NumField() {
-				walk(path+"."+v.Type().Field(i).Name, v.Field(i))
+			for i := range value.NumField() {
+				appendLines(path+"."+value.Type().Field(i).Name, value.Field(i))
 			}
 		case reflect.Slice:
-			for i := range v.Len() {
-				e, name := v.Index(i), fmt.Sprint(i)
-				if e.Kind() == reflect.Struct {
-					if f := e.FieldByName("Name"); f.IsValid() {
-						name = f.String()
+			for i := range value.Len() {
+				element, name := value.Index(i), fmt.Sprint(i)
+				if element.Kind() == reflect.Struct {
+					if field := element.FieldByName("Name"); field.IsValid() {
+						name = field.String()
 					}
 				}
-				walk(path+"["+name+"]", e)
+				appendLines(path+"["+name+"]", element)
 			}
 		case reflect.Map:
-			for _, k := range v.MapKeys() {
-				walk(fmt.Sprintf("%s[%v]", path, k), v.MapIndex(k))
+			for _, key := range value.MapKeys() {
+				appendLines(fmt.Sprintf("%s[%v]", path, key), value.MapIndex(key))
 			}
 		default:
-			out = append(out, fmt.Sprintf("%s = %v", path, v))
+			lines = append(lines, fmt.Sprintf("%s = %v", path, value))
 		}
 	}
-	walk("", reflect.ValueOf(*p))
-	for i := range out {
-		out[i] = strings.TrimPrefix(out[i], ".")
+	appendLines("", reflect.ValueOf(*p))
+	for i := range lines {
+		lines[i] = strings.TrimPrefix(lines[i], ".")
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(lines)
+	return lines
 }
 
-// LocalState is what a proxy has, against which a policy is checked.
+// LocalState is the state of a proxy that a policy is checked against.
 type LocalState struct {
-	Classes []string            // of its configuration: clients ask for them
-	InUse   func(string) bool   // whether requests of a class are open, or came lately; nil = of none
-	Groups  func() map[int]bool // whose databases it knows; nil = not known
+	Classes []string            // classes of the configuration, which clients request
+	InUse   func(string) bool   // whether a class has open or recent requests; nil = no class has
+	Groups  func() map[int]bool // groups with known databases; nil = unknown
 }
 
-// Check tells why a proxy can't serve under a policy; nil = it can. What is open keeps the rules by which it was taken, so that most may
-// change live; what may not: a class that clients use here can't vanish, and a level can't be pinned for a group that isn't here.
-func (p *Policy) Check(r LocalState) error {
-	if err := p.check(); err != nil {
+// Check returns why a proxy can't serve under a policy; nil = it can. Most settings may change while requests are open, since each request
+// keeps the rules under which it was admitted. Exceptions: a class that clients use can't be removed, and a level can't be pinned or capped
+// for a group without databases.
+func (p *Policy) Check(local LocalState) error {
+	if err := p.checkValues(); err != nil {
 		return err
 	}
 	names := map[string]bool{}
-	for _, c := range p.Classes {
-		names[c.Name] = true
+	for _, class := range p.Classes {
+		names[class.Name] = true
 	}
-	for _, c := range r.Classes {
-		if !names[c] && r.InUse != nil && r.InUse(c) {
-			return fmt.Errorf("class %s is in use and not in the policy", c)
+	for _, class := range local.Classes {
+		if !names[class] && local.InUse != nil && local.InUse(class) {
+			return fmt.Errorf("class %s is in use and not in the policy", class)
 		}
 	}
-	if r.Groups == nil || p.Levels == nil {
+	if local.Groups == nil || p.Levels == nil {
 		return nil
 	}
-	groups := r.Groups()
-	for _, held := range []map[logic.GroupID]string{p.Levels.Pin, p.Levels.Cap} {
-		for g, level := range held {
-			if g != levels.AllGroups && len(groups) > 0 && !groups[int(g)] {
-				return fmt.Errorf("level %s is held for group %d, which has no databases here", level, g)
+	groups := local.Groups()
+	for _, levelsByGroup := range []map[logic.GroupID]string{p.Levels.Pin, p.Levels.Cap} {
+		for group, level := range levelsByGroup {
+			if group != levels.AllGroups && len(groups) > 0 && !groups[int(group)] {
+				return fmt.Errorf("level %s is set for group %d, which has no databases here", level, group)
 			}
 		}
 	}
 	return nil
 }
 
-// check tells what makes no sense by itself.
-func (p *Policy) check() error {
-	seen := map[string]bool{}
-	for _, c := range p.Classes {
+// checkValues returns an error if the policy is invalid regardless of the proxy.
+func (p *Policy) checkValues() error {
+	names := map[string]bool{}
+	for _, class := range p.Classes {
 		switch {
-		case c.Name == "" || seen[c.Name]:
-			return fmt.Errorf("class %q is there twice, or has no name", c.Name)
-		case c.Aim <= 0 || c.Limit < c.Aim:
-			return fmt.Errorf("class %s: an aim of %v and a limit of %v", c.Name, c.Aim, c.Limit)
+		case class.Name == "" || names[class.Name]:
+			return fmt.Errorf("class %q is a duplicate or has no name", class.Name)
+		case class.Aim <= 0 || class.Limit < class.Aim:
+			return fmt.Errorf("class %s: aim %v must be above 0 and at most the limit, which is %v", class.Name, class.Aim, class.Limit)
 		}
-		seen[c.Name] = true
+		names[class.Name] = true
 	}
 	switch {
 	case len(p.Classes) == 0:
-		return fmt.Errorf("a policy without classes")
+		return fmt.Errorf("the policy has no classes")
 	case p.MaxAttempts < 1:
-		return fmt.Errorf("%d attempts a request, 1 at least was expected", p.MaxAttempts)
+		return fmt.Errorf("max_attempts is %d, must be at least 1", p.MaxAttempts)
 	}
 	return nil
 }
