--- a/logic/api.go
+++ b/logic/api.go
@@ -160,7 +160,7 @@
 		t.PingWindow = 15 * time.Millisecond
 	}
 	if t.FirstLimit == 0 {
-		t.FirstLimit = limit.First
+		t.FirstLimit = limit.DefaultInitialLimit
 	}
 	return t
 }
@@ -279,7 +279,7 @@
 	ProbeDone(now time.Duration, p ProbeResult)
 	Timer(now time.Duration, id TimerID)
 	// ConnectionEvidence tells what became of a connection from before a silence, up since opened.
-	ConnectionEvidence(now time.Duration, id MemberID, what handover.Testimony, opened time.Duration)
+	ConnectionEvidence(now time.Duration, id MemberID, what handover.ConnectionEvidence, opened time.Duration)
 	PeerFacts(now time.Duration, facts []peers.Report) // what a peer tells; valid during the call only
 	Abandoned(now time.Duration, id RequestID)         // the client left; nothing more is owed
 }
--- a/logic/facts.go
+++ b/logic/facts.go
@@ -63,7 +63,7 @@
 
 // warmth is the part of its usual work that a member can be taken to do: less while it is cold, or as far as it may be.
 func (r *Router) warmth(now time.Duration, m *member) float64 {
-	from, sure := m.seat.Cold(now, r.cfg.ColdPeriod)
+	from, sure := m.seat.ColdSince(now, r.cfg.ColdPeriod)
 	if sure == 0 {
 		return 1
 	}
@@ -82,12 +82,12 @@
 }
 
 // Handovers gives the groups' places with their primaries, and the last switches that have ended, the newest first.
-func (r *Router) Handovers(now time.Duration) (groups map[GroupID]handover.Status, ended []handover.Switch) {
+func (r *Router) Handovers(now time.Duration) (groups map[GroupID]handover.Status, ended []handover.Failover) {
 	groups = map[GroupID]handover.Status{}
 	for _, id := range r.listed {
 		groups[id] = r.groups[id].lead.Status(now)
 	}
-	return groups, r.lead.Ended()
+	return groups, r.lead.RecentFailovers()
 }
 
 // SetHandoverConfig puts other settings for switches into force.
@@ -134,7 +134,7 @@
 	if m == nil {
 		return MemberStats{}, false
 	}
-	return MemberStats{Group: m.Group, Role: m.role(), Silent: m.seat.Silent, Failing: r.failures.More(&m.bench), Cold: r.warmth(now, m) < 1,
-		RestartDoubt: m.seat.Doubt(),
-		InFlight:     len(m.out), Limit: m.Most, LatencyRatio: m.Strain, Ping: m.ping, Position: m.position}, true
+	return MemberStats{Group: m.Group, Role: m.role(), Silent: m.seat.Silent, Failing: r.failures.IsOutlier(&m.bench), Cold: r.warmth(now, m) < 1,
+		RestartDoubt: m.seat.RestartProbability(),
+		InFlight:     len(m.out), Limit: m.MaxInFlight, LatencyRatio: m.Strain, Ping: m.ping, Position: m.position}, true
 }
