--- a/internal/membership/catalogue.go
+++ b/internal/membership/catalogue.go
@@ -43,13 +43,13 @@
 
 // DropCatalogue removes a catalogue that has been replaced by another. Its members are treated as no longer listed.
 func (m *Members) DropCatalogue(now time.Duration, name string) {
-	i := m.catalogueIndex(name)
-	if i < 0 || m.catalogues[i].dropped {
+	index := m.catalogueIndex(name)
+	if index < 0 || m.catalogues[index].dropped {
 		return
 	}
-	m.catalogues[i].dropped, m.catalogues[i].listed, m.catalogues[i].hasAnswered = true, 0, false
+	m.catalogues[index].dropped, m.catalogues[index].listed, m.catalogues[index].hasAnswered = true, 0, false
 	for _, member := range m.ordered {
-		if report := member.report(i); report.listed {
+		if report := member.report(index); report.listed {
 			report.listed, report.delistedAt = false, now
 			member.enqueue()
 		}
@@ -58,10 +58,10 @@
 }
 
 // CatalogueFailed records that a query of a catalogue failed. Its last listings remain valid and lose weight with time.
-func (m *Members) CatalogueFailed(now time.Duration, name string, why string) {
-	if i := m.catalogueIndex(name); i >= 0 {
-		m.catalogues[i].failures++
-		m.catalogues[i].lastError = why
+func (m *Members) CatalogueFailed(now time.Duration, name string, reason string) {
+	if index := m.catalogueIndex(name); index >= 0 {
+		m.catalogues[index].failures++
+		m.catalogues[index].lastError = reason
 	}
 	m.processQueue(now)
 }
@@ -69,45 +69,45 @@
 // memberSet is a set of members.
 type memberSet map[*Member]struct{}
 
-func (s memberSet) has(h *Member) bool {
-	_, ok := s[h]
+func (set memberSet) has(member *Member) bool {
+	_, ok := set[member]
 	return ok
 }
 
 // Update handles a catalogue's answer.
 func (m *Members) Update(now time.Duration, name string, update Update) {
-	i := m.catalogueIndex(name)
-	if i < 0 || m.catalogues[i].dropped {
+	index := m.catalogueIndex(name)
+	if index < 0 || m.catalogues[index].dropped {
 		return
 	}
-	catalogue := m.catalogues[i]
+	catalogue := m.catalogues[index]
 	if update.NoLeader && !catalogue.trust.Authoritative {
-		m.updateWithoutLeader(now, i, update)
+		m.updateWithoutLeader(now, index, update)
 		m.processQueue(now)
 		return
 	}
 	catalogue.hasAnswered, catalogue.lastContact, catalogue.index, catalogue.lag, catalogue.failures = true, now, update.Index, update.Lag, 0
 	catalogue.skipped += update.Skipped
-	listed := m.receiveListings(now, i, update.Listings)
+	listed := m.receiveListings(now, index, update.Listings)
 	if update.Complete {
-		m.delistMissing(now, i, listed)
+		m.delistMissing(now, index, listed)
 	}
 	catalogue.listed = 0
 	for _, member := range m.ordered {
-		if member.report(i).listed {
+		if member.report(index).listed {
 			catalogue.listed++
 		}
 	}
 	if catalogue.doubtedSince > 0 && float64(catalogue.listed) >= (1-m.config.PanicFraction/2)*float64(catalogue.listedBeforeDoubt) {
-		m.endDoubt(now, i)
+		m.endDoubt(now, index)
 	}
 	m.processQueue(now)
 }
 
 // updateWithoutLeader handles an answer of a catalogue that has no leader. It may be out of date, so only drains and maintenance of known
 // members are accepted.
-func (m *Members) updateWithoutLeader(now time.Duration, i int, update Update) {
-	catalogue := m.catalogues[i]
+func (m *Members) updateWithoutLeader(now time.Duration, index int, update Update) {
+	catalogue := m.catalogues[index]
 	catalogue.failures++
 	catalogue.lastError = "the catalogue has no leader"
 	for _, listing := range update.Listings {
@@ -115,20 +115,20 @@
 			continue
 		}
 		if member := m.byID[listing.ID]; member != nil && member.Address == listing.Address {
-			member.receive(now, i, listing)
+			member.receive(now, index, listing)
 		}
 	}
 }
 
 // receiveListings applies a catalogue's listings and returns the members that it lists.
-func (m *Members) receiveListings(now time.Duration, i int, facts []Listing) memberSet {
-	catalogue := m.catalogues[i]
-	seen := memberSet{}
-	for _, listing := range facts {
+func (m *Members) receiveListings(now time.Duration, index int, listings []Listing) memberSet {
+	catalogue := m.catalogues[index]
+	listed := memberSet{}
+	for _, listing := range listings {
 		if listing.Health == Terminated {
 			if member := m.byID[listing.ID]; member != nil {
-				member.delist(now, i)
-				member.report(i).Health = Terminated
+				member.delist(now, index)
+				member.report(index).Health = Terminated
 			}
 			continue
 		}
@@ -136,24 +136,24 @@
 			catalogue.skipped++ // a host name, which is not resolved
 			continue
 		}
-		member := m.findOrAdd(now, i, listing)
-		if member == nil || seen.has(member) { // a duplicate address or ID: the first listing is used
+		member := m.findOrAdd(now, index, listing)
+		if member == nil || listed.has(member) { // a duplicate address or ID: the first listing is used
 			catalogue.skipped++
 			continue
 		}
-		seen[member] = struct{}{}
-		member.receive(now, i, listing)
+		listed[member] = struct{}{}
+		member.receive(now, index, listing)
 	}
-	return seen
+	return listed
 }
 
 // delistMissing delists the members that a complete list lacks. If too many are missing at once, the catalogue is doubted; that is decided
 // before any of them is delisted, so that none is removed on account of a doubted list.
-func (m *Members) delistMissing(now time.Duration, i int, seen memberSet) {
-	catalogue := m.catalogues[i]
+func (m *Members) delistMissing(now time.Duration, index int, listed memberSet) {
+	catalogue := m.catalogues[index]
 	var missing []*Member
 	for _, member := range m.ordered {
-		if member.report(i).listed && !seen.has(member) {
+		if member.report(index).listed && !listed.has(member) {
 			missing = append(missing, member)
 		}
 	}
@@ -163,15 +163,15 @@
 		catalogue.doubtCount++
 	}
 	for _, member := range missing {
-		member.delist(now, i)
+		member.delist(now, index)
 	}
 }
 
 // endDoubt ends the doubt in a catalogue. The members that it doesn't list count as delisted from now on.
-func (m *Members) endDoubt(now time.Duration, i int) {
-	m.catalogues[i].doubtedSince = 0
+func (m *Members) endDoubt(now time.Duration, index int) {
+	m.catalogues[index].doubtedSince = 0
 	for _, member := range m.ordered {
-		if report := member.report(i); !report.listed && report.delistedAt > 0 {
+		if report := member.report(index); !report.listed && report.delistedAt > 0 {
 			report.delistedAt = now
 			member.enqueue()
 		}
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -8,7 +8,7 @@
 // findOrAdd returns the member that a listing is about, and adds it if there is none; nil if the listing conflicts with another. A known
 // ID identifies the member even if its address has changed. A new ID at a known address is taken for the same process if one of its
 // connections goes on answering; for RenameTimeout the member stays in use as before.
-func (m *Members) findOrAdd(now time.Duration, i int, listing Listing) *Member {
+func (m *Members) findOrAdd(now time.Duration, index int, listing Listing) *Member {
 	if member := m.byID[listing.ID]; member != nil {
 		if member.Address != listing.Address {
 			if other := m.byAddress[listing.Address]; other != nil && other != member && other.Entry.State != StateRemoved {
@@ -16,7 +16,7 @@
 			}
 			delete(m.byAddress, member.Address)
 			m.byAddress[listing.Address] = member
-			if report := member.report(i); report.listed && (listing.Started == 0 || listing.Started != report.Started) { // a process can't move: this is a new one with a cold cache
+			if report := member.report(index); report.listed && (listing.Started == 0 || listing.Started != report.Started) { // a process can't move: this is a new one with a cold cache
 				member.markStarted(now)
 			}
 		}
@@ -25,16 +25,16 @@
 	if member := m.byAddress[listing.Address]; member != nil {
 		listed := false // by this catalogue, under another ID
 		for j := range member.reports {
-			listed = listed || j == i && member.reports[j].listed && member.reports[j].ID != listing.ID && !m.catalogues[i].trust.Authoritative
+			listed = listed || j == index && member.reports[j].listed && member.reports[j].ID != listing.ID && !m.catalogues[index].trust.Authoritative
 		}
 		switch {
 		case member.Entry.State == StateRemoved && !member.isInView():
 			m.forget(member)
-		case m.catalogues[i].trust.Authoritative: // its IDs are never taken for renamed ones
+		case m.catalogues[index].trust.Authoritative: // its IDs are never taken for renamed ones
 			break
 		case listed && member.renamedAt > 0 && member.newID != listing.ID:
 			return nil
-		case i != member.firstCatalogue(): // another catalogue may use another ID for the member
+		case index != member.firstCatalogue(): // another catalogue may use another ID for the member
 			m.byID[listing.ID] = member
 			member.ids = append(member.ids, listing.ID)
 			return member
--- a/internal/membership/report.go
+++ b/internal/membership/report.go
@@ -17,19 +17,19 @@
 }
 
 // report returns the member's report of the catalogue with index i.
-func (member *Member) report(i int) *report {
-	for len(member.reports) <= i {
+func (member *Member) report(index int) *report {
+	for len(member.reports) <= index {
 		member.reports = append(member.reports, report{})
 	}
-	return &member.reports[i]
+	return &member.reports[index]
 }
 
 // admits reports whether a member with this health may be in use.
 func (h Health) admits() bool { return h == Passing || h == Warning }
 
 // receive applies a listing of the catalogue with index i.
-func (member *Member) receive(now time.Duration, i int, listing Listing) {
-	report := member.report(i)
+func (member *Member) receive(now time.Duration, index int, listing Listing) {
+	report := member.report(index)
 	if !report.listed && report.delistedAt > 0 || report.listed && report.Health.admits() != listing.Health.admits() && listing.Health < Draining && report.Health < Draining {
 		member.addPenalty(now, report)
 	}
@@ -44,8 +44,8 @@
 }
 
 // delist records that the catalogue with index i no longer lists the member.
-func (member *Member) delist(now time.Duration, i int) {
-	report := member.report(i)
+func (member *Member) delist(now time.Duration, index int) {
+	report := member.report(index)
 	if report.listed {
 		report.listed, report.delistedAt, report.unchangedSince = false, now, now
 		member.addPenalty(now, report)
--- a/internal/planner/client/client.go
+++ b/internal/planner/client/client.go
@@ -28,30 +28,30 @@
 // errNoAnswer is returned if no planner could be reached.
 var errNoAnswer = errors.New("no planner answers")
 
-// query sends a request to one planner and returns its answer.
-func (c *Client) query(ctx context.Context, address string, ask tier.Ask, timeout time.Duration) (*tier.Answer, error) {
+// query sends a request to one planner and returns its answer. It fails after the timeout.
+func (c *Client) query(ctx context.Context, address string, operation tier.Ask, timeout time.Duration) (*tier.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var d net.Dialer
-	conn, err := d.DialContext(ctx, "tcp", address)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	defer conn.Close()
 	deadline, _ := ctx.Deadline()
 	conn.SetDeadline(deadline)
-	frame, err := tier.Append(nil, &tier.Frame{Ask: &ask})
+	request, err := tier.Append(nil, &tier.Frame{Ask: &operation})
 	if err == nil {
-		_, err = conn.Write(frame)
+		_, err = conn.Write(request)
 	}
 	if err != nil {
 		return nil, err
 	}
-	answer, err := tier.Read(bufio.NewReader(conn))
-	if err == nil && answer.Answer == nil {
+	response, err := tier.Read(bufio.NewReader(conn))
+	if err == nil && response.Answer == nil {
 		err = fmt.Errorf("%s sent a frame that is not an answer", address)
 	}
-	return answer.Answer, err
+	return response.Answer, err
 }
 
 // Status returns the tier's status with the text of the given policy. The leading planner's answer is preferred, since it knows more than
--- a/internal/planner/config.go
+++ b/internal/planner/config.go
@@ -18,13 +18,13 @@
 }
 
 // ParsePeers parses a list of planners such as "1=ADDRESS,2=ADDRESS". The result maps numbers to addresses.
-func ParsePeers(text string) (map[uint64]string, error) {
+func ParsePeers(list string) (map[uint64]string, error) {
 	peers := map[uint64]string{}
-	for _, item := range strings.Split(text, ",") {
+	for _, item := range strings.Split(list, ",") {
 		var id uint64
 		number, address, ok := strings.Cut(strings.TrimSpace(item), "=")
 		if _, err := fmt.Sscanf(number, "%d", &id); !ok || err != nil || id == 0 || address == "" || peers[id] != "" {
-			return nil, fmt.Errorf("%q: planners as 1=ADDRESS,2=ADDRESS,3=ADDRESS were expected", text)
+			return nil, fmt.Errorf("%q: planners as 1=ADDRESS,2=ADDRESS,3=ADDRESS were expected", list)
 		}
 		peers[id] = address
 	}
--- a/internal/planner/operator.go
+++ b/internal/planner/operator.go
@@ -12,6 +12,7 @@
 
 // This file handles operators' requests.
 
+// pendingProposal is a proposal whose answer is sent once it is in the log.
 type pendingProposal struct {
 	nonce    uint64
 	link     rollout.Link
@@ -64,6 +65,7 @@
 	}
 }
 
+// undecidedError is the answer to a proposal while the change with that number is undecided.
 type undecidedError rollout.Number
 
 func (e undecidedError) Error() string {
--- a/internal/planner/peer_links.go
+++ b/internal/planner/peer_links.go
@@ -25,11 +25,11 @@
 
 // sendToPeer queues a raft message to another planner. If the queue is full the message is dropped, which raft tolerates.
 func (s *server) sendToPeer(m *pb.Message) {
-	text, err := proto.Marshal(m)
+	data, err := proto.Marshal(m)
 	if err != nil {
 		return
 	}
-	b, err := tier.Append(nil, &tier.Frame{Raft: text})
+	frame, err := tier.Append(nil, &tier.Frame{Raft: data})
 	if err != nil {
 		slog.Error("a message to a planner is too long", "to", m.GetTo(), "error", err)
 		return
@@ -38,7 +38,7 @@
 	defer s.mu.Unlock()
 	if queue := s.peers[m.GetTo()]; queue != nil {
 		select {
-		case queue.messages <- b:
+		case queue.messages <- frame:
 			return
 		default:
 		}
@@ -66,12 +66,12 @@
 	for {
 		var message []byte
 		select {
-		case b, ok := <-queue.messages:
+		case next, ok := <-queue.messages:
 			if !ok {
 				link.close()
 				return
 			}
-			message = b
+			message = next
 		case <-link.closed:
 			link, failed = peerConn{}, time.Now()
 			continue
@@ -136,9 +136,9 @@
 }
 
 // receiveRaft handles a raft message of another planner. It is accepted only if the sender's start record was verified on this link.
-func (s *server) receiveRaft(id rollout.Link, l *link, text []byte) {
-	p, m := s.planner, &pb.Message{}
-	if proto.Unmarshal(text, m) != nil || l.peerID == 0 || m.GetFrom() != l.peerID {
+func (s *server) receiveRaft(id rollout.Link, l *link, data []byte) {
+	p, message := s.planner, &pb.Message{}
+	if proto.Unmarshal(data, message) != nil || l.peerID == 0 || message.GetFrom() != l.peerID {
 		return
 	}
 	member := len(p.confState.GetVoters()) == 0 || slices.Contains(p.confState.GetVoters(), l.peerID) || slices.Contains(p.confState.GetVotersOutgoing(), l.peerID)
@@ -147,13 +147,13 @@
 			s.reject(id, l.peerID, fmt.Sprintf("planner %d has been replaced: stop it for good", l.peerID))
 			return
 		}
-		if m.GetType() == pb.MessageType_MsgVote || m.GetType() == pb.MessageType_MsgPreVote {
+		if message.GetType() == pb.MessageType_MsgVote || message.GetType() == pb.MessageType_MsgPreVote {
 			return
 		}
 	}
 	p.peer(l.peerID).lastMessage = p.now()
-	p.recordPromise(m)
-	p.node.Step(m)
+	p.recordPromise(message)
+	p.node.Step(message)
 }
 
 // receiveStart verifies the start record with which a link of another planner begins.
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -32,7 +32,7 @@
 	maxQueuedEvents  = 4096                             // events in the queue; beyond it, senders wait in their own sockets
 	maxEventBatch    = 256                              // events that are handled before messages of other planners are handled again
 	snapshotInterval = 2000                             // log entries
-	retainedEntries  = 500
+	retainedEntries  = 500                              // log entries that are kept before a snapshot, for followers that lag
 )
 
 // Planner is one planner of a tier.
@@ -113,8 +113,8 @@
 		return nil, err
 	}
 	p.processID = rand.Uint64() | 1 // never 0
-	now := p.startRecord()
-	p.initialTerm, p.initialLastIndex = now.Term, now.Last
+	start := p.startRecord()
+	p.initialTerm, p.initialLastIndex = start.Term, start.Last
 	if p.server, err = newServer(p, cfg.Listen); err != nil {
 		store.close()
 		return nil, err
@@ -131,6 +131,7 @@
 	ErrRejected = errors.New("the other planners reject this one's messages")
 )
 
+// restore replaces the state by that of a snapshot.
 func (p *Planner) restore(snap *pb.Snapshot) (err error) {
 	if p.state, err = tier.DecodeState(snap.GetData()); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
@@ -260,9 +261,9 @@
 	for i := range ready.Commands {
 		command := &ready.Commands[i]
 		command.Time = p.unixMillis()
-		text, err := tier.EncodeCommand(command)
+		data, err := tier.EncodeCommand(command)
 		if err == nil {
-			err = p.node.Propose(text)
+			err = p.node.Propose(data)
 		}
 		if err != nil {
 			slog.Warn("a command can't be written to the log", "error", err)
@@ -285,12 +286,12 @@
 		}
 	}
 	if err := p.store.save(&ready); err != nil {
-		// Nothing of this has been acknowledged to other planners yet. Going on without it could break what they are told later.
+		// None of this has been acknowledged to other planners yet. A planner that went on without it would break its promises.
 		p.err = fmt.Errorf("the log can't be written, so this planner ends: %w", err)
 		return
 	}
-	for _, m := range ready.Messages {
-		p.server.sendToPeer(m)
+	for _, message := range ready.Messages {
+		p.server.sendToPeer(message)
 	}
 	if ready.SoftState != nil {
 		p.handleSoftState(ready.SoftState)
@@ -326,12 +327,13 @@
 		return
 	}
 	if p.leader != nil {
-		slog.Info("this planner no longer leads", "leader", state.Lead)
+		slog.Info("this planner leads no more", "leader", state.Lead)
 		p.leader, p.healthRelay = nil, nil
 		p.server.dropProxies()
 	}
 }
 
+// apply applies a committed entry of the log.
 func (p *Planner) apply(entry *pb.Entry) {
 	p.appliedIndex = entry.GetIndex()
 	switch entry.GetType() {
@@ -377,10 +379,11 @@
 	p.server.answerProposals(command, err)
 }
 
+// compactLog takes a snapshot of the state and deletes the log entries that it makes obsolete.
 func (p *Planner) compactLog() {
-	text, err := tier.EncodeState(p.state)
+	state, err := tier.EncodeState(p.state)
 	if err == nil {
-		err = p.store.compact(p.appliedIndex, p.confState, text, retainedEntries)
+		err = p.store.compact(p.appliedIndex, p.confState, state, retainedEntries)
 	}
 	if err != nil {
 		p.err = fmt.Errorf("the log can't be compacted, so this planner ends: %w", err)
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -178,12 +178,12 @@
 			t.Fatal(err)
 		}
 		(<-p.events)()
-		f, err := tier.Read(answers)
-		if err != nil || f.Answer == nil {
-			t.Fatalf("%+v, %v", f, err)
+		frame, err := tier.Read(answers)
+		if err != nil || frame.Answer == nil {
+			t.Fatalf("%+v, %v", frame, err)
 		}
-		if !slices.Equal(f.Answer.Planners, test.want) {
-			t.Errorf("voters %v, leaving %v: status has %v, want %v", test.voters, test.leaving, f.Answer.Planners, test.want)
+		if !slices.Equal(frame.Answer.Planners, test.want) {
+			t.Errorf("voters %v, leaving %v: status has %v, want %v", test.voters, test.leaving, frame.Answer.Planners, test.want)
 		}
 	}
 }
@@ -217,9 +217,9 @@
 func TestLinksBeginWithStartRecord(t *testing.T) {
 	p, nextLink := openPlannerWithPeer(t)
 	first := nextLink()
-	f, err := tier.Read(bufio.NewReader(first))
-	if err != nil || f.Start == nil || f.Start.Planner != 1 || f.Start.Process != p.processID || p.processID == 0 {
-		t.Errorf("%+v, %v, want the start record of process %d", f.Start, err, p.processID)
+	frame, err := tier.Read(bufio.NewReader(first))
+	if err != nil || frame.Start == nil || frame.Start.Planner != 1 || frame.Start.Process != p.processID || p.processID == 0 {
+		t.Errorf("%+v, %v, want the start record of process %d", frame.Start, err, p.processID)
 	}
 	index, term := uint64(2), uint64(1)
 	if err := p.store.save(&raft.Ready{Entries: []*pb.Entry{{Index: &index, Term: &term}}}); err != nil {
@@ -228,9 +228,9 @@
 	first.Close()
 	second := nextLink()
 	defer second.Close()
-	f, err = tier.Read(bufio.NewReader(second))
-	if err != nil || f.Start == nil || f.Start.BeganLast != 1 || f.Start.Last != 2 || f.Start.Process != p.processID {
-		t.Errorf("%+v, %v, want entry 1 at the start of process %d and entry 2 now", f.Start, err, p.processID)
+	frame, err = tier.Read(bufio.NewReader(second))
+	if err != nil || frame.Start == nil || frame.Start.BeganLast != 1 || frame.Start.Last != 2 || frame.Start.Process != p.processID {
+		t.Errorf("%+v, %v, want entry 1 at the start of process %d and entry 2 now", frame.Start, err, p.processID)
 	}
 }
 
@@ -252,19 +252,19 @@
 // behind it.
 func TestFullEventQueueBlocksLinks(t *testing.T) {
 	p := openPlanner(t)
-	send := func(f *tier.Frame, times int) net.Conn {
+	send := func(frame *tier.Frame, times int) net.Conn {
 		conn, err := net.Dial("tcp", p.Address())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		b, err := tier.Append(nil, f)
+		data, err := tier.Append(nil, frame)
 		if err != nil {
 			t.Fatal(err)
 		}
 		go func() {
 			for range times {
-				if _, err := conn.Write(b); err != nil {
+				if _, err := conn.Write(data); err != nil {
 					return
 				}
 			}
--- a/internal/planner/promises.go
+++ b/internal/planner/promises.go
@@ -26,7 +26,7 @@
 // a link of that process reached this planner. It can't have acknowledged anything to this planner in the meantime, since messages of an
 // unverified process are not accepted.
 func (p *Planner) verifyStart(start *tier.Start) (reason string, err error) {
-	known, err := p.store.recordPeerDisk(start.Planner, start.Disk)
+	diskID, err := p.store.recordPeerDisk(start.Planner, start.Disk)
 	if err != nil {
 		return "", err
 	}
@@ -36,10 +36,10 @@
 		term, last = start.BeganTerm, start.BeganLast
 	}
 	switch {
-	case known != start.Disk:
+	case diskID != start.Disk:
 		return fmt.Sprintf("planner %d has begun its log anew: what it had promised is lost. Put a new one in its place: havenproxy policy replace", start.Planner), nil
 	case term < peer.lastTerm, term == peer.ackedTerm && last < peer.ackedIndex:
-		return fmt.Sprintf("planner %d has an older copy of its log: term %d and entry %d, and it had said %d and %d. Put a new one in its place: havenproxy policy replace",
+		return fmt.Sprintf("planner %d has an older copy of its log: term %d and entry %d, and it had acknowledged %d and %d. Put a new one in its place: havenproxy policy replace",
 			start.Planner, term, last, max(peer.lastTerm, peer.ackedTerm), peer.ackedIndex), nil
 	}
 	peer.verifiedProcess = start.Process
@@ -55,22 +55,22 @@
 
 // recordPromise records what another planner has promised by a message. All messages except those of a pre-vote are sent only after their
 // promise is on disk.
-func (p *Planner) recordPromise(m *pb.Message) {
-	peer := p.peer(m.GetFrom())
-	switch m.GetType() {
+func (p *Planner) recordPromise(message *pb.Message) {
+	peer := p.peer(message.GetFrom())
+	switch message.GetType() {
 	case pb.MessageType_MsgPreVote, pb.MessageType_MsgPreVoteResp:
 		return
 	case pb.MessageType_MsgAppResp:
-		if term := m.GetTerm(); !m.GetReject() {
+		if term := message.GetTerm(); !message.GetReject() {
 			if term > peer.ackedTerm {
 				peer.ackedTerm, peer.ackedIndex = term, 0
 			}
 			if term == peer.ackedTerm {
-				peer.ackedIndex = max(peer.ackedIndex, m.GetIndex())
+				peer.ackedIndex = max(peer.ackedIndex, message.GetIndex())
 			}
 		}
 	}
-	peer.lastTerm = max(peer.lastTerm, m.GetTerm())
+	peer.lastTerm = max(peer.lastTerm, message.GetTerm())
 }
 
 // startRecord returns a description of what this planner's disk holds.
--- a/internal/planner/replace.go
+++ b/internal/planner/replace.go
@@ -32,16 +32,16 @@
 	case !slices.Contains(voters, oldID):
 		return fmt.Errorf("planner %d is not one of the tier's planners, which are %d", oldID, voters)
 	case newID == 0 || slices.Contains(voters, newID) || p.state.Planners[newID] != "" || disk != 0:
-		return fmt.Errorf("planner %d is or was one of the tier's: a new one needs a number of its own, since the others remember what the old one acknowledged", newID)
+		return fmt.Errorf("planner %d is or was one of the tier's: a new one needs a number of its own, since the others remember what the planner of that number acknowledged", newID)
 	case oldID == p.config.ID:
-		return fmt.Errorf("planner %d leads: stop it first, or ask again once another leads", oldID)
+		return fmt.Errorf("planner %d leads: stop it first, or retry once another leads", oldID)
 	}
 	live := p.countLive(voters, oldID)
-	if n := len(voters)/2 + 1; live < n {
-		return fmt.Errorf("besides planner %d only %d of %d are alive, and %d are needed", oldID, live, len(voters), n)
+	if needed := len(voters)/2 + 1; live < needed {
+		return fmt.Errorf("besides planner %d only %d of %d are alive, and %d are needed", oldID, live, len(voters), needed)
 	}
-	single := func(t pb.ConfChangeType, newID uint64) *pb.ConfChangeSingle {
-		return &pb.ConfChangeSingle{Type: &t, NodeId: &newID}
+	single := func(t pb.ConfChangeType, id uint64) *pb.ConfChangeSingle {
+		return &pb.ConfChangeSingle{Type: &t, NodeId: &id}
 	}
 	return p.node.ProposeConfChange(&pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{single(pb.ConfChangeType_ConfChangeAddNode, newID),
 		single(pb.ConfChangeType_ConfChangeRemoveNode, oldID)}, Context: []byte(address)})
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -31,11 +31,12 @@
 	peers          map[uint64]*peerQueue // the other planners
 	links          map[rollout.Link]*link
 	lastLink       rollout.Link
-	badFrameLogged map[string]time.Time
+	badFrameLogged map[string]time.Time // time of the last log line about unreadable frames, by remote host
 
 	proposals []pendingProposal // proposals that are not in the log yet; used by the planner's goroutine only
 }
 
+// link is a connection that a proxy, an operator or another planner has opened.
 type link struct {
 	conn      net.Conn
 	sendQueue chan []byte
@@ -46,6 +47,7 @@
 
 func (l *link) close() { l.closeOnce.Do(func() { l.conn.Close(); close(l.sendQueue) }) }
 
+// newServer listens on an address and accepts links.
 func newServer(p *Planner, address string) (*server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -109,9 +111,9 @@
 }
 
 func (s *server) write(l *link) {
-	for b := range l.sendQueue {
+	for frame := range l.sendQueue {
 		l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := l.conn.Write(b); err != nil {
+		if _, err := l.conn.Write(frame); err != nil {
 			l.conn.Close()
 			for range l.sendQueue { // drains the queue until it is closed
 			}
@@ -124,17 +126,17 @@
 	r := bufio.NewReader(l.conn)
 	for {
 		l.conn.SetReadDeadline(time.Now().Add(readTimeout))
-		f, err := tier.Read(r)
+		frame, err := tier.Read(r)
 		if err != nil {
 			s.logBadFrame(l, err)
 			break
 		}
-		handle := func() { s.handleFrame(id, l, &f) }
+		handle := func() { s.handleFrame(id, l, &frame) }
 		switch {
-		case f.Raft != nil:
+		case frame.Raft != nil:
 			s.planner.postFromPeer(handle)
 			continue
-		case f.Start != nil && s.planner.postFromPeer(handle), f.Start == nil && s.planner.post(handle): // a link must not continue without its start record
+		case frame.Start != nil && s.planner.postFromPeer(handle), frame.Start == nil && s.planner.post(handle): // a link must not continue without its start record
 			continue
 		}
 		break
@@ -151,6 +153,7 @@
 	})
 }
 
+// logBadFrame logs that a link is closed because of an unreadable frame, at most once per badFrameLogInterval for each remote host.
 func (s *server) logBadFrame(l *link, err error) {
 	if !errors.Is(err, tier.ErrFrame) {
 		return
@@ -165,30 +168,30 @@
 }
 
 // handleFrame handles a received frame on the planner's goroutine.
-func (s *server) handleFrame(id rollout.Link, l *link, f *tier.Frame) {
+func (s *server) handleFrame(id rollout.Link, l *link, frame *tier.Frame) {
 	p := s.planner
 	switch {
-	case f.Start != nil:
-		s.receiveStart(id, l, f.Start)
-	case f.Raft != nil:
-		s.receiveRaft(id, l, f.Raft)
-	case f.Tier != nil:
+	case frame.Start != nil:
+		s.receiveStart(id, l, frame.Start)
+	case frame.Raft != nil:
+		s.receiveRaft(id, l, frame.Raft)
+	case frame.Tier != nil:
 		l.isProxy = true
 		if p.leader == nil {
 			s.send(id, &tier.Frame{Tier: &rollout.Message{Kind: rollout.NotLeader}})
 			return
 		}
-		p.leader.Receive(p.now(), id, *f.Tier)
-	case f.Health != nil:
-		s.receiveHealth(id, f.Health)
-	case f.Ask != nil:
-		s.handleOperator(id, f.Ask)
+		p.leader.Receive(p.now(), id, *frame.Tier)
+	case frame.Health != nil:
+		s.receiveHealth(id, frame.Health)
+	case frame.Ask != nil:
+		s.handleOperator(id, frame.Ask)
 	}
 }
 
 // send queues a frame for a link. A link whose queue is full is closed.
-func (s *server) send(id rollout.Link, f *tier.Frame) {
-	b, err := tier.Append(nil, f)
+func (s *server) send(id rollout.Link, frame *tier.Frame) {
+	data, err := tier.Append(nil, frame)
 	if err != nil {
 		slog.Error("a frame can't be sent", "error", err)
 		return
@@ -200,7 +203,7 @@
 		return
 	}
 	select {
-	case l.sendQueue <- b:
+	case l.sendQueue <- data:
 	default:
 		l.conn.Close()
 	}
--- a/internal/planner/store.go
+++ b/internal/planner/store.go
@@ -26,13 +26,13 @@
 }
 
 var (
-	logBucket  = []byte("log")  // log entries; the key is the index, 8 bytes big-endian
-	metaBucket = []byte("meta") // values under the keys below
-	hardKey    = []byte("hard")
-	snapKey    = []byte("snap")
-	ownerKey   = []byte("who") // this planner's number, so that the log of another planner is not opened by mistake
-	diskKey    = []byte("disk")
-	disksKey   = []byte("disks/") // prefix of a planner's number; the value is the disk ID that it announced
+	logBucket      = []byte("log")  // log entries; the key is the index, 8 bytes big-endian
+	metaBucket     = []byte("meta") // values under the keys below
+	hardKey        = []byte("hard")
+	snapKey        = []byte("snap")
+	ownerKey       = []byte("who") // this planner's number, so that the log of another planner is not opened by mistake
+	diskKey        = []byte("disk")
+	peerDiskPrefix = []byte("disks/") // prefix of a planner's number; the value is the disk ID that it announced
 )
 
 // errCorrupt is returned if a checksum doesn't match.
@@ -41,8 +41,8 @@
 // openTimeout bounds the wait for another process that has locked the file.
 const openTimeout = time.Second
 
-// openStore opens or creates the log of the planner that is named who. fresh is true if the log was created.
-func openStore(path, who string) (st *store, fresh bool, err error) {
+// openStore opens or creates the log of a planner. fresh is true if it was created. It is an error if the log belongs to another owner.
+func openStore(path, owner string) (st *store, fresh bool, err error) {
 	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: openTimeout})
 	if err != nil {
 		return nil, false, fmt.Errorf("log %s: %w", path, err)
@@ -55,16 +55,16 @@
 			}
 		}
 		meta := tx.Bucket(metaBucket)
-		if was := meta.Get(ownerKey); was == nil {
+		if stored := meta.Get(ownerKey); stored == nil {
 			fresh = true
-			if err := meta.Put(ownerKey, []byte(who)); err != nil {
+			if err := meta.Put(ownerKey, []byte(owner)); err != nil {
 				return err
 			}
-		} else if own, _, _ := strings.Cut(string(was), " of "); own != who { // earlier versions stored the numbers of all planners too
-			return fmt.Errorf("it belongs to %s, and this is %s", own, who)
+		} else if storedOwner, _, _ := strings.Cut(string(stored), " of "); storedOwner != owner { // earlier versions stored the numbers of all planners too
+			return fmt.Errorf("it belongs to %s, and this is %s", storedOwner, owner)
 		}
-		if b := meta.Get(diskKey); len(b) == 8 {
-			st.diskID = binary.BigEndian.Uint64(b)
+		if id := meta.Get(diskKey); len(id) == 8 {
+			st.diskID = binary.BigEndian.Uint64(id)
 			return nil
 		}
 		st.diskID = rand.Uint64() | 1
@@ -85,6 +85,7 @@
 	return append(binary.BigEndian.AppendUint64(nil, xxhash.Sum64(b)), b...)
 }
 
+// verifyChecksum checks the checksum of a value and decodes the value into m. It returns errCorrupt if the checksum doesn't match.
 func verifyChecksum(b []byte, m proto.Message) error {
 	if len(b) < 8 || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[8:]) {
 		return errCorrupt
@@ -92,6 +93,7 @@
 	return proto.Unmarshal(b[8:], m)
 }
 
+// load reads the log into memory.
 func (s *store) load() error {
 	return s.db.View(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
@@ -114,17 +116,17 @@
 		var entries []*pb.Entry
 		c := tx.Bucket(logBucket).Cursor()
 		for k, v := c.First(); k != nil; k, v = c.Next() {
-			e := &pb.Entry{}
-			if err := verifyChecksum(v, e); err != nil {
+			entry := &pb.Entry{}
+			if err := verifyChecksum(v, entry); err != nil {
 				return fmt.Errorf("entry %d: %w", binary.BigEndian.Uint64(k), err)
 			}
-			entries = append(entries, e)
+			entries = append(entries, entry)
 		}
 		return s.memory.Append(entries)
 	})
 }
 
-func indexKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // save writes the state, entries and snapshot of a Ready in one transaction. It returns once they are on disk.
 func (s *store) save(ready *raft.Ready) error {
@@ -134,9 +136,9 @@
 	err := s.db.Update(func(tx *bolt.Tx) error {
 		meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 		put := func(b *bolt.Bucket, key []byte, m proto.Message) error {
-			text, err := proto.Marshal(m)
+			data, err := proto.Marshal(m)
 			if err == nil {
-				err = b.Put(key, addChecksum(text))
+				err = b.Put(key, addChecksum(data))
 			}
 			return err
 		}
@@ -156,8 +158,8 @@
 				}
 			}
 		}
-		for _, e := range ready.Entries {
-			if err := put(log, indexKey(e.GetIndex()), e); err != nil {
+		for _, entry := range ready.Entries {
+			if err := put(log, indexKey(entry.GetIndex()), entry); err != nil {
 				return err
 			}
 		}
@@ -186,14 +188,14 @@
 	return err == nil && !raft.IsEmptySnap(snap)
 }
 
-func diskKeyOf(planner uint64) []byte {
-	return binary.BigEndian.AppendUint64(slices.Clone(disksKey), planner)
+func peerDiskKey(planner uint64) []byte {
+	return binary.BigEndian.AppendUint64(slices.Clone(peerDiskPrefix), planner)
 }
 
 // peerDisk returns the disk ID that another planner announced first; 0 = it has never announced one.
 func (s *store) peerDisk(planner uint64) (disk uint64, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
-		if b := tx.Bucket(metaBucket).Get(diskKeyOf(planner)); len(b) == 8 {
+		if b := tx.Bucket(metaBucket).Get(peerDiskKey(planner)); len(b) == 8 {
 			disk = binary.BigEndian.Uint64(b)
 		}
 		return nil
@@ -203,11 +205,11 @@
 
 // recordPeerDisk records the disk ID of another planner unless one is recorded already. It returns the recorded one.
 func (s *store) recordPeerDisk(planner, disk uint64) (uint64, error) {
-	if was, err := s.peerDisk(planner); err != nil || was != 0 {
-		return was, err
+	if recorded, err := s.peerDisk(planner); err != nil || recorded != 0 {
+		return recorded, err
 	}
 	return disk, s.db.Update(func(tx *bolt.Tx) error {
-		return tx.Bucket(metaBucket).Put(diskKeyOf(planner), binary.BigEndian.AppendUint64(nil, disk))
+		return tx.Bucket(metaBucket).Put(peerDiskKey(planner), binary.BigEndian.AppendUint64(nil, disk))
 	})
 }
 
@@ -228,13 +230,13 @@
 	if err != nil {
 		return err
 	}
-	text, err := proto.Marshal(snap)
+	data, err := proto.Marshal(snap)
 	if err != nil {
 		return err
 	}
 	first := index - min(keep, index)
 	err = s.db.Update(func(tx *bolt.Tx) error {
-		if err := tx.Bucket(metaBucket).Put(snapKey, addChecksum(text)); err != nil {
+		if err := tx.Bucket(metaBucket).Put(snapKey, addChecksum(data)); err != nil {
 			return err
 		}
 		c := tx.Bucket(logBucket).Cursor()
@@ -248,7 +250,7 @@
 	if err != nil {
 		return err
 	}
-	if at, _ := s.memory.FirstIndex(); first >= at {
+	if current, _ := s.memory.FirstIndex(); first >= current {
 		return s.memory.Compact(first)
 	}
 	return nil
--- a/internal/planner/store_test.go
+++ b/internal/planner/store_test.go
@@ -11,46 +11,46 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-func entry(i, term uint64, text string) *pb.Entry {
-	return &pb.Entry{Index: &i, Term: &term, Data: []byte(text)}
+func entry(index, term uint64, data string) *pb.Entry {
+	return &pb.Entry{Index: &index, Term: &term, Data: []byte(data)}
 }
 
 func writeTestLog(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "log")
-	s, fresh, err := openStore(path, "planner 1 of [1]")
+	store, fresh, err := openStore(path, "planner 1 of [1]")
 	if err != nil || !fresh {
 		t.Fatal(fresh, err)
 	}
 	term, vote, commit := uint64(3), uint64(1), uint64(2)
-	if err := s.save(&raft.Ready{HardState: &pb.HardState{Term: &term, Vote: &vote, Commit: &commit}, Entries: []*pb.Entry{entry(1, 2, "one"), entry(2, 2, "two"), entry(3, 2, "three")}}); err != nil {
+	if err := store.save(&raft.Ready{HardState: &pb.HardState{Term: &term, Vote: &vote, Commit: &commit}, Entries: []*pb.Entry{entry(1, 2, "one"), entry(2, 2, "two"), entry(3, 2, "three")}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.save(&raft.Ready{Entries: []*pb.Entry{entry(2, 3, "another two")}}); err != nil { // replaces all entries from index 2 on
+	if err := store.save(&raft.Ready{Entries: []*pb.Entry{entry(2, 3, "another two")}}); err != nil { // replaces all entries from index 2 on
 		t.Fatal(err)
 	}
-	s.close()
+	store.close()
 	return path
 }
 
 func TestStoreReload(t *testing.T) {
-	s, fresh, err := openStore(writeTestLog(t), "planner 1")
+	store, fresh, err := openStore(writeTestLog(t), "planner 1")
 	if err != nil || fresh {
 		t.Fatal(fresh, err)
 	}
-	defer s.close()
-	hard, _, _ := s.memory.InitialState()
-	last, _ := s.memory.LastIndex()
+	defer store.close()
+	hard, _, _ := store.memory.InitialState()
+	last, _ := store.memory.LastIndex()
 	if hard.GetTerm() != 3 || hard.GetVote() != 1 || last != 2 {
 		t.Fatalf("term %d, vote %d, %d entries", hard.GetTerm(), hard.GetVote(), last)
 	}
-	e, err := s.memory.Entries(1, 3, 1<<20)
-	if err != nil || string(e[0].GetData()) != "one" || string(e[1].GetData()) != "another two" {
-		t.Fatal(e, err)
+	entries, err := store.memory.Entries(1, 3, 1<<20)
+	if err != nil || string(entries[0].GetData()) != "one" || string(entries[1].GetData()) != "another two" {
+		t.Fatal(entries, err)
 	}
-	if err := s.compact(2, &pb.ConfState{Voters: []uint64{1}}, []byte("state"), 1); err != nil {
+	if err := store.compact(2, &pb.ConfState{Voters: []uint64{1}}, []byte("state"), 1); err != nil {
 		t.Fatal(err)
 	}
-	if first, _ := s.memory.FirstIndex(); first != 2 {
+	if first, _ := store.memory.FirstIndex(); first != 2 {
 		t.Errorf("the first index is %d", first)
 	}
 }
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -12,7 +12,7 @@
 //  2. When all have agreed, the leader starts a round and asks every member to hold new requests.
 //  3. When all members hold, the leader writes Commit to the log. No request is admitted under the new policy before that entry, and none
 //     under the old one after it.
-//  4. A member that holds goes on only by a Status message, which says what the log has decided.
+//  4. A member that holds resumes only on a Status message, which carries the decision of the log.
 //
 // Leases (C. Gray and D. Cheriton, "Leases", 1989) bound how long a change waits for an unreachable member. The proxy counts its lease
 // from when it sent the renewal, the planner from when it granted it. Only the rates of the two clocks have to agree, within ClockMargin
--- a/internal/rollout/leader.go
+++ b/internal/rollout/leader.go
@@ -104,7 +104,8 @@
 // bound how long a list of members may be used.
 func (l *Leader) ShareMembers(history *MembershipHistory) { l.history = history }
 
-// SetChangeStart tells since when, by this planner's clock, its log has held a change, so that ChangeTimeout doesn't restart with a new leader.
+// SetChangeStart sets since when, by this planner's clock, its log has held a change, so that ChangeTimeout doesn't restart with a new
+// leader.
 func (l *Leader) SetChangeStart(number Number, at time.Duration) {
 	l.change.inheritedNumber, l.change.inheritedStart = number, at
 }
--- a/internal/rollout/leader_members.go
+++ b/internal/rollout/leader_members.go
@@ -9,7 +9,7 @@
 // ErrNotMember is returned for a name that belongs to no member of the tier.
 var ErrNotMember = errors.New("is no member")
 
-// memberState is what the leader knows of a member.
+// memberState is the leader's volatile state of a member.
 type memberState struct {
 	link         Link
 	policyNumber Number // that the member serves under, as of its last message
@@ -25,7 +25,7 @@
 	lastRequest  time.Duration // when the answer was last requested
 }
 
-// MemberInfo is what the leader reports of a member.
+// MemberInfo is the state of a member, for operators.
 type MemberInfo struct {
 	Name             string        `json:"name"`
 	Member           Member        `json:"member"`
@@ -35,7 +35,7 @@
 	LeaseRemaining   time.Duration `json:"lease"`
 }
 
-// Members returns what is known of the members, in the order in which they joined.
+// Members returns the state of the members, in the order in which they joined.
 func (l *Leader) Members(now time.Duration) []MemberInfo {
 	var infos []MemberInfo
 	for _, entry := range l.state.Members {
--- a/internal/rollout/proxy.go
+++ b/internal/rollout/proxy.go
@@ -65,7 +65,7 @@
 // called before the proxy joins.
 func (p *Proxy) SetZone(zone string) { p.zone = zone }
 
-// Membership returns what is known of the members.
+// Membership returns the latest membership that was received.
 func (p *Proxy) Membership() Membership { return p.membership }
 
 // TakeMessages returns the messages that are to be sent to the current planner and forgets them.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -15,7 +15,7 @@
 	state        *State
 	leader       *Leader
 	proxies      []*Proxy
-	delayReasons []string // that proxies heard with Wait
+	delayReasons []string // reasons of the JoinDelayed messages
 	unreachable  map[int]bool
 	membership   *MembershipHistory
 }
@@ -92,7 +92,7 @@
 	}
 	for _, proxy := range tier.proxies {
 		if n, admission := proxy.AdmitRequest(tier.now); n != 0 || admission != Admit {
-			t.Errorf("%s: policy %d, verdict %d", proxy.name, n, admission)
+			t.Errorf("%s: policy %d, admission %d", proxy.name, n, admission)
 		}
 	}
 }
