--- a/internal/planner/operator.go
+++ b/internal/planner/operator.go
@@ -10,21 +10,22 @@
 	"havenproxy/internal/wire/tier"
 )
 
-// The operator's commands, and their answers.
+// This file handles operators' requests.
 
+// pendingProposal is a proposal whose answer is sent once it is in the log.
 type pendingProposal struct {
 	nonce    uint64
 	link     rollout.Link
 	deadline time.Duration
 }
 
-// ask answers the operator.
+// handleOperator handles an operator's request.
 func (s *server) handleOperator(id rollout.Link, request *tier.Ask) {
 	p := s.planner
 	refuse := func(err error) {
 		s.send(id, &tier.Frame{Answer: &tier.Answer{Error: err.Error(), Planner: p.config.ID, Leader: p.leaderID}})
 	}
-	if p.leader != nil && !p.leader.Leading() { // its term has yet to begin in the log: who asks comes again
+	if p.leader != nil && !p.leader.Leading() { // its term has not begun in the log yet: the client retries
 		s.send(id, &tier.Frame{Answer: &tier.Answer{Error: client.ErrNoLeader.Error(), Planner: p.config.ID, State: p.state.WithoutPolicies(0)}})
 		return
 	}
@@ -60,17 +61,18 @@
 		}
 		s.sendStatus(id, "", 0)
 	default:
-		refuse(errors.New("this planner doesn't know the word " + request.Do))
+		refuse(errors.New("unknown request " + request.Do))
 	}
 }
 
+// undecidedError is the answer to a proposal while the change with that number is undecided.
 type undecidedError rollout.Number
 
 func (e undecidedError) Error() string {
 	return fmt.Sprintf("change %d is undecided: wait for it, or abort it", rollout.Number(e))
 }
 
-// settle answers proposals that the log has had.
+// answerProposals answers the proposals that a committed command settles, and drops those whose deadline has passed.
 func (s *server) answerProposals(command rollout.Command, err error) {
 	if command.Kind != rollout.Propose {
 		return
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	linkQueueLength     = 256              // frames that wait for one link; beyond, the link is closed
-	writeTimeout        = 2 * time.Second  // that a frame may take
-	readTimeout         = 30 * time.Second // a link that says nothing for so long is closed
+	linkQueueLength     = 256              // frames in the send queue of a link; beyond it the link is closed
+	writeTimeout        = 2 * time.Second  // for one frame
+	readTimeout         = 30 * time.Second // a link that receives nothing for this long is closed
 	dialTimeout         = time.Second
 	redialInterval      = 200 * time.Millisecond
-	badFrameLogInterval = time.Minute // one line a peer about unreadable frames
+	badFrameLogInterval = time.Minute // interval of log lines about unreadable frames, for each remote host
 	proposalTimeout     = 2 * time.Second
 )
 
-// server holds the planner's links. Each has a goroutine that reads and one that writes; what they bring goes through Planner.post.
+// server holds the planner's links. Each link has one goroutine that reads and one that writes. Received frames are handled on the planner's
+// goroutine, by way of Planner.post and Planner.postFromPeer.
 type server struct {
 	planner        *Planner
 	listener       net.Listener
@@ -30,21 +31,23 @@
 	peers          map[uint64]*peerQueue // the other planners
 	links          map[rollout.Link]*link
 	lastLink       rollout.Link
-	badFrameLogged map[string]time.Time
+	badFrameLogged map[string]time.Time // time of the last log line about unreadable frames, by remote host
 
-	proposals []pendingProposal // proposals that are not in the log yet; the planner's goroutine's alone
+	proposals []pendingProposal // proposals that are not in the log yet; used by the planner's goroutine only
 }
 
+// link is a connection that a proxy, an operator or another planner has opened.
 type link struct {
 	conn      net.Conn
 	sendQueue chan []byte
 	isProxy   bool
-	peerID    uint64 // another one that has said what its disk holds, and may be believed; the planner's goroutine's alone
+	peerID    uint64 // the other planner once its start record is verified; used by the planner's goroutine only
 	closeOnce sync.Once
 }
 
 func (l *link) close() { l.closeOnce.Do(func() { l.conn.Close(); close(l.sendQueue) }) }
 
+// newServer listens on an address and accepts links.
 func newServer(p *Planner, address string) (*server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -55,7 +58,7 @@
 	return s, nil
 }
 
-// connect keeps a way to each of these planners, and to no other.
+// connect opens a link to each of the given planners and closes the links to all others.
 func (s *server) connect(want map[uint64]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +97,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(redialInterval) // no descriptors, say: those that are there go on
+			time.Sleep(redialInterval) // for example no file descriptors: existing links are not affected
 			continue
 		}
 		s.mu.Lock()
@@ -108,11 +111,11 @@
 }
 
 func (s *server) write(l *link) {
-	for b := range l.sendQueue {
+	for frame := range l.sendQueue {
 		l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := l.conn.Write(b); err != nil {
+		if _, err := l.conn.Write(frame); err != nil {
 			l.conn.Close()
-			for range l.sendQueue { // until it is closed
+			for range l.sendQueue { // drains the queue until it is closed
 			}
 			return
 		}
@@ -123,17 +126,17 @@
 	r := bufio.NewReader(l.conn)
 	for {
 		l.conn.SetReadDeadline(time.Now().Add(readTimeout))
-		f, err := tier.Read(r)
+		frame, err := tier.Read(r)
 		if err != nil {
 			s.logBadFrame(l, err)
 			break
 		}
-		handle := func() { s.handleFrame(id, l, &f) }
+		handle := func() { s.handleFrame(id, l, &frame) }
 		switch {
-		case f.Raft != nil:
+		case frame.Raft != nil:
 			s.planner.postFromPeer(handle)
 			continue
-		case f.Start != nil && s.planner.postFromPeer(handle), f.Start == nil && s.planner.post(handle): // without its start nothing would be heard on this link
+		case frame.Start != nil && s.planner.postFromPeer(handle), frame.Start == nil && s.planner.post(handle): // a link must not continue without its start record
 			continue
 		}
 		break
@@ -150,6 +153,7 @@
 	})
 }
 
+// logBadFrame logs that a link is closed because of an unreadable frame, at most once per badFrameLogInterval for each remote host.
 func (s *server) logBadFrame(l *link, err error) {
 	if !errors.Is(err, tier.ErrFrame) {
 		return
@@ -163,31 +167,31 @@
 	}
 }
 
-// heard takes a frame; it runs on the planner's goroutine.
-func (s *server) handleFrame(id rollout.Link, l *link, f *tier.Frame) {
+// handleFrame handles a received frame on the planner's goroutine.
+func (s *server) handleFrame(id rollout.Link, l *link, frame *tier.Frame) {
 	p := s.planner
 	switch {
-	case f.Start != nil:
-		s.receiveStart(id, l, f.Start)
-	case f.Raft != nil:
-		s.receiveRaft(id, l, f.Raft)
-	case f.Tier != nil:
+	case frame.Start != nil:
+		s.receiveStart(id, l, frame.Start)
+	case frame.Raft != nil:
+		s.receiveRaft(id, l, frame.Raft)
+	case frame.Tier != nil:
 		l.isProxy = true
 		if p.leader == nil {
 			s.send(id, &tier.Frame{Tier: &rollout.Message{Kind: rollout.NotLeader}})
 			return
 		}
-		p.leader.Receive(p.now(), id, *f.Tier)
-	case f.Health != nil:
-		s.receiveHealth(id, f.Health)
-	case f.Ask != nil:
-		s.handleOperator(id, f.Ask)
+		p.leader.Receive(p.now(), id, *frame.Tier)
+	case frame.Health != nil:
+		s.receiveHealth(id, frame.Health)
+	case frame.Ask != nil:
+		s.handleOperator(id, frame.Ask)
 	}
 }
 
-// send puts a frame on its way; a link that doesn't keep up is closed.
-func (s *server) send(id rollout.Link, f *tier.Frame) {
-	b, err := tier.Append(nil, f)
+// send queues a frame for a link. A link whose queue is full is closed.
+func (s *server) send(id rollout.Link, frame *tier.Frame) {
+	data, err := tier.Append(nil, frame)
 	if err != nil {
 		slog.Error("a frame can't be sent", "error", err)
 		return
@@ -199,13 +203,13 @@
 		return
 	}
 	select {
-	case l.sendQueue <- b:
+	case l.sendQueue <- data:
 	default:
 		l.conn.Close()
 	}
 }
 
-// dropProxies lets proxies look for who leads now.
+// dropProxies closes the links of all proxies, so that they look for the new leader.
 func (s *server) dropProxies() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/planner/store_test.go
+++ b/internal/planner/store_test.go
@@ -11,51 +11,51 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-func entry(i, term uint64, text string) *pb.Entry {
-	return &pb.Entry{Index: &i, Term: &term, Data: []byte(text)}
+func entry(index, term uint64, data string) *pb.Entry {
+	return &pb.Entry{Index: &index, Term: &term, Data: []byte(data)}
 }
 
 func writeTestLog(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "log")
-	s, fresh, err := openStore(path, "planner 1 of [1]")
+	store, fresh, err := openStore(path, "planner 1 of [1]")
 	if err != nil || !fresh {
 		t.Fatal(fresh, err)
 	}
 	term, vote, commit := uint64(3), uint64(1), uint64(2)
-	if err := s.save(&raft.Ready{HardState: &pb.HardState{Term: &term, Vote: &vote, Commit: &commit}, Entries: []*pb.Entry{entry(1, 2, "one"), entry(2, 2, "two"), entry(3, 2, "three")}}); err != nil {
+	if err := store.save(&raft.Ready{HardState: &pb.HardState{Term: &term, Vote: &vote, Commit: &commit}, Entries: []*pb.Entry{entry(1, 2, "one"), entry(2, 2, "two"), entry(3, 2, "three")}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.save(&raft.Ready{Entries: []*pb.Entry{entry(2, 3, "another two")}}); err != nil { // replaces what stood behind it
+	if err := store.save(&raft.Ready{Entries: []*pb.Entry{entry(2, 3, "another two")}}); err != nil { // replaces all entries from index 2 on
 		t.Fatal(err)
 	}
-	s.close()
+	store.close()
 	return path
 }
 
 func TestStoreReload(t *testing.T) {
-	s, fresh, err := openStore(writeTestLog(t), "planner 1")
+	store, fresh, err := openStore(writeTestLog(t), "planner 1")
 	if err != nil || fresh {
 		t.Fatal(fresh, err)
 	}
-	defer s.close()
-	hard, _, _ := s.memory.InitialState()
-	last, _ := s.memory.LastIndex()
+	defer store.close()
+	hard, _, _ := store.memory.InitialState()
+	last, _ := store.memory.LastIndex()
 	if hard.GetTerm() != 3 || hard.GetVote() != 1 || last != 2 {
 		t.Fatalf("term %d, vote %d, %d entries", hard.GetTerm(), hard.GetVote(), last)
 	}
-	e, err := s.memory.Entries(1, 3, 1<<20)
-	if err != nil || string(e[0].GetData()) != "one" || string(e[1].GetData()) != "another two" {
-		t.Fatal(e, err)
+	entries, err := store.memory.Entries(1, 3, 1<<20)
+	if err != nil || string(entries[0].GetData()) != "one" || string(entries[1].GetData()) != "another two" {
+		t.Fatal(entries, err)
 	}
-	if err := s.compact(2, &pb.ConfState{Voters: []uint64{1}}, []byte("state"), 1); err != nil {
+	if err := store.compact(2, &pb.ConfState{Voters: []uint64{1}}, []byte("state"), 1); err != nil {
 		t.Fatal(err)
 	}
-	if first, _ := s.memory.FirstIndex(); first != 2 {
-		t.Errorf("the log begins with %d", first)
+	if first, _ := store.memory.FirstIndex(); first != 2 {
+		t.Errorf("the first index is %d", first)
 	}
 }
 
-// A vote that was forgotten, or an entry that reads otherwise, would break what was promised to others.
+// A flipped bit in an entry is detected: a planner with a corrupt vote or entry would break what it has promised to others.
 func TestStoreDetectsBitFlip(t *testing.T) {
 	path := writeTestLog(t)
 	text, err := os.ReadFile(path)
@@ -64,9 +64,9 @@
 	}
 	at := strings.Index(string(text), "another two")
 	if at < 0 {
-		t.Fatal("the entry isn't there")
+		t.Fatal("the entry is not in the file")
 	}
-	for at >= 0 { // bbolt may hold an earlier copy of a page too
+	for at >= 0 { // the file may also hold an earlier copy of the page
 		text[at] ^= 4
 		next := strings.Index(string(text[at+1:]), "another two")
 		if next < 0 {
@@ -82,7 +82,7 @@
 
 func TestStoreBelongsToOnePlanner(t *testing.T) {
 	path := writeTestLog(t)
-	if _, _, err := openStore(path, "planner 2"); err == nil || !strings.Contains(err.Error(), "it is that of planner 1") {
+	if _, _, err := openStore(path, "planner 2"); err == nil || !strings.Contains(err.Error(), "it belongs to planner 1") {
 		t.Errorf("%v", err)
 	}
 }
@@ -93,7 +93,7 @@
 	}
 	for _, bad := range []string{"", "a:1", "0=a:1", "1=a:1,1=b:1", "1="} {
 		if _, err := ParsePeers(bad); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
