--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -8,22 +8,23 @@
 	"time"
 )
 
-// coldFront is a front with what it has sent in the last step.
+// coldProxy is a proxy with the requests that it sent in the previous step.
 type coldProxy struct {
 	*testProxy
 	inFlight []sentAttempt
 }
 
-// coldTier plays proxies that don't talk, each with few requests, before a group in which one member has just started, and gives by how much the
-// fullest window of what all of them send there goes beyond N + 2 root N + 2, N being what the settings allow in it where the group's other members
-// are just full. Proxies die and start meanwhile, and one runs beside its successor.
+// simulateColdTier simulates proxies that do not communicate, each with few requests, and a group in which one
+// member has just started. It returns by how much the busiest window of what all proxies send to that member
+// exceeds N + 2 sqrt(N) + 2, where N is what the settings allow in the window if the group's other members are
+// just full. Meanwhile proxies fail and start, and some run beside their successor.
 func simulateColdTier(t *testing.T, proxies int, seed uint64, cold time.Duration) (excess float64, sent int) {
 	const (
 		step   = 20 * ms
 		window = 2 * time.Second
 		warm   = 4 * time.Second
 		length = 6 * time.Second
-		rate   = 2.0 // requests a second and proxy
+		rate   = 2.0 // requests per second and proxy
 	)
 	rng := rand.New(rand.NewPCG(seed, uint64(proxies)))
 	cfg := testConfig()
@@ -39,7 +40,7 @@
 		return f
 	}
 	now := 1000 * time.Second
-	var all [][]*coldProxy // the processes at each proxy's place: one, or two for a while
+	var all [][]*coldProxy // the processes of each proxy: one, or two for a while
 	for range proxies {
 		all = append(all, []*coldProxy{start(now, 0)})
 	}
@@ -58,7 +59,7 @@
 		}
 		if i := rng.IntN(len(all)); rng.IntN(25) == 0 {
 			switch processes := all[i]; {
-			case len(processes) == 2: // the old one has ended
+			case len(processes) == 2: // the old process has ended
 				all[i] = processes[1:]
 			case rng.IntN(2) == 0:
 				all[i] = append(processes, start(now, startedAt))
@@ -69,7 +70,7 @@
 		for _, processes := range all {
 			for _, f := range processes {
 				f.now = now
-				for _, s := range f.inFlight { // what went out a step ago
+				for _, s := range f.inFlight { // sent in the previous step
 					f.finishAttempt(s, OK)
 				}
 				f.inFlight = f.inFlight[:0]
@@ -94,7 +95,7 @@
 			}
 		}
 	}
-	fullRate := float64(proxies) * rate / 3 // of each replica, where all are warm
+	fullRate := float64(proxies) * rate / 3 // of each replica when all are warm
 	slices.Sort(coldSends)
 	excess = math.Inf(-1)
 	for i, windowStart := range coldSends {
@@ -112,10 +113,11 @@
 	return excess, len(coldSends)
 }
 
-// A member that has just started falls over under the sum of all proxies' requests. However few each has, and whichever start, die or run in
-// two versions meanwhile, the sum keeps the budget of the settings with no talk between them.
+// Guards against a member that has just started failing under the sum of all proxies' requests. However few
+// requests each proxy has, and whichever proxies start, fail or run in two versions meanwhile, the sum stays
+// within the configured budget without any communication between them.
 func TestAColdMemberKeepsItsBudgetUnderManyProxies(t *testing.T) {
-	const seeds = 100 // of each; 1,000 were run by hand
+	const seeds = 100 // for each number of proxies; 1,000 were run by hand
 	sent := 0
 	for _, proxies := range []int{20, 30} {
 		for seed := range uint64(seeds) {
@@ -126,6 +128,6 @@
 		}
 	}
 	if sent == 0 {
-		t.Error("nothing was sent to any cold member")
+		t.Error("no request was sent to any cold member")
 	}
 }
--- a/logic/front_test.go
+++ b/logic/front_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// front is a scripted front: it keeps what the router asked for, and tells it what the test says.
+// testProxy is a scripted proxy: it records the router's actions, and the test feeds it events.
 type testProxy struct {
 	t       *testing.T
 	router  *Router
@@ -49,7 +49,7 @@
 func (f *testProxy) Fail(id RequestID) { f.recordFinal(id, "failed") }
 func (f *testProxy) recordFinal(id RequestID, answer string) {
 	if previous := f.finals[id]; previous != "" {
-		f.t.Errorf("request %d: %s after %s", id, answer, previous)
+		f.t.Errorf("request %d: final answer %s after %s", id, answer, previous)
 	}
 	f.finals[id] = answer
 }
@@ -60,7 +60,7 @@
 func (f *testProxy) SendToPeers([]peers.Report)           {}
 func (f *testProxy) Log(string)                           {}
 
-// The classes of the tests' configuration.
+// Classes of the test configuration.
 const (
 	classBounded = iota
 	classSession
@@ -95,7 +95,7 @@
 	return f
 }
 
-// settled lists n members, 1 the primary, and answers their first pings.
+// newReadyProxy lists n members, with 1 as the primary, and answers their first pings.
 func newReadyProxy(t *testing.T, cfg Config, n int) *testProxy {
 	t.Helper()
 	f := newTestProxy(t, cfg)
@@ -115,7 +115,7 @@
 	f.router.Members(f.now, list)
 }
 
-// pass lets time go by; pings are answered, by 1 as the primary and by the others as replicas 10 ms behind.
+// advance advances the clock and answers pings: member 1 as the primary, the others as replicas 10 ms behind.
 func (f *testProxy) advance(d time.Duration, silent ...MemberID) {
 	for end := f.now + d; f.now < end; {
 		f.now += 10 * ms
@@ -145,7 +145,7 @@
 	return f.nextID
 }
 
-// last gives the newest send of a request.
+// lastSend returns the latest send of a request.
 func (f *testProxy) lastSend(id RequestID) (sentAttempt, bool) {
 	for _, s := range slices.Backward(f.sends) {
 		if s.id == id {
@@ -159,7 +159,7 @@
 	f.t.Helper()
 	s, ok := f.lastSend(id)
 	if !ok {
-		f.t.Fatalf("request %d was not sent; its end: %q", id, f.finals[id])
+		f.t.Fatalf("request %d was not sent; final answer %q", id, f.finals[id])
 	}
 	return s
 }
@@ -173,7 +173,7 @@
 	return n
 }
 
-// end reports the end of an attempt, with the role and position that the member would tell.
+// finishAttempt reports the end of an attempt, with the role and position that the member would report.
 func (f *testProxy) finishAttempt(s sentAttempt, result Result) {
 	o := Outcome{Request: s.id, Attempt: s.index, Member: s.to, Result: result, Elapsed: f.now - s.at, Finished: result == OK}
 	if result == OK || result == Misdirected || result == Failed || result == Rejected {
@@ -204,7 +204,7 @@
 }
 
 func ExampleRouter() {
-	// A front implements Actions; here one that prints.
+	// A proxy implements Actions; this one prints.
 	r, err := New(Config{Seed: 1, Tick: ms, Classes: []Class{{Name: "lookup", Read: Any, Aim: 100 * ms, Limit: time.Second}}},
 		printingActions{})
 	if err != nil {
--- a/logic/hold_test.go
+++ b/logic/hold_test.go
@@ -8,7 +8,7 @@
 	"havenproxy/internal/handover"
 )
 
-// holding is a deployment that holds writes through a switch, one attempt at a time.
+// holdConfig returns a deployment that holds writes during a switch of primary, with one attempt at a time.
 func holdConfig() Config {
 	cfg := testConfig()
 	cfg.ParallelAttempts, cfg.Handover = false, handover.Config{Hold: true}
@@ -22,7 +22,8 @@
 	f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: m, State: Draining}}})
 }
 
-// passAs lets time go by with another primary, or none; members in mute say nothing.
+// advanceWithPrimary advances the clock while primary (0 = none) is the primary; silent members do not answer
+// pings.
 func (f *testProxy) advanceWithPrimary(primary MemberID, d time.Duration, silent ...MemberID) {
 	for end := f.now + d; f.now < end; {
 		f.now += 10 * ms
@@ -55,11 +56,11 @@
 		f.advanceWithPrimary(2, 10*ms)
 	}
 	if s := f.mustSend(id); s.to != 2 || f.now-before > 60*ms {
-		t.Errorf("sent to %d, %v after the election: a ping's period and a way were wanted", s.to, f.now-before)
+		t.Errorf("sent to %d, %v after the election: want at most a ping period and a network delay", s.to, f.now-before)
 	}
 	f.serve(id, 80*ms)
 	if n := f.router.groups[0].handover.Holds(); n != 0 {
-		t.Errorf("%d are held", n)
+		t.Errorf("%d requests are held", n)
 	}
 }
 
@@ -71,20 +72,21 @@
 	f.wantFinal(f.request(classGuarded, 1), "refused")
 }
 
-// A death takes longer than a write's client waits: it hears so at once, and when to come back.
+// The failure of a primary lasts longer than a write's client waits, so the client is refused at once, with a
+// hint.
 func TestPrimaryFailureRefusesWritesUntilElectionIsDue(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
-	f.request(classGuarded, 1) // it makes the member owe something
+	f.request(classGuarded, 1) // makes the primary owe an answer
 	f.advanceWithPrimary(0, 600*ms, 1)
 	id := f.request(classGuarded, 2)
 	f.wantFinal(id, "refused")
 	if f.hints[id] < 200*ms {
-		t.Errorf("come back after %v", f.hints[id])
+		t.Errorf("retry-after hint %v", f.hints[id])
 	}
 	f.advanceWithPrimary(0, 4500*ms, 1)
 	late := f.request(classGuarded, 3)
 	if f.finals[late] != "" {
-		t.Fatalf("%q though the election is due", f.finals[late])
+		t.Fatalf("final answer %q although the election is due", f.finals[late])
 	}
 	f.advanceWithPrimary(2, 100*ms, 1)
 	if s := f.mustSend(late); s.to != 2 {
@@ -92,7 +94,7 @@
 	}
 }
 
-// What is held and can't be served in time any more is answered at once, before its client gives up.
+// A held write that cannot be served in time any more is answered before its deadline.
 func TestHeldWriteIsAnsweredBeforeItsDeadline(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
@@ -117,7 +119,7 @@
 	}
 }
 
-// A list that drops the whole group: what is held for it has its answer at once, also where the group comes back.
+// A list drops the whole group: requests held for it are answered at once, even if the group comes back.
 func TestDroppedGroupAnswersHeldRequests(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
@@ -131,7 +133,7 @@
 	}
 }
 
-// The price of a group's work: nothing while its members are at ease, what its requests earn once they are full.
+// The price of work is zero while members are lightly loaded, and the worth of the work once they are full.
 func TestWorkPrice(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	for range 400 {
@@ -140,17 +142,18 @@
 	}
 	g := f.router.groups[0]
 	if p := g.workPrice(); p != 0 {
-		t.Errorf("%v at ease", p)
+		t.Errorf("price %v at light load", p)
 	}
 	for _, m := range g.members {
 		m.Strain = 1
 	}
 	if p, want := g.workPrice(), g.meanWorth/g.meanWork; p != want || p <= 0 {
-		t.Errorf("%v when all are full, want %v", p, want)
+		t.Errorf("price %v when all members are full, want %v", p, want)
 	}
 }
 
-// Those refused in a death are told different times, none beyond what clients heed: they must not return in one moment.
+// Writes refused after a failure of the primary get different hints within the limit that clients respect, so that
+// they do not return at once.
 func TestTheRefusedDoNotReturnTogether(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.request(classGuarded, 1)
@@ -160,18 +163,18 @@
 		id := f.request(classGuarded, SessionID(i+2))
 		f.wantFinal(id, "refused")
 		if f.hints[id] > f.router.cfg.MaxRetryAfter || f.hints[id] < 100*ms {
-			t.Fatalf("come back after %v", f.hints[id])
+			t.Fatalf("retry-after hint %v", f.hints[id])
 		}
 		seen[f.hints[id].Truncate(50*ms)]++
 	}
 	for at, n := range seen {
 		if n > 20 {
-			t.Errorf("%d of 60 come back at %v", n, at)
+			t.Errorf("%d of 60 are told to return at %v", n, at)
 		}
 	}
 }
 
-// Switched off in the middle of a switch, what is held has its answer at once.
+// If holding is disabled during a switch, held requests are answered at once.
 func TestDisablingHoldAnswersHeldRequests(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
@@ -181,32 +184,32 @@
 	f.advanceWithPrimary(0, 10*ms)
 	f.wantFinal(id, "refused")
 	if f.router.groups[0].handover.Holds() > 0 {
-		t.Error("it is held still")
+		t.Error("the request is still held")
 	}
 }
 
-// A request may wait for pings and for a primary at once, where traffic is thin. Once it is sent, however it came to that, it
-// waits for neither: a place in the room that stayed taken was a request's that no longer was.
+// Under low traffic a request may wait for pings and for a primary at the same time. Once sent, for whichever
+// reason, it must wait for neither: its place in the hold queue stayed taken after the request had ended.
 func TestRequestAwaitingPingAndPrimaryIsReleasedOnce(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
 	id := f.request(classGuarded, 1)
 	f.advanceWithPrimary(0, 200*ms)
 	if f.router.groups[0].handover.Holds() != 1 {
-		t.Fatal("it doesn't wait for a primary")
+		t.Fatal("the request does not wait for a primary")
 	}
-	f.router.holdForPing(f.router.requests[id]) // as inquire does
+	f.router.holdForPing(f.router.requests[id]) // as pingAndHold does
 	for end := f.now + time.Second; f.sendCount(id) == 0 && f.now < end; {
 		f.advanceWithPrimary(2, 10*ms)
 	}
 	f.serve(id, 20*ms)
 	if n := f.router.groups[0].handover.Holds(); n > 0 || len(f.router.requests) > 0 {
-		t.Errorf("%d are held, %d requests kept", n, len(f.router.requests))
+		t.Errorf("%d requests held, %d kept", n, len(f.router.requests))
 	}
-	f.router.Members(f.now, MemberList{Kind: ListFull}) // what is held is answered now
+	f.router.Members(f.now, MemberList{Kind: ListFull}) // held requests are answered now
 }
 
-// A hundred held at once leave as the new primary's limit allows, and none of them is forgotten.
+// A hundred held writes are released as the new primary's limit allows, and none is lost.
 func TestHeldWritesAreReleasedGradually(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
@@ -230,13 +233,13 @@
 				f.router.Outcome(f.now, Outcome{Request: a.request.ID, Attempt: a.index, Member: 2, Result: OK, Elapsed: f.now - a.sentAt,
 					Finished: true, Role: RolePrimary, Position: f.now})
 				if f.router.groups[0].handover.Holds() > 0 && m.inFlight[len(m.inFlight)-1].sentAt != f.now {
-					t.Fatalf("a place was freed, %d wait, and none goes", f.router.groups[0].handover.Holds())
+					t.Fatalf("the primary has room and %d requests are held, but none was sent", f.router.groups[0].handover.Holds())
 				}
 			}
 		}
 	}
 	if most > 40 || served < 90 {
-		t.Errorf("%d out at once, %d served", most, served)
+		t.Errorf("%d in flight at once, %d served", most, served)
 	}
 	for _, id := range ids {
 		if f.finals[id] == "" {
@@ -245,15 +248,15 @@
 	}
 }
 
-// A write that a primary took before it fell silent may have run. It goes to the new one with its key while that drops a
-// repeat, and fails, never 'refused', once that is no longer sure.
+// A write that was sent to a primary before it fell silent may have been executed. It is retried at the new
+// primary while the key still identifies a repeat; after that it fails and must not be refused.
 func TestPossiblyExecutedWriteIsRetriedWithinDedupWindow(t *testing.T) {
 	for _, test := range []struct {
 		back  time.Duration
 		sends int
 	}{{1500 * ms, 2}, {2900 * ms, 1}} {
 		cfg := holdConfig()
-		cfg.Classes[classGuarded].Limit = 6 * time.Second // its client outlasts the window
+		cfg.Classes[classGuarded].Limit = 6 * time.Second // its client waits longer than the deduplication window
 		f := newReadyProxy(t, cfg, 3)
 		id := f.request(classGuarded, 1)
 		if f.mustSend(id).to != 1 {
@@ -269,12 +272,12 @@
 		}
 		f.advanceWithPrimary(2, 200*ms, 1)
 		if f.sendCount(id) != test.sends {
-			t.Errorf("back after %v: %d sends, %d called off, want %d sends", test.back, f.sendCount(id), f.cancels, test.sends)
+			t.Errorf("primary back after %v: %d sends, %d cancelled, want %d sends", test.back, f.sendCount(id), f.cancels, test.sends)
 			continue
 		}
 		if test.sends == 2 {
 			if s := f.serve(id, 80*ms); s.to != 2 {
-				t.Errorf("the repeat went to %d", s.to)
+				t.Errorf("the retry went to %d", s.to)
 			}
 			continue
 		}
@@ -283,7 +286,7 @@
 	}
 }
 
-// One millisecond either side of the last moment for a repeat.
+// Retries one millisecond before, at, and after the last allowed moment.
 func TestALateResendByAMillisecond(t *testing.T) {
 	for _, after := range []time.Duration{-ms, 0, ms} {
 		cfg := holdConfig()
@@ -293,10 +296,10 @@
 		s := f.mustSend(id)
 		q := f.router.requests[id]
 		a := q.attempts[0]
-		a.mayHaveRun = true // its end will be a failure
+		a.mayHaveRun = true // makes its end count as possibly executed
 		until := f.router.retryDeadline(q, a)
 		if until >= s.at+3*time.Second-f.router.slowTime[classGuarded]+ms {
-			t.Fatalf("%v after the first attempt a repeat is still let out", until-s.at)
+			t.Fatalf("a retry is still allowed %v after the first attempt", until-s.at)
 		}
 		a.mayHaveRun = false
 		f.advanceWithPrimary(1, until-f.router.serviceTime[classGuarded]-f.now-20*ms)
@@ -313,7 +316,7 @@
 	}
 }
 
-// Two requests with the same key, the first held: a client's own retry. Both have their answers, each goes out once.
+// A client retries with the same key while its first try is held. Both are answered, and each is sent once.
 func TestClientRetryWhileTheFirstTryIsHeld(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.drain(1)
@@ -325,13 +328,13 @@
 	f.advanceWithPrimary(2, 300*ms)
 	for _, id := range []RequestID{first, again} {
 		if f.sendCount(id) != 1 {
-			t.Errorf("request %d went out %d times", id, f.sendCount(id))
+			t.Errorf("request %d was sent %d times", id, f.sendCount(id))
 		}
 		f.serve(id, 20*ms)
 	}
 }
 
-// While another primary is awaited, pings look for it, spread over the fronts.
+// While the group awaits a new primary, pings search for it, spread over the proxies.
 func TestThePrimaryIsLookedFor(t *testing.T) {
 	for fronts, least := range map[int]int{2: 15, 40: 3} {
 		cfg := holdConfig()
@@ -351,12 +354,12 @@
 			}
 		}
 		if n < least || n > 45 {
-			t.Errorf("%d fronts: %d pings in a second", fronts, n)
+			t.Errorf("%d proxies: %d pings in a second", fronts, n)
 		}
 	}
 }
 
-// A member that answers on a connection from before its silence never stopped: it is not cold.
+// A member that answers on a connection from before its silence has not restarted, so it is not cold.
 func TestACutMemberIsNotCold(t *testing.T) {
 	for _, kept := range []bool{false, true} {
 		f := newReadyProxy(t, holdConfig(), 4)
@@ -367,7 +370,7 @@
 		f.advanceWithPrimary(1, 2*time.Second)
 		m := f.router.members[3]
 		if m.handover.Silent || f.router.warmCapacity(f.now, m) == 1 {
-			t.Fatalf("silent %v, cold %v", m.handover.Silent, f.router.warmCapacity(f.now, m))
+			t.Fatalf("silent %v, warm capacity %v", m.handover.Silent, f.router.warmCapacity(f.now, m))
 		}
 		opened := f.now
 		if kept {
@@ -376,13 +379,13 @@
 		f.router.probe(f.now, m)
 		f.router.Probed(f.now, ProbeEnd{Member: 3, Elapsed: ms, ConnOpenedAt: opened, Report: Report{Role: RoleReplica, Position: f.now - 10*ms}})
 		if (f.router.warmCapacity(f.now, m) < 1) == kept {
-			t.Errorf("answered on a connection from before: %v, cold: %v", kept, f.router.warmCapacity(f.now, m))
+			t.Errorf("answered on a connection from before the silence: %v, warm capacity: %v", kept, f.router.warmCapacity(f.now, m))
 		}
 	}
 }
 
-// A refused dial is evidence: such a member counts as started anew even where the list names no start for long, and what goes
-// there stays within what it bears if it has.
+// A refused dial is evidence of a restart: the member counts as started even if the list names no start for a long
+// time, and what is sent to it stays within what a started member bears.
 func TestRefusedDialOutweighsAnUnchangedList(t *testing.T) {
 	for _, refused := range []bool{false, true} {
 		f := newReadyProxy(t, holdConfig(), 4)
@@ -390,18 +393,18 @@
 		f.router.Probed(f.now, ProbeEnd{Member: 3, Result: ConnectFailed, DialRefused: refused})
 		f.advanceWithPrimary(1, 8*time.Second)
 		if m := f.router.members[3]; m.handover.Silent || (f.router.warmCapacity(f.now, m) < 1) != refused {
-			t.Errorf("refused %v: silent %v, warmth %v, doubt %v", refused, m.handover.Silent, f.router.warmCapacity(f.now, m), m.handover.Doubt())
+			t.Errorf("dial refused %v: silent %v, warm capacity %v, restart doubt %v", refused, m.handover.Silent, f.router.warmCapacity(f.now, m), m.handover.Doubt())
 		}
 	}
 }
 
-// A group that loses its primary is looked at as time goes by, also while nobody asks for anything: it moves on from lost to
-// electing, and its members are pinged for a new primary.
+// A group without a primary is visited by time alone, even without requests: its phase moves from lost to
+// electing, and its members are pinged to find a new primary.
 func TestAGroupWithoutAPrimaryIsLookedAt(t *testing.T) {
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.advanceWithPrimary(1, 200*ms)
-	f.advanceWithPrimary(0, 3*time.Second, 1, 2, 3) // all fall silent: no event comes but the clock's
+	f.advanceWithPrimary(0, 3*time.Second, 1, 2, 3) // all members are silent: only the clock causes events
 	if p := f.router.groups[0].handover.Status(f.now).Phase; p != handover.Electing {
-		t.Errorf("%v, 3 s behind the primary's silence", p)
+		t.Errorf("phase %v 3 s after the primary fell silent", p)
 	}
 }
--- a/logic/large_fleet_test.go
+++ b/logic/large_fleet_test.go
@@ -7,8 +7,8 @@
 	"havenproxy/internal/peers"
 )
 
-// large is a router of a tier of 400 proxies before many groups of four, of which it has heard nothing yet. Member 4g+1 is the primary of
-// group g.
+// newLargeProxy returns a proxy of a tier of 400 in front of many groups of four, none of which has been heard
+// from. Member 4g+1 is the primary of group g.
 func newLargeProxy(t *testing.T, groups int) *testProxy {
 	t.Helper()
 	cfg := testConfig()
@@ -22,7 +22,8 @@
 	return f
 }
 
-// passLarge lets time go by; checks are answered, by the first member of each group as its primary. It gives how many there were.
+// advanceLarge advances the clock and answers checks, with the first member of each group as its primary. It
+// returns the number of checks.
 func (f *testProxy) advanceLarge(d time.Duration) (checks int) {
 	for end := f.now + d; f.now < end; {
 		f.now += 10 * ms
@@ -45,8 +46,8 @@
 	return len(probed)
 }
 
-// Guards against incident 38: a check that was never sent, for want of a connection, made its member silent, told all peers so, and had
-// the member taken for a cold one later.
+// Guards against incident 38: a check that was never sent, for lack of a connection, made its member silent, was
+// reported to all peers as silence, and later had the member treated as cold.
 func TestACheckThatWasNeverSentSaysNothingOfItsMember(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
 	f.advance(2 * time.Second)
@@ -55,15 +56,15 @@
 	f.router.probe(f.now, m)
 	f.router.Probed(f.now, ProbeEnd{Member: 1, Result: NotSent})
 	if m.handover.Silent || m.probing || f.router.groups[0].primary != m {
-		t.Errorf("silent %v, a check out %v, primary %v", m.handover.Silent, m.probing, f.router.groups[0].primary == m)
+		t.Errorf("silent %v, check in flight %v, primary %v", m.handover.Silent, m.probing, f.router.groups[0].primary == m)
 	}
 	if f.now += 10 * ms; f.router.warmCapacity(f.now, m) != 1 {
-		t.Error("the member is taken for a cold one")
+		t.Error("the member counts as cold")
 	}
 }
 
-// Guards against incident 38: a new proxy checked each database of the list in its first 0.3 s, however many there were and whether or not
-// anybody asked for them.
+// Guards against incident 38: a new proxy checked every database of the list in its first 0.3 s, regardless of
+// their number and of whether any request needed them.
 func TestANewRouterChecksNoGroupThatNobodyAsksFor(t *testing.T) {
 	f := newLargeProxy(t, 800)
 	if n := f.advanceLarge(5 * time.Second); n != 0 {
@@ -80,8 +81,8 @@
 	}
 }
 
-// Guards against incident 38: at each tick the router looked at all members of groups without a known primary, most of a large list. What it
-// looks at is what is in use.
+// Guards against incident 38: at each tick the router checked all members of groups without a known primary, most
+// of a large list. It must only check what is in use.
 func TestWhatTheRouterLooksAtDoesNotGrowWithTheList(t *testing.T) {
 	looked := func(groups int) uint64 {
 		f := newLargeProxy(t, groups)
@@ -97,12 +98,12 @@
 	}
 	small, large := looked(50), looked(800)
 	if large > small*14/10 {
-		t.Errorf("%d looks at members with 3,200 of them, %d with 200; at most 1.4 times as many may be needed", large, small)
+		t.Errorf("%d member checks with 3,200 members, %d with 200; want at most 1.4 times as many", large, small)
 	}
 }
 
-// Guards against incident 38's mistake in what peers tell: where a thousand databases fall silent, a proxy checked each of them on its peers' word,
-// whether or not anybody asked for it.
+// Guards against the same fault as in incident 38 in the handling of peer reports: if a thousand databases fell
+// silent, a proxy checked each of them on its peers' reports, whether or not any request needed it.
 func TestAPeersWordOfSilenceHasOnlyGroupsInUseChecked(t *testing.T) {
 	f := newLargeProxy(t, 800)
 	f.advanceLarge(time.Second)
@@ -116,7 +117,7 @@
 	}
 	for _, m := range f.probes {
 		if f.router.members[m].Group != 7 {
-			t.Fatalf("%d checks, one of member %d, which nobody asks for", len(f.probes), m)
+			t.Fatalf("%d checks, one of member %d, which no request needs", len(f.probes), m)
 		}
 	}
 	if len(f.probes) == 0 {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -31,7 +31,7 @@
 	for i := 0; i < 40; i++ {
 		for _, c := range []int{classBounded, classSession, classAny} {
 			if s := f.serve(f.request(c, 0), ms); s.to == 1 {
-				t.Fatalf("class %d went to the primary though replicas qualify", c)
+				t.Fatalf("class %d went to the primary although replicas qualify", c)
 			}
 		}
 		for _, c := range []int{classGuarded, classUnsafe, classFresh} {
@@ -60,7 +60,7 @@
 		seen[f.serve(f.request(classSession, 0), 0).to]++
 	}
 	if seen[4] != 0 || seen[2] < 15 || seen[3] < 15 {
-		t.Errorf("sends by member %v: want 2 and 3 alike, 4 outside the window", seen)
+		t.Errorf("sends by member %v: want 2 and 3 alike, and none to 4, which is outside the window", seen)
 	}
 }
 
@@ -72,7 +72,7 @@
 			t.Fatalf("read %d went to %d, pinned to %d", i, s.to, first)
 		}
 	}
-	// Another member tells that it is the primary now: the pin is void.
+	// Another member now reports that it is the primary, which invalidates the pin.
 	other := MemberID(2)
 	if first == other {
 		other = 3
@@ -86,7 +86,7 @@
 		f.router.groups[0].handover.Says(f.now, f.router.members[other].handover, handover.Primary, f.now)
 	}
 	if !moved {
-		t.Error("the session stayed with its old replica through twelve changes of primary")
+		t.Error("the session kept its old replica during twelve changes of primary")
 	}
 }
 
@@ -96,13 +96,13 @@
 	f.now += 20 * ms
 	f.router.Outcome(f.now, Outcome{Request: w.id, Member: 1, Result: OK, Finished: true, Role: RolePrimary, Position: f.now})
 	if s := f.mustSend(f.request(classSession, 9)); s.to != 1 {
-		t.Errorf("the read went to replica %d, which is not known to hold the write", s.to)
+		t.Errorf("the read went to replica %d, which is not known to have the write", s.to)
 	}
 	f.advance(300 * ms)
-	f.request(classBounded, 0) // bounded reads make pings frequent
+	f.request(classBounded, 0) // bounded reads make pings more frequent
 	f.advance(1200 * ms)
 	if s := f.mustSend(f.request(classSession, 9)); s.to == 1 {
-		t.Error("the read still goes to the primary though replicas tell later positions")
+		t.Error("the read still goes to the primary although replicas report later positions")
 	}
 }
 
@@ -112,7 +112,7 @@
 		f.router.sessionCommits.add(SessionID(i+1), f.now+time.Duration(i))
 	}
 	if got := f.router.sessionToken(f.now, &Request{Session: 1}); got != f.now {
-		t.Errorf("a dropped session's token is %v, want the newest dropped commit %v", got, f.now)
+		t.Errorf("the token of an evicted session is %v, want the newest evicted commit %v", got, f.now)
 	}
 	if n := len(f.router.sessionCommits.entries); n != maxSessionEntries {
 		t.Errorf("%d commits kept, want %d", n, maxSessionEntries)
@@ -172,7 +172,7 @@
 	id := f.request(classUnsafe, 1)
 	f.wantFinal(id, "refused")
 	if f.sendCount(id) != 0 {
-		t.Error("a write was sent to a member that had just turned one away as a replica")
+		t.Error("a write was sent to a member that had just rejected one as a replica")
 	}
 }
 
@@ -208,12 +208,12 @@
 	f.advance(1195 * ms)
 	f.finishAttempt(f.mustSend(id), Failed)
 	if f.sendCount(id) != 1 {
-		t.Error("a keyed write was repeated after its window")
+		t.Error("a guarded write was retried after its deduplication window")
 	}
 	f.wantFinal(id, "failed")
 }
 
-// Silence: a member that owes answers and lets a ping pass is left, and its repeatable reads move.
+// A member that owes answers and misses a ping gets no more requests, and its repeatable reads are sent elsewhere.
 func TestSilentMemberLosesItsReads(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	var stuck []RequestID
@@ -231,7 +231,7 @@
 	f.advance(700*ms, 2)
 	for _, id := range stuck {
 		if f.sendCount(id) != 2 || f.mustSend(id).to == 2 {
-			t.Errorf("read %d: %d sends, the last to %d; want a second one elsewhere", id, f.sendCount(id), f.mustSend(id).to)
+			t.Errorf("read %d: %d sends, the last to %d; want a second one to another member", id, f.sendCount(id), f.mustSend(id).to)
 		}
 	}
 	for i := 0; i < 30; i++ {
@@ -251,7 +251,7 @@
 	}
 }
 
-// Fast failure: a member that fails quickly is benched, and gets one trial at a time.
+// A member that fails quickly is set aside and gets one trial request at a time.
 func TestFailingMemberGetsFewRequests(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	hits := 0
@@ -272,7 +272,7 @@
 	}
 }
 
-// Slow though pings are quick: a member whose answers run late gets less; its peers get the rest.
+// A member that answers pings quickly but requests late gets fewer requests, and its peers get the rest.
 func TestSlowMemberGetsLess(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	type flight struct {
@@ -305,27 +305,28 @@
 		inFlight = remaining
 	}
 	if got[3]*4 > got[2] || got[3] == 0 {
-		t.Errorf("sends by member %v: want member 3 at under a quarter of 2's, but not starved", got)
+		t.Errorf("sends by member %v: want member 3 at under a quarter of 2's, but not at zero", got)
 	}
 }
 
-// Long reads that stall applying go where bounded reads can't, from a router's first on.
+// Long reads that stall replication go to a replica that is too old for bounded reads, starting with a router's
+// first.
 func TestLongReadsGoToTheReplicaFurthestBehind(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 5)
-	for i := 0; i < 300; i++ { // long reads are a small part of the work
+	for i := 0; i < 300; i++ { // makes long reads a small part of the work
 		f.serve(f.request(classSession, 0), 100*ms)
 	}
 	first := f.mustSend(f.request(classAny, 0)).to
 	if again := f.mustSend(f.request(classAny, 0)).to; again != first {
-		t.Errorf("the first long reads went to %d and %d: two replicas stall", first, again)
+		t.Errorf("the first long reads went to %d and %d: want the same replica", first, again)
 	}
 	f.router.members[4].position = f.now - 3*time.Second
 	for i := 0; i < 2; i++ {
 		if s := f.mustSend(f.request(classAny, 0)); s.to != 4 {
-			t.Errorf("a long read went to %d, not to the straggler", s.to)
+			t.Errorf("a long read went to %d, not to the replica furthest behind", s.to)
 		}
 	}
-	f.router.members[4].Most = 0 // crowded: its peers stay in the filter all the same
+	f.router.members[4].Most = 0 // its limit is reached: its peers stay available for bounded reads all the same
 	id := f.request(classAny, 0)
 	f.wantFinal(id, "refused")
 }
@@ -344,7 +345,7 @@
 	}
 }
 
-// A member back from its start gets little at first, and no more than its peers' mean times its warmth.
+// A restarted member gets little traffic at first, at most its peers' mean times its fraction of capacity.
 func TestColdMemberGetsReducedTraffic(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 5)
 	for i := 0; i < 100; i++ {
@@ -360,7 +361,7 @@
 		f.advance(10 * ms)
 	}
 	if got[3]*2 > got[2] || got[3] == 0 {
-		t.Errorf("sends by member %v: want the cold one at under half of a warm one's", got)
+		t.Errorf("sends by member %v: want the cold member at under half of a warm one's", got)
 	}
 }
 
@@ -378,12 +379,12 @@
 	f.advance(400 * ms)
 	f.nextID++
 	f.router.Request(f.now, Request{ID: f.nextID, Class: classAny, Group: 8, Deadline: f.now + time.Second})
-	f.wantFinal(f.nextID, "refused") // a group with no members
+	f.wantFinal(f.nextID, "refused") // the group has no members
 	f.nextID++
 	f.router.Request(f.now, Request{ID: f.nextID, Class: 1000, Deadline: f.now + time.Second})
 	f.wantFinal(f.nextID, "failed")
 	s := f.mustSend(f.request(classBounded, 0))
-	f.router.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{readyMember(1)}}) // its member is gone
+	f.router.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{readyMember(1)}}) // the list no longer names the request's member
 	f.finishAttempt(s, OK)
 	f.finishAttempt(s, OK)
 	f.router.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{readyMember(1)}})
@@ -409,7 +410,7 @@
 	}
 }
 
-// Stuck: a member that answers pings but no requests gets no more than a trial, and its reads move.
+// A member that answers pings but no requests gets at most trial requests, and its reads are sent elsewhere.
 func TestUnresponsiveMemberThatAnswersPings(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
 	var writes []RequestID
@@ -425,7 +426,7 @@
 	id := f.request(classUnsafe, 1)
 	f.wantFinal(id, "refused")
 	if f.sendCount(id) != 0 {
-		t.Error("a write was sent to a primary that has answered none for longer than its aim")
+		t.Error("a write was sent to a primary that has not answered any for longer than their aim")
 	}
 	for _, w := range writes {
 		f.finishAttempt(f.mustSend(w), OK)
@@ -436,10 +437,11 @@
 	}
 }
 
-// Overload: where a limit is reached, the class that earns less for its work is shed first; below it none is.
+// Overload: once a limit is reached, the class with the lower worth for its work is shed first; below the limit
+// none is.
 func TestLeastMeritIsShedFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[classBounded].Worth = 0.1 // the same work as a session read's, a tenth of the worth
+	cfg.Classes[classBounded].Worth = 0.1 // the same work as a session read, for a tenth of the worth
 	f := newReadyProxy(t, cfg, 4)
 	for _, m := range f.router.memberOrder {
 		m.Most = 10
@@ -453,17 +455,17 @@
 		return refused
 	}
 	if n := shed(classBounded, 6); n != 0 {
-		t.Errorf("%d of 6 refused though members have room", n)
+		t.Errorf("%d of 6 refused although members have room", n)
 	}
 	if n := shed(classBounded, 40); n < 20 {
-		t.Errorf("%d of 40 cheap reads refused, want most", n)
+		t.Errorf("%d of 40 low-worth reads refused, want most", n)
 	}
 	if n := shed(classSession, 10); n != 0 {
-		t.Errorf("%d of 10 dear reads refused while room was kept for them", n)
+		t.Errorf("%d of 10 high-worth reads refused although room is kept for them", n)
 	}
 }
 
-// Clients that leave early: quick answers alone would show a crowded member as fine.
+// If clients leave early, the remaining quick answers alone would hide that the member is overloaded.
 func TestAbandonedRequestsReduceTheLimit(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 2)
 	m := f.router.members[2]
@@ -484,11 +486,11 @@
 		f.answerPings()
 	}
 	if m.Most > before/3 {
-		t.Errorf("limit %.1f of %.1f after two thirds of the clients left", m.Most, before)
+		t.Errorf("limit %.1f, initially %.1f, after two thirds of the clients left", m.Most, before)
 	}
 }
 
-// Overload: what a tenant asks beyond its share is shed before what others ask within theirs.
+// Overload: a tenant's requests beyond its quota are shed before those of tenants within theirs.
 func TestBeyondItsShareIsShedFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.OverShareWorth = []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 20}}, 0.1
@@ -509,11 +511,11 @@
 	ask(0, 40)
 	ask(1, 8)
 	if refused[0] < 15 || refused[1] > 0 {
-		t.Errorf("refused by tenant %v, want most of 0's beyond its share and none of 1's", refused)
+		t.Errorf("refused by tenant %v, want most of 0's beyond its quota and none of 1's", refused)
 	}
 }
 
-// Failures that strike all members alike bench nobody: a fifth lost must not become all refused.
+// Failures that affect all members alike set none aside: a loss of a fifth must not turn into refusing everything.
 func TestFailuresEverywhereBenchNobody(t *testing.T) {
 	f, benched := newReadyProxy(t, testConfig(), 6), 0
 	for i := 0; i < 600; i++ {
@@ -533,11 +535,11 @@
 		}
 	}
 	if benched > 60 {
-		t.Errorf("replicas were benched %d times in 500 requests", benched)
+		t.Errorf("replicas were set aside %d times in 500 requests", benched)
 	}
 }
 
-// Long reads leave room at their straggler by their merit: filled to its limit, most would time out there.
+// Long reads fill only their share of a replica's limit; if they filled all of it, most would time out there.
 func TestLongReadsFillOnlyTheirShareOfAReplica(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 5)
 	for i := 0; i < 300; i++ {
@@ -551,11 +553,11 @@
 		sent += f.sendCount(f.request(classAny, 0))
 	}
 	if sent == 0 || sent >= 4 {
-		t.Errorf("%d long reads sent at a limit of 4, want some and room left", sent)
+		t.Errorf("%d long reads sent at a limit of 4, want some, but not all", sent)
 	}
 }
 
-// A list named the new primary while the old one's own word was newer; then the new one speaks for itself.
+// The list names a new primary while the old one's own report is newer; then the new one reports its role itself.
 func TestNewestWordOfTwoPrimariesCounts(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListRole = ListRoleLate
@@ -565,35 +567,36 @@
 	f.router.members[2].handover.Role, f.router.members[2].handover.At = handover.Unknown, 0
 	f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{named}})
 	if s := f.serve(f.request(classFresh, 0), ms); s.to != 1 {
-		t.Fatalf("a late list outranked member 1's own word: sent to %d", s.to)
+		t.Fatalf("a delayed list took precedence over member 1's own report: sent to %d", s.to)
 	}
 	f.now += 5 * ms
 	f.router.observe(f.router.members[2], RolePrimary, f.now, f.now, f.now)
 	if s := f.mustSend(f.request(classFresh, 0)); s.to != 2 {
-		t.Errorf("sent to %d, though member 2's word is the newest", s.to)
+		t.Errorf("sent to %d, although member 2's report is the newest", s.to)
 	}
 }
 
-// Where lists are pushed, the agent's list counts as told from a process's first moment: what is known of it from the configuration may be
-// older, and name a database that drains.
+// If an agent on the machine has the list, the router must know that list from the start of its process: the list
+// known from the configuration may be older and name a database that drains.
 func TestAFreshRouterWaitsForTheAgentsList(t *testing.T) {
 	for _, probes := range []bool{true, false} {
 		cfg := testConfig()
 		cfg.ListOnRequest, cfg.ListFromAgent, cfg.EnableProbes = true, true, probes
-		f := newReadyProxy(t, cfg, 3) // by the configuration's list; all checks have been answered
+		f := newReadyProxy(t, cfg, 3) // from the configuration's list; all checks have been answered
 		early := f.request(classAny, 0)
 		if _, sent := f.lastSend(early); sent {
-			t.Fatal("sent before the agent has been heard")
+			t.Fatal("sent before the agent's list arrived")
 		}
 		f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: 2, State: Draining}, {ID: 1, State: Draining}}})
 		f.advance(20 * ms)
 		if s := f.mustSend(early); s.to != 3 {
-			t.Errorf("probes %v: sent to %d, which drains", probes, s.to)
+			t.Errorf("probes %v: sent to %d, which is draining", probes, s.to)
 		}
 	}
 }
 
-// An agent that fails, or says nothing, holds nobody up for long; and where lists are asked for there is nothing to wait for.
+// An agent whose call fails, or that does not answer, delays requests only briefly; without an agent there is no
+// delay.
 func TestNewRouterStopsWaitingForTheList(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListOnRequest, cfg.ListFromAgent = true, true
--- a/logic/peers_test.go
+++ b/logic/peers_test.go
@@ -13,12 +13,13 @@
 	return cfg
 }
 
-// word is a peer's fact of a member.
+// peerReport delivers a peer's report on a member.
 func (f *testProxy) peerReport(id MemberID, role peers.Role, status peers.Status, lag time.Duration) {
 	f.router.PeerReports(f.now, []peers.Report{{Database: peers.ShortID(uint64(id)), Role: role, Status: status, At: f.now, Position: f.now - lag}})
 }
 
-// Each of 80 proxies held nearly every bounded read for a ping of its own, 1.3 pings a request.
+// Guards against low traffic at many proxies: each of 80 held nearly every bounded read for a ping of its own, 1.3
+// pings a request.
 func TestAPeersWordSparesThePing(t *testing.T) {
 	f := newReadyProxy(t, gossipConfig(), 4)
 	f.advance(400 * ms)
@@ -28,11 +29,12 @@
 		f.peerReport(id, peers.Replica, peers.Healthy, 60*ms)
 	}
 	if s := f.mustSend(f.request(classBounded, 1)); s.to == 1 || len(f.probes) > 0 {
-		t.Fatalf("sent to %d, %d pings, though a peer has told of recent replicas", s.to, len(f.probes))
+		t.Fatalf("sent to %d, %d pings, although a peer has reported recent replicas", s.to, len(f.probes))
 	}
 }
 
-// A member that a peer finds silent is pinged at once, and used until its own ping says so: the peer may be the one that is cut off.
+// A member that a peer reports as silent is pinged at once, but used until its own ping fails: the peer may be the
+// one that is cut off.
 func TestReportedSilenceTriggersAPing(t *testing.T) {
 	f := newReadyProxy(t, gossipConfig(), 4)
 	f.advance(400 * ms)
@@ -43,14 +45,14 @@
 	if len(f.probes) != 1 || f.probes[0] != 2 || f.router.members[2].handover.Silent {
 		t.Fatalf("pings %v, silent %v", f.probes, f.router.members[2].handover.Silent)
 	}
-	f.peerReport(1, peers.Replica, peers.Silent, 0) // a role from before that failure
+	f.peerReport(1, peers.Replica, peers.Silent, 0) // a role from before the failure
 	if f.router.members[1].role() != RolePrimary {
-		t.Error("a word of silence has changed a role")
+		t.Error("a report of silence has changed a role")
 	}
 }
 
-// Failures are counted with those that peers tell, and a replica that fails is tried by few of them: each by itself takes two or three
-// failures to see it, and tries it once a second, which with thin traffic is always.
+// Failures reported by peers count, and a failing replica is tried by few proxies. Each proxy alone takes two or
+// three failures to notice it and tries it once a second, which under low traffic is always.
 func TestReportedFailuresCount(t *testing.T) {
 	f := newReadyProxy(t, gossipConfig(), 4)
 	f.advance(400 * ms)
@@ -59,15 +61,15 @@
 	}
 	m := f.router.members[2]
 	if f.router.usable(m, f.now) {
-		t.Fatal("a replica that fails at every peer is used")
+		t.Fatal("a replica that fails at every peer is still used")
 	}
 	f.now += 1100 * ms
 	if f.router.usable(m, f.now) != (f.now >= f.router.members[2].outlier.Until()) {
-		t.Error("it is tried once a second by each")
+		t.Error("the replica is tried once a second by each proxy")
 	}
 }
 
-// A primary that fails often is used all the same, between its trials too: nobody else can take its place.
+// A primary that fails often stays in use, even between its trials: no other member can replace it.
 func TestAFailingPrimaryIsUsed(t *testing.T) {
 	f := newReadyProxy(t, gossipConfig(), 4)
 	f.advance(400 * ms)
@@ -76,24 +78,24 @@
 	}
 	m := f.router.members[1]
 	if !f.router.failures.More(&m.outlier) || m.outlier.Trial(f.now) {
-		t.Fatal("it doesn't count as failing, or is at its trial")
+		t.Fatal("the primary does not count as failing, or is due for a trial")
 	}
 	if !f.router.usable(m, f.now) {
-		t.Error("a primary that fails often is all there is, and is not used")
+		t.Error("a primary that fails often is not used, although nothing can replace it")
 	}
 	if s := f.mustSend(f.request(classGuarded, 0)); s.to != 1 {
 		t.Errorf("a write went to %d", s.to)
 	}
 }
 
-// A member that has not been heard of is pinged within the time that a fresh front waits, one that a peer knows is not.
+// An unknown member is pinged within the startup hold of a new proxy, unless a peer reports on it first.
 func TestFirstPingsAreSpread(t *testing.T) {
 	cfg := gossipConfig()
 	f := newTestProxy(t, cfg)
 	f.listMembers(ListFull, 6)
 	f.router.Timer(f.now, tickTimer)
 	if len(f.probes) == 6 {
-		t.Fatal("all are pinged at once")
+		t.Fatal("all members are pinged at once")
 	}
 	f.peerReport(6, peers.Replica, peers.Healthy, 60*ms)
 	spared := f.router.members[6].probedAt == 0
@@ -105,8 +107,9 @@
 	}
 }
 
-// Six in ten databases are replaced at once: the new ones are listed beside the old, which drain. Counted among those that share a group's
-// work, the old ones halved what each new one was given, and it was refused instead.
+// Six in ten databases are replaced at once: the new ones are listed beside the old ones, which drain. When the
+// old ones counted among the members that share a group's work, each new one was given half of its part and
+// requests were refused.
 func TestDrainingMembersDoNotShareWork(t *testing.T) {
 	f := newReadyProxy(t, gossipConfig(), 4)
 	g := f.router.groups[f.router.groupOrder[0]]
@@ -117,21 +120,21 @@
 		f.drain(id)
 	}
 	if n := f.router.sharingMembers(g); n != 1 {
-		t.Errorf("%v share the work of a group of which one is ready", n)
+		t.Errorf("%v members share the work of a group with one ready member", n)
 	}
 }
 
-// The price of a fact grows with those that it is told to: 300 proxies tell a position half as often as 80 do.
+// The cost of a report grows with the number of its receivers: 300 proxies send a position half as often as 80.
 func TestManyProxiesSendPositionsLessOften(t *testing.T) {
 	for _, x := range []struct{ proxies, told int }{{80, 4}, {300, 2}, {3000, 2}} {
 		cfg := gossipConfig()
 		cfg.Proxies = x.proxies
 		f := newReadyProxy(t, cfg, 4)
 		sent := 0
-		for range 4 { // a position each period of pings
+		for range 4 { // one position per ping period
 			f.now += f.router.pingSchedule.Shortest()
 			f.router.gossip.Observe(f.now, 2, peers.Replica, f.now, f.now)
-			f.now += f.router.pingSchedule.Shortest() / 2 // its turn
+			f.now += f.router.pingSchedule.Shortest() / 2 // when it is due
 			for _, report := range f.router.gossip.NextMessage(f.now) {
 				if report.Database == peers.ShortID(2) {
 					sent++
@@ -140,7 +143,7 @@
 			f.now -= f.router.pingSchedule.Shortest() / 2
 		}
 		if sent != x.told {
-			t.Errorf("%d proxies: told %d times in four periods, %d expected", x.proxies, sent, x.told)
+			t.Errorf("%d proxies: position sent %d times in four periods, want %d", x.proxies, sent, x.told)
 		}
 	}
 }
--- a/logic/plan_test.go
+++ b/logic/plan_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// asked lets many callers ask once each and tells which the plan turns away. What becomes of the others is the rest of
-// the router's business.
+// requestOnce has many clients send one request each and returns which of them the plan sheds. The other requests
+// are not followed further.
 func requestOnce(f *testProxy, clients int, class int) (shed []bool) {
 	for i := range clients {
 		f.nextID++
@@ -43,23 +43,24 @@
 	setPlan(f, 0.2)
 	strict := requestOnce(f, 2000, classAny)
 	if a, b := admittedShare(mild), admittedShare(strict); math.Abs(a-0.6) > 0.04 || math.Abs(b-0.2) > 0.04 {
-		t.Errorf("admitted %.3f and %.3f", a, b)
+		t.Errorf("admitted %.3f and %.3f, want 0.6 and 0.2", a, b)
 	}
 	for i := range mild {
 		if mild[i] && !strict[i] {
-			t.Fatalf("caller %d is shed by the milder plan and not by the stricter", i)
+			t.Fatalf("client %d is shed by the milder plan but not by the stricter", i)
 		}
 	}
 	if admittedShare(requestOnce(f, 100, classBounded)) != 1 {
-		t.Error("a class that the plan admits whole is shed")
+		t.Error("requests of a class that the plan admits in full are shed")
 	}
 	f.router.SetAdmission(0, nil)
 	if admittedShare(requestOnce(f, 100, classAny)) != 1 {
-		t.Error("without a plan something is shed")
+		t.Error("requests are shed without a plan")
 	}
 }
 
-// Tries of one caller don't average the shed away; with time the draw turns, so that nobody is cut off for good.
+// Retries of a client do not defeat the plan, but clients are drawn anew over time so that none is refused for
+// good.
 func TestAdmissionDecisionIsStableThenRedrawn(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	setPlan(f, 0.5)
@@ -73,8 +74,8 @@
 			}
 		}
 	}
-	if same < 5*400*97/100 { // a few turn in this time
-		t.Errorf("%d of 2000 tries had the answer of the first", same)
+	if same < 5*400*97/100 { // a few are drawn anew in this time
+		t.Errorf("%d of 2000 retries had the result of the first try", same)
 	}
 	ever := make([]bool, 400)
 	for range 12 {
@@ -90,11 +91,12 @@
 		}
 	}
 	if turned < 395 {
-		t.Errorf("%d of 400 callers were admitted within three minutes", turned)
+		t.Errorf("%d of 400 clients were admitted within three minutes", turned)
 	}
 }
 
-// One that sends most of the traffic is shed by parts of its requests, for it can't be had in part otherwise.
+// A client that sends most of the traffic is admitted for a part of its requests, since otherwise it would be
+// admitted or refused as a whole.
 func TestHeavyClientIsAdmittedInPart(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	setPlan(f, 0.5)
@@ -107,7 +109,7 @@
 		n++
 	}
 	if part := float64(admitted) / float64(n); part < 0.3 || part > 0.7 {
-		t.Errorf("%.2f of its requests were admitted, half was planned", part)
+		t.Errorf("%.2f of its requests were admitted, want about half", part)
 	}
 }
 
@@ -121,13 +123,13 @@
 		f.now += 50 * ms
 	}
 	f.router.GroupStats(f.now, 0, &stats)
-	// The table of refusals is small: some are pushed out by others and count again.
+	// The table of refusals is small: some entries are displaced by others and count again.
 	if c := stats.Classes[classAny]; c.Offered+c.Retries != 1000 || c.Offered > 650 || c.Shed > c.Offered {
 		t.Errorf("%+v", c)
 	}
 }
 
-// A shed request is told when to come back, within what clients heed, and not all at one moment.
+// The hint of a shed request is within what clients respect, and spread over time.
 func TestRetryAfterOfShedRequestsIsSpread(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 4)
 	setPlan(f, 0)
--- a/logic/refusal_test.go
+++ b/logic/refusal_test.go
@@ -7,31 +7,33 @@
 	"havenproxy/internal/peers"
 )
 
-// The bound that this file holds: of a tier's proxies, few may refuse all requests for so long, so many of them, with no attempt in between.
+// Bound that this file checks: only a few of a tier's proxies may refuse that many consecutive requests over that
+// much time without an attempt in between.
 const (
 	refusalSpan    = 4 * time.Second
 	refusalCount   = 15
-	refusalDivisor = 10 // one proxy in so many may
+	refusalDivisor = 10 // at most one proxy in this many
 )
 
-// thinProxy is one proxy of a large tier, with a few requests a second, whose attempts end as the test says.
+// thinProxy is one proxy of a large tier, with a few requests per second, whose attempts end as the test
+// specifies.
 type thinProxy struct {
 	*testProxy
 	result       Result        // of attempts
 	took         time.Duration // until they end
-	pingsLost    bool          // pings have no answer either
-	queue        float64       // what members report to be waiting
-	faultStays   bool          // they go on so
-	inFlight     []sentAttempt // under way, the oldest first
+	pingsLost    bool          // pings are not answered either
+	queue        float64       // reported by the members
+	faultStays   bool          // the fault continues during the measurement
+	inFlight     []sentAttempt // oldest first
 	steps        int
-	connOpenedAt time.Duration // when the connections came up
+	connOpenedAt time.Duration // when the connections were opened
 
 	refused int // since the last attempt
 	since   time.Duration
-	longest time.Duration // without an attempt, over refusalCount requests
+	longest time.Duration // longest time without an attempt, over refusalCount requests or more
 }
 
-// run lets time pass, with five requests a second of all classes.
+// run advances the clock, with five requests per second of all classes.
 func (s *thinProxy) run(d time.Duration) {
 	const step, every = 10 * ms, 20 // in steps
 	for end := s.now + d; s.now < end; {
@@ -63,7 +65,7 @@
 	s.refused, s.since = 0, s.now
 }
 
-// pings answers them, or lets them go by.
+// answerPings answers the pings, or has them time out.
 func (s *thinProxy) answerPings() {
 	probed := s.probes
 	s.probes = nil
@@ -79,14 +81,14 @@
 	}
 }
 
-// startAnew lists members as started now.
+// restart lists members as started now.
 func (s *thinProxy) restart(ids ...MemberID) {
 	for _, id := range ids {
 		s.router.Members(s.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: id, State: Ready, StartedAt: s.now}}})
 	}
 }
 
-// measure lets members serve from now on, unless what they do is to stay, and begins to measure.
+// measure ends the members' fault, unless it is to continue, and starts the measurement.
 func (s *thinProxy) measure() {
 	if !s.faultStays {
 		s.result, s.took, s.pingsLost, s.queue = OK, 10*ms, false, 0
@@ -94,7 +96,8 @@
 	s.refused, s.since, s.longest = 0, s.now, 0
 }
 
-// Whatever a proxy went through, by its own fault or its network's, it does not go on refusing all that comes once the databases serve it.
+// Whatever a proxy has been through, by its own fault or its network's, it must not keep refusing everything once
+// the databases serve it.
 func TestFewProxiesRefuseAllWhileDatabasesServe(t *testing.T) {
 	const proxies, members = 300, 6
 	for name, c := range map[string]func(s *thinProxy){
@@ -168,9 +171,9 @@
 					over++
 				}
 			}
-			t.Logf("%d of %d proxies refused all for over %v; at most %v", over, seeds, refusalSpan, none)
+			t.Logf("%d of %d proxies refused everything for over %v; longest %v", over, seeds, refusalSpan, none)
 			if over*refusalDivisor > seeds {
-				t.Errorf("%d of %d proxies refused all for %v", over, seeds, refusalSpan)
+				t.Errorf("%d of %d proxies refused everything for %v", over, seeds, refusalSpan)
 			}
 		})
 	}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-const answerGrace = 20 * ms // a final answer this long past its deadline still counts
+const answerGrace = 20 * ms // a final answer this long after its deadline is still accepted
 
-// world makes up legal event sequences and checks the rules from outside, at every action. It knows the truth
-// about each member; the router only gets what a front would be told.
+// simulation generates random legal event sequences and checks the routing rules from outside at every action. It
+// knows the true state of each member; the router only gets what a proxy would report to it.
 type simulation struct {
 	t            *testing.T
 	rng          *rand.Rand
@@ -25,9 +25,9 @@
 	timers       []time.Duration
 	nextID       RequestID
 	sends        int
-	commits      map[SessionID]time.Duration // the newest answered commit of each session
+	commits      map[SessionID]time.Duration // latest answered commit of each session
 	violation    string
-	stalledUntil time.Duration // the front stood still until then: what is late by it is not its fault
+	stalledUntil time.Duration // the proxy was stalled until then, so delays up to then are not the router's fault
 }
 
 type simMember struct {
@@ -37,9 +37,9 @@
 	position     time.Duration
 	lag          time.Duration
 	state        MemberState
-	maybePrimary bool // has been primary, and no answer has told otherwise
+	maybePrimary bool // has been primary, and no answer has reported otherwise since
 	silent       bool
-	drained      bool // the front's list said that it drains, and has not called it ready since
+	drained      bool // the list named it as draining, and has not named it as ready since
 }
 
 type simRequest struct {
@@ -76,13 +76,13 @@
 			return m
 		}
 	}
-	if id == 900 { // listed, but nothing is there
+	if id == 900 { // listed, but not running
 		return &simMember{id: id, group: 1, silent: true, maybePrimary: true, state: Ready}
 	}
 	return nil
 }
 
-// settle moves the members' logs on.
+// advance advances the clock and the members' logs.
 func (w *simulation) advance(d time.Duration) {
 	w.now += d
 	for _, m := range w.members {
@@ -102,23 +102,23 @@
 		w.fail("unknown request or member")
 		return
 	case q.done:
-		w.fail("sent after the end")
+		w.fail("sent after the final answer")
 	case m.group != q.Group:
 		w.fail("outside the group")
 	case w.cfg.IgnoreGone && m.drained, !w.cfg.IgnoreGone && m.state != Ready:
-		w.fail("drain")
+		w.fail("sent to a member that drains")
 	case len(q.attempts) >= w.cfg.MaxAttempts:
-		w.fail("attempts")
+		w.fail("too many attempts")
 	}
 	for _, a := range q.attempts {
 		if a.open && !w.cfg.ParallelAttempts {
-			w.fail("two at once")
+			w.fail("two attempts at once")
 		}
 		if q.class.Effect == Idempotent || !a.open && !a.mayRun {
 			continue
 		}
 		if q.class.Effect == SingleShot || w.now-a.sent > q.class.DedupWindow {
-			w.fail("effect twice")
+			w.fail("executed twice")
 		}
 	}
 	if !m.maybePrimary && w.cfg.LagCheck == LagCheckNone {
@@ -149,7 +149,7 @@
 	q := w.requests[id]
 	for _, a := range q.attempts {
 		if q.class.Effect != Idempotent && (a.open || a.mayRun) {
-			w.fail("refused though it may have run")
+			w.fail("refused although it may have run")
 		}
 	}
 	w.recordFinal(q)
@@ -198,24 +198,25 @@
 	l := MemberList{Kind: kind}
 	for _, m := range w.members {
 		e := Member{ID: m.id, Group: m.group, State: m.state}
-		// A list may only name one that has been primary; in this world it is right or silent.
+		// A list may only name a member as primary that has been one; in this simulation it is right or names
+		// none.
 		e.Primary = w.cfg.ListRole != ListRoleNone && m.role == RolePrimary
 		m.drained = m.state == Draining || m.drained && m.state != Ready
 		if m.state != Gone || kind == ListDelta {
 			l.Entries = append(l.Entries, e)
 		}
 	}
-	if kind == ListFull && w.rng.IntN(3) == 0 { // members that don't exist, and one named twice
+	if kind == ListFull && w.rng.IntN(3) == 0 { // a member that does not exist, and one listed twice
 		l.Entries = append(l.Entries, Member{ID: 900, Group: 1, State: Ready}, l.Entries[0])
 	}
 	w.r.Members(w.now, l)
 }
 
-// trouble changes the world: lag, silence, drains, restarts, changes of primary.
+// injectFault changes the true state: lag, silence, drains, restarts, changes of primary.
 func (w *simulation) injectFault() {
 	m := w.members[w.rng.IntN(len(w.members))]
 	switch w.rng.IntN(8) {
-	case 6: // the list calls all gone, though nothing is; without DrainOnly that binds
+	case 6: // the list names no members although they run; without IgnoreGone that is binding
 		if w.cfg.IgnoreGone {
 			w.r.Members(w.now, MemberList{Kind: ListFull})
 		}
@@ -242,7 +243,7 @@
 	}
 }
 
-// queue is what a member reports to be waiting, sensible or not.
+// reportedQueue returns the queue that a member reports, plausible or not.
 func (w *simulation) reportedQueue() float64 {
 	return []float64{-1, 0, 0, 0, 3, 1e300, math.NaN(), math.Inf(1)}[w.rng.IntN(8)]
 }
@@ -366,7 +367,7 @@
 			t.Errorf("seed %d: %s at %v", seed, broken, w.now)
 		}
 		if w.sends < 250 {
-			t.Errorf("seed %d: only %d sends: the day tests nothing", seed, w.sends)
+			t.Errorf("seed %d: only %d sends, too few for a test", seed, w.sends)
 		}
 	}
 }
@@ -380,13 +381,13 @@
 	})
 }
 
-// The checker itself must see a broken rule.
+// The checker itself must detect violations.
 func TestCheckerDetectsViolations(t *testing.T) {
 	for want, act := range map[string]func(w *simulation, q *simRequest){
-		"sent after the end": func(w *simulation, q *simRequest) { q.done = true; w.Send(q.ID, 1, 0) },
-		"drain":              func(w *simulation, q *simRequest) { w.members[1].state = Draining; w.Send(q.ID, 2, 0) },
-		"outside the group":  func(w *simulation, q *simRequest) { w.Send(q.ID, 9, 0) },
-		"effect twice": func(w *simulation, q *simRequest) {
+		"sent after the final answer":  func(w *simulation, q *simRequest) { q.done = true; w.Send(q.ID, 1, 0) },
+		"sent to a member that drains": func(w *simulation, q *simRequest) { w.members[1].state = Draining; w.Send(q.ID, 2, 0) },
+		"outside the group":            func(w *simulation, q *simRequest) { w.Send(q.ID, 9, 0) },
+		"executed twice": func(w *simulation, q *simRequest) {
 			q.class.Effect = SingleShot
 			w.cfg.ParallelAttempts = true
 			w.Send(q.ID, 1, 0)
@@ -401,20 +402,20 @@
 			q.class.Read, q.token = Session, w.now
 			w.Send(q.ID, 2, 0)
 		},
-		"final answer late or twice":     func(w *simulation, q *simRequest) { w.Fail(q.ID); w.Fail(q.ID) },
-		"refused though it may have run": func(w *simulation, q *simRequest) { q.class.Effect = Guarded; w.Send(q.ID, 1, 0); w.Refuse(q.ID, 0) },
+		"final answer late or twice":       func(w *simulation, q *simRequest) { w.Fail(q.ID); w.Fail(q.ID) },
+		"refused although it may have run": func(w *simulation, q *simRequest) { q.class.Effect = Guarded; w.Send(q.ID, 1, 0); w.Refuse(q.ID, 0) },
 	} {
 		w := newSimulation(t, 3)
 		q := &simRequest{Request: Request{ID: 1, Group: 0, Deadline: w.now + time.Second}, class: Class{Read: Any, Limit: time.Second}}
 		w.requests[1] = q
 		w.cfg.MaxAttempts = 8
 		if act(w, q); w.violation != want {
-			t.Errorf("the checker says %q, want %q", w.violation, want)
+			t.Errorf("the checker reports %q, want %q", w.violation, want)
 		}
 	}
 }
 
-// State must not grow with the length of a run: sessions, requests and replaced members all end.
+// State must not grow with the length of a run: sessions, requests and replaced members are all removed.
 func BenchmarkRequest(b *testing.B) {
 	r, _ := New(testConfig(), silentActions{})
 	now := 100 * time.Second
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Tests for fronts among many, each of which sees little. Every one names the failure it stands for.
+// Tests of proxies in large tiers, each of which sees little traffic. Each comment names the failure that its test
+// guards against.
 
 func manyProxies() Config {
 	cfg := testConfig()
@@ -13,7 +14,8 @@
 	return cfg
 }
 
-// countProbes lets a second pass at a time and counts the pings, which are answered.
+// countProbes advances the clock in steps of about half a second, counts the pings and answers them. It calls
+// afterEach after each step.
 func (f *testProxy) countProbes(d time.Duration, afterEach func()) (n int) {
 	for end := f.now + d; f.now < end; {
 		for i := 0; i < 50; i++ {
@@ -29,45 +31,45 @@
 	return n
 }
 
-// Pings of 170 fronts at the design's periods came to 7 to 11 for each request. With two fronts the periods stay.
+// Periodic pings of 170 proxies amounted to 7 to 11 per request. With two proxies the periods stay.
 func TestPingsFollowNeedWhereTrafficIsThin(t *testing.T) {
 	f := newReadyProxy(t, manyProxies(), 6)
 	requests := 0
 	pings := f.countProbes(30*time.Second, func() {
 		requests++
 		if s := f.serve(f.requestAndAnswerPings(classBounded), 5*ms); s.to == 1 {
-			t.Error("a bounded read went to the primary though a ping would show a recent replica")
+			t.Error("a bounded read went to the primary although a ping would find a recent replica")
 		}
 	})
 	if pings > 2*requests {
-		t.Errorf("%d pings for %d requests at one of many fronts", pings, requests)
+		t.Errorf("%d pings for %d requests at one of many proxies", pings, requests)
 	}
 	few := newReadyProxy(t, testConfig(), 6)
 	pings = few.countProbes(30*time.Second, func() { few.serve(few.requestAndAnswerPings(classBounded), 5*ms) })
-	if want := 30 * 4 * 5; pings < want { // five replicas, each quarter of 800 ms or a little later
-		t.Errorf("%d pings at one of two fronts, want at least %d", pings, want)
+	if want := 30 * 4 * 5; pings < want { // five replicas, each pinged at a quarter of 800 ms or a little later
+		t.Errorf("%d pings at one of two proxies, want at least %d", pings, want)
 	}
 }
 
-// askAndPong sends a request in and answers the pings that it causes.
+// requestAndAnswerPings submits a request and answers the pings that it triggers.
 func (f *testProxy) requestAndAnswerPings(class int) RequestID {
 	id := f.request(class, 0)
 	f.answerPings()
 	return id
 }
 
-// A read that waits for a ping must not wait for long where none of the asked members answers.
+// A read that waits for a ping must not wait for long if none of the pinged members answers.
 func TestReadAwaitingPingMovesOn(t *testing.T) {
 	f := newReadyProxy(t, manyProxies(), 3)
 	f.advance(2 * time.Second)
 	id := f.request(classBounded, 0)
 	f.advance(100*ms, 2, 3)
 	if s := f.mustSend(id); s.to != 1 || s.at > f.now-20*ms {
-		t.Errorf("sent to %d at %v before now; want the primary within two short waits", s.to, f.now-s.at)
+		t.Errorf("sent to %d, %v ago; want the primary after two ping waits at most", s.to, f.now-s.at)
 	}
 }
 
-// On a quiet day limits shared by many fronts refused a part of all requests.
+// Under low traffic, limits shared by many proxies refused a part of all requests.
 func TestLowTrafficIsNotRefused(t *testing.T) {
 	for _, fronts := range []int{0, 1, 2, 40, 200, 100000} {
 		cfg := testConfig()
@@ -80,17 +82,17 @@
 			f.answerPings()
 			f.advance(10 * ms)
 			if f.sendCount(id) != 1 {
-				t.Fatalf("%d fronts: class %d sent %d times, end %q", fronts, class, f.sendCount(id), f.finals[id])
+				t.Fatalf("%d proxies: class %d sent %d times, final answer %q", fronts, class, f.sendCount(id), f.finals[id])
 			}
 			f.serve(id, cfg.Classes[class].Aim/8)
 		}
 	}
 }
 
-// Fronts that each sent a returned member one request together pushed it over. The sum of what many seeded
-// routers send in any three seconds must stay within what the member can bear.
+// Proxies that each sent one request to a returned member overloaded it together. The sum of what many routers
+// with different seeds send in any three seconds must stay within what the member can bear.
 func TestColdMemberIsSentItsShareByAllFronts(t *testing.T) {
-	const fronts, members, perSecond = 150, 6, 300 // all fronts; each warm replica gets about 60 reads a second
+	const fronts, members, perSecond = 150, 6, 300 // all proxies; each warm replica gets about 60 reads per second
 	cfg := manyProxies()
 	cfg.Proxies = fronts
 	sent, warm := 0, 0
@@ -120,13 +122,15 @@
 			}
 		}
 	}
-	// Its capacity over the three seconds is between 0.16 and 0.32 of a warm one's; three times that is allowed.
+	// Over the three seconds its capacity is between 0.16 and 0.32 of a warm member's; three times that is
+	// allowed.
 	if limit := float64(warm) * 0.24 * 3; float64(sent) > limit || sent == 0 {
-		t.Errorf("%d reads at the cold member in 3 s, %d at a warm one; at most %.0f allowed, and some wanted", sent, warm, limit)
+		t.Errorf("%d reads at the cold member in 3 s, %d at a warm one; want some, and %.0f at most", sent, warm, limit)
 	}
 }
 
-// A list that called all members gone, while all served, refused everything. Where gone binds it goes on binding.
+// A list that named all members as gone, although all were serving, had everything refused. Without IgnoreGone it
+// must still be binding.
 func TestListThatDoesNotBindIsNoProof(t *testing.T) {
 	var gone []Member
 	for id := MemberID(1); id <= 4; id++ {
@@ -140,7 +144,7 @@
 			f.router.Members(f.now, l)
 			f.advance(500 * ms)
 			if id := f.request(classAny, 0); (f.sendCount(id) == 1) != only {
-				t.Errorf("drain alone binds %v: %d sends after the list named nobody", only, f.sendCount(id))
+				t.Errorf("IgnoreGone %v: %d sends after the list named no members", only, f.sendCount(id))
 			}
 		}
 	}
@@ -156,7 +160,7 @@
 	}
 }
 
-// Members that a non-binding list leaves out and that have been silent for long are forgotten.
+// Members that a non-binding list no longer names and that have long been silent are removed.
 func TestUnlistedSilentMembersAreRemoved(t *testing.T) {
 	cfg := testConfig()
 	cfg.IgnoreGone = true
@@ -174,8 +178,8 @@
 	}
 }
 
-// A fifth of all answers got lost while pings passed: reads ended at their deadlines. On an ordinary day, with
-// slow answers now and then, there are no copies; nor where answers come late.
+// A fifth of all answers were lost while pings passed, and reads ended at their deadlines. In normal operation
+// with occasional slow answers, and where all answers are late, no copies are sent.
 func TestLostAnswersGetCopies(t *testing.T) {
 	copies := func(latency func(i int) time.Duration) (n, refused int) {
 		f := newReadyProxy(t, testConfig(), 5)
@@ -221,15 +225,15 @@
 		}
 		return quick(i)
 	}); n != 0 {
-		t.Errorf("%d copies on an ordinary day", n)
+		t.Errorf("%d copies in normal operation", n)
 	}
 	if n, _ := copies(func(i int) time.Duration { return time.Duration(300+i%5*50) * ms }); n != 0 {
-		t.Errorf("%d copies where all answers come late", n)
+		t.Errorf("%d copies where all answers are late", n)
 	}
 }
 
-// Slowed replicas fell behind, and every front spilled to primaries whose queues it could have seen. Answers of
-// its own that come in time outrank the report.
+// Slowed replicas fell behind, and every proxy sent their reads to primaries whose queues it could have seen.
+// Later answers in time to this proxy take precedence over a report.
 func TestReportedQueueGuards(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
 	report := func(m MemberID, queue float64) {
@@ -249,13 +253,13 @@
 		used = used || f.serve(f.request(classAny, 0), 0).to == 2
 	}
 	if !used {
-		t.Error("a report still shuts a member that has answered in time since")
+		t.Error("a report still excludes a member that has answered in time since")
 	}
 	report(2, 5)
 	report(3, 5)
 	f.router.members[1].queueLength, f.router.members[1].queueReportedAt = 5, f.now
 	if id := f.request(classAny, 0); f.sendCount(id) != 0 {
-		t.Error("a read was sent though every member reports requests waiting")
+		t.Error("a read was sent although every member reports waiting requests")
 	}
 	f.now += 2 * time.Second
 	if f.router.overloaded(f.now, f.router.members[2], 1) {
@@ -263,7 +267,7 @@
 	}
 }
 
-// A front that stood still found its own timer before the pongs that had come meanwhile.
+// A stalled proxy handled its own timer before the ping answers that had arrived in the meantime.
 func TestStandingStillIsNotTheMembersSilence(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
 	for len(f.probes) == 0 {
@@ -274,22 +278,22 @@
 	f.router.Timer(f.now, tickTimer)
 	for _, m := range f.router.memberOrder {
 		if m.handover.Silent {
-			t.Fatalf("member %d counts as silent for a second in which nobody listened", m.ID)
+			t.Fatalf("member %d counts as silent for a second in which the proxy was stalled", m.ID)
 		}
 	}
 	f.advance(20 * ms)
 	if id := f.request(classUnsafe, 1); f.sendCount(id) != 1 {
-		t.Error("a write was not sent after standing still")
+		t.Error("a write was not sent after a stall")
 	}
 }
 
-// A primary that was silent for a moment and returned unchanged voided all pins of its group.
+// A primary that was silent for a moment and returned unchanged invalidated all pins of its group.
 func TestPinsOutliveASilentPrimary(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 6)
 	pinned := f.serve(f.request(classSession, 5), 10*ms).to
 	f.advance(1500*ms, 1)
 	if f.router.groups[0].primary != nil {
-		t.Fatal("the primary is not missed")
+		t.Fatal("the silent primary is still taken for reachable")
 	}
 	f.router.members[1].probing = false
 	f.advance(1200 * ms)
@@ -303,9 +307,9 @@
 	}
 }
 
-// Retry tokens were spent also where no member could be chosen.
+// Retry tokens were also spent when no member could be chosen.
 func TestRetryTokensAreSpentBySendsOnly(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 1) // the primary alone: no second member
+	f := newReadyProxy(t, testConfig(), 1) // only the primary: there is no second member
 	before := f.router.retryTokens
 	for i := 0; i < 20; i++ {
 		f.finishAttempt(f.mustSend(f.request(classAny, 0)), Reset)
@@ -313,12 +317,12 @@
 		f.advance(2 * time.Second)
 	}
 	if f.router.retryTokens < before {
-		t.Errorf("%v tokens left of %v without a second attempt", f.router.retryTokens, before)
+		t.Errorf("%v retry tokens left of %v without a second attempt", f.router.retryTokens, before)
 	}
 }
 
-// Clients with little time left got attempts that could not end in time. The estimate of the bare time must not
-// shut out a class whose clients always come so: it sinks until one is tried.
+// Clients with little time left got attempts that could not end in time. But the estimated service time must not
+// exclude a class whose clients always have little time: it decreases until one is tried.
 func TestTooLittleTimeIsAnsweredAtOnceAndTriedAgain(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
 	short := func() RequestID {
@@ -326,7 +330,7 @@
 		f.router.Request(f.now, Request{ID: f.nextID, Class: classSession, Deadline: f.now + 30*ms})
 		return f.nextID
 	}
-	id := short() // the aim is 400 ms; nothing is known of the true time yet
+	id := short() // the aim is 400 ms, and the true service time is unknown yet
 	f.wantFinal(id, "refused")
 	if f.sendCount(id) != 0 {
 		t.Error("sent with 30 ms left to a class expected to take 100 ms")
@@ -341,7 +345,7 @@
 	f.serve(id, 5*ms)
 }
 
-// After a stall the answers that had waited with this front looked late, and cut the limits of all members.
+// After a stall, answers that had waited at this proxy looked late and reduced the limits of all members.
 func TestStandingStillMovesNoLimit(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
 	before := f.router.members[1].Most
@@ -351,7 +355,7 @@
 	f.router.Timer(f.now, tickTimer)
 	f.finishAttempt(f.mustSend(ids[1]), OK)
 	if m := f.router.members[1]; m.Most != before || m.Strain != 0 {
-		t.Errorf("limit %v of %v and strain %v after answers that waited with this front", m.Most, before, m.Strain)
+		t.Errorf("limit %v, initially %v, and latency ratio %v after answers that waited at this proxy", m.Most, before, m.Strain)
 	}
 	f.advance(600 * ms)
 	f.finishAttempt(f.mustSend(ids[2]), OK)
@@ -360,8 +364,8 @@
 	}
 }
 
-// Many members, each half full for this front, let nearly every request in: with a chance of its own for each of
-// them, one always accepts. At size that kept everything late.
+// Many members, each half full for this proxy, admitted nearly every request: with a separate random draw for each
+// of them, one always accepted. In a large group that made all answers late.
 func TestHalfFullMembersShedHalf(t *testing.T) {
 	f := newReadyProxy(t, manyProxies(), 9)
 	sent := 0
@@ -380,10 +384,11 @@
 	}
 }
 
-// While a new version runs beside the old one, each by its own account of a cold member: what each may send follows what it is asked, so
-// that both together send it no more than one did alone, but for what the old one remembers of its traffic for some seconds.
+// While a new version of a proxy runs beside the old one, each with its own budget for a cold member, what each
+// may send follows its traffic. Together they send no more than one did alone, except for what the old one
+// remembers of its traffic for some seconds.
 func TestTwoVersionsSideBySideShareAColdMember(t *testing.T) {
-	const seeds, every = 60, 2 // a request each 20 ms, at one of the two
+	const seeds, every = 60, 2 // one request every 20 ms, at one of the two
 	alone, both := 0, 0
 	for seed := range uint64(seeds) {
 		for _, two := range []bool{false, true} {
@@ -430,6 +435,6 @@
 		}
 	}
 	if float64(both) > 1.1*float64(alone) || alone == 0 {
-		t.Errorf("in 3 s %d at the cold member by one version, %d by two side by side", alone, both)
+		t.Errorf("requests at the cold member in 3 s: %d from one version, %d from two side by side", alone, both)
 	}
 }
