--- a/logic/api.go
+++ b/logic/api.go
@@ -162,7 +162,7 @@
 		t.PingWindow = 15 * time.Millisecond
 	}
 	if t.FirstLimit == 0 {
-		t.FirstLimit = limit.First
+		t.FirstLimit = limit.DefaultInitialLimit
 	}
 	return t
 }
@@ -281,7 +281,7 @@
 	Probed(now time.Duration, p ProbeEnd)
 	Timer(now time.Duration, id TimerID)
 	// ConnectionEvidence reports what became of a connection that was opened before the member fell silent.
-	ConnectionEvidence(now time.Duration, id MemberID, evidence handover.Testimony, connOpenedAt time.Duration)
+	ConnectionEvidence(now time.Duration, id MemberID, evidence handover.ConnectionEvidence, connOpenedAt time.Duration)
 	PeerReports(now time.Duration, reports []peers.Report) // reports received from a peer, only valid during the call
 	Abandoned(now time.Duration, id RequestID)             // the client has left; it needs no answer
 }
--- a/logic/facts.go
+++ b/logic/facts.go
@@ -66,7 +66,7 @@
 // warmCapacity returns the capacity to expect of a member as a fraction of its usual one. It is below 1 while the
 // member is cold, weighted by how certain that is.
 func (r *Router) warmCapacity(now time.Duration, m *member) float64 {
-	startedAt, certainty := m.handover.Cold(now, r.cfg.ColdPeriod)
+	startedAt, certainty := m.handover.ColdSince(now, r.cfg.ColdPeriod)
 	if certainty == 0 {
 		return 1
 	}
@@ -86,12 +86,12 @@
 }
 
 // Handovers returns the state of each group's primary and the latest completed switches of primary, newest first.
-func (r *Router) Handovers(now time.Duration) (groups map[GroupID]handover.Status, completed []handover.Switch) {
+func (r *Router) Handovers(now time.Duration) (groups map[GroupID]handover.Status, completed []handover.Failover) {
 	groups = map[GroupID]handover.Status{}
 	for _, id := range r.groupOrder {
 		groups[id] = r.groups[id].handover.Status(now)
 	}
-	return groups, r.handover.Ended()
+	return groups, r.handover.RecentFailovers()
 }
 
 // SetHandoverConfig replaces the settings for switches of primary.
@@ -138,7 +138,7 @@
 	if m == nil {
 		return MemberStats{}, false
 	}
-	return MemberStats{Group: m.Group, Role: m.role(), Silent: m.handover.Silent, Failing: r.failures.More(&m.outlier), Cold: r.warmCapacity(now, m) < 1,
-		RestartDoubt: m.handover.Doubt(),
-		InFlight:     len(m.inFlight), Limit: m.Most, LatencyRatio: m.Strain, Ping: m.pingTime, Position: m.position}, true
+	return MemberStats{Group: m.Group, Role: m.role(), Silent: m.handover.Silent, Failing: r.failures.IsOutlier(&m.outlier), Cold: r.warmCapacity(now, m) < 1,
+		RestartDoubt: m.handover.RestartProbability(),
+		InFlight:     len(m.inFlight), Limit: m.MaxInFlight, LatencyRatio: m.Strain, Ping: m.pingTime, Position: m.position}, true
 }
--- a/logic/health.go
+++ b/logic/health.go
@@ -46,7 +46,7 @@
 // = the tier does not share them.
 func (r *Router) SetSharedChecks(now time.Duration, perSecond float64) {
 	r.checkBudget = checkBudget{perSecond: perSecond, refilledAt: now}
-	r.pingSchedule.Shared = perSecond > 0
+	r.pingSchedule.SharedChecks = perSecond > 0
 	for _, m := range r.memberOrder {
 		m.nextCheckAt, m.ejected = 0, false
 	}
@@ -65,7 +65,7 @@
 	if r.sharesChecks() {
 		return g.primary == nil || r.checkBudget.hasSpare(now)
 	}
-	return r.pingSchedule.Thin(now, len(g.members), r.requestRate(now, g))
+	return r.pingSchedule.ThinTraffic(now, len(g.members), r.requestRate(now, g))
 }
 
 // probe sends a health check unless one is in flight.
@@ -133,8 +133,8 @@
 		m.peerAliveAt = max(m.peerAliveAt, min(verdict.RoleObservedAt, now))
 	}
 	if verdict.Failing && !previous.Failing {
-		r.failures.Note(now, &m.outlier, 1)
-		r.failures.Spread(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
+		r.failures.Record(now, &m.outlier, 1)
+		r.failures.ExtendPause(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
 	}
 	if previous.State == healthcheck.Ejected && !m.ejected && m.handover.Silent && ping.InUse(now, m.group.rate.updatedAt) {
 		r.probe(now, m)
@@ -150,7 +150,7 @@
 	if m.handover.Silent {
 		return
 	}
-	m.group.handover.Silent(now, m.handover)
+	m.group.handover.NoteSilence(now, m.handover)
 	r.updatePrimary(now, m.group)
 	r.hedgeOverdue(now, m)
 }
@@ -159,8 +159,8 @@
 // can only reduce what this proxy sends: a known start stays unchanged, and a cold member is never taken for a
 // warm one.
 func (r *Router) markColdStart(now time.Duration, m *member, startedAt time.Duration) {
-	if _, certainty := m.handover.Cold(now, r.cfg.ColdPeriod); certainty == 0 && startedAt > 0 {
-		m.group.handover.Born(now, m.handover, min(startedAt, now), false)
+	if _, certainty := m.handover.ColdSince(now, r.cfg.ColdPeriod); certainty == 0 && startedAt > 0 {
+		m.group.handover.NoteStart(now, m.handover, min(startedAt, now), false)
 		r.updatePrimary(now, m.group)
 	}
 }
--- a/logic/hold_test.go
+++ b/logic/hold_test.go
@@ -59,7 +59,7 @@
 		t.Errorf("sent to %d, %v after the election: want at most a ping period and a network delay", s.to, f.now-before)
 	}
 	f.serve(id, 80*ms)
-	if n := f.router.groups[0].handover.Holds(); n != 0 {
+	if n := f.router.groups[0].handover.HeldCount(); n != 0 {
 		t.Errorf("%d requests are held", n)
 	}
 }
@@ -101,8 +101,8 @@
 	id, at := f.request(classGuarded, 1), f.now
 	f.advanceWithPrimary(0, 4*time.Second)
 	f.wantFinal(id, "refused")
-	if f.sendCount(id) > 0 || f.router.groups[0].handover.Holds() > 0 {
-		t.Errorf("%d sends, %d held", f.sendCount(id), f.router.groups[0].handover.Holds())
+	if f.sendCount(id) > 0 || f.router.groups[0].handover.HeldCount() > 0 {
+		t.Errorf("%d sends, %d held", f.sendCount(id), f.router.groups[0].handover.HeldCount())
 	}
 	_ = at
 }
@@ -114,7 +114,7 @@
 	f.advanceWithPrimary(0, 200*ms)
 	f.router.Abandoned(f.now, id)
 	f.advanceWithPrimary(2, 500*ms)
-	if f.sendCount(id) > 0 || f.finals[id] != "" || f.router.groups[0].handover.Holds() > 0 || len(f.router.requests) > 0 {
+	if f.sendCount(id) > 0 || f.finals[id] != "" || f.router.groups[0].handover.HeldCount() > 0 || len(f.router.requests) > 0 {
 		t.Errorf("%d sends, %q, %d requests kept", f.sendCount(id), f.finals[id], len(f.router.requests))
 	}
 }
@@ -183,7 +183,7 @@
 	f.router.SetHandoverConfig(handover.Config{})
 	f.advanceWithPrimary(0, 10*ms)
 	f.wantFinal(id, "refused")
-	if f.router.groups[0].handover.Holds() > 0 {
+	if f.router.groups[0].handover.HeldCount() > 0 {
 		t.Error("the request is still held")
 	}
 }
@@ -195,7 +195,7 @@
 	f.drain(1)
 	id := f.request(classGuarded, 1)
 	f.advanceWithPrimary(0, 200*ms)
-	if f.router.groups[0].handover.Holds() != 1 {
+	if f.router.groups[0].handover.HeldCount() != 1 {
 		t.Fatal("the request does not wait for a primary")
 	}
 	f.router.holdForPing(f.router.requests[id]) // as pingAndHold does
@@ -203,7 +203,7 @@
 		f.advanceWithPrimary(2, 10*ms)
 	}
 	f.serve(id, 20*ms)
-	if n := f.router.groups[0].handover.Holds(); n > 0 || len(f.router.requests) > 0 {
+	if n := f.router.groups[0].handover.HeldCount(); n > 0 || len(f.router.requests) > 0 {
 		t.Errorf("%d requests held, %d kept", n, len(f.router.requests))
 	}
 	f.router.Members(f.now, MemberList{Kind: ListFull}) // held requests are answered now
@@ -218,7 +218,7 @@
 		ids = append(ids, f.request(classGuarded, SessionID(i+1)))
 	}
 	f.advanceWithPrimary(0, 400*ms)
-	if n := f.router.groups[0].handover.Holds(); n != 100 {
+	if n := f.router.groups[0].handover.HeldCount(); n != 100 {
 		t.Fatalf("%d held", n)
 	}
 	most, served := 0, 0
@@ -232,8 +232,8 @@
 				f.finals[a.request.ID] = "served"
 				f.router.Outcome(f.now, Outcome{Request: a.request.ID, Attempt: a.index, Member: 2, Result: OK, Elapsed: f.now - a.sentAt,
 					Finished: true, Role: RolePrimary, Position: f.now})
-				if f.router.groups[0].handover.Holds() > 0 && m.inFlight[len(m.inFlight)-1].sentAt != f.now {
-					t.Fatalf("the primary has room and %d requests are held, but none was sent", f.router.groups[0].handover.Holds())
+				if f.router.groups[0].handover.HeldCount() > 0 && m.inFlight[len(m.inFlight)-1].sentAt != f.now {
+					t.Fatalf("the primary has room and %d requests are held, but none was sent", f.router.groups[0].handover.HeldCount())
 				}
 			}
 		}
@@ -393,7 +393,7 @@
 		f.router.Probed(f.now, ProbeEnd{Member: 3, Result: ConnectFailed, DialRefused: refused})
 		f.advanceWithPrimary(1, 8*time.Second)
 		if m := f.router.members[3]; m.handover.Silent || (f.router.warmCapacity(f.now, m) < 1) != refused {
-			t.Errorf("dial refused %v: silent %v, warm capacity %v, restart doubt %v", refused, m.handover.Silent, f.router.warmCapacity(f.now, m), m.handover.Doubt())
+			t.Errorf("dial refused %v: silent %v, warm capacity %v, restart doubt %v", refused, m.handover.Silent, f.router.warmCapacity(f.now, m), m.handover.RestartProbability())
 		}
 	}
 }
@@ -404,7 +404,7 @@
 	f := newReadyProxy(t, holdConfig(), 3)
 	f.advanceWithPrimary(1, 200*ms)
 	f.advanceWithPrimary(0, 3*time.Second, 1, 2, 3) // all members are silent: only the clock causes events
-	if p := f.router.groups[0].handover.Status(f.now).Phase; p != handover.Electing {
+	if p := f.router.groups[0].handover.Status(f.now).Phase; p != handover.PhaseElecting {
 		t.Errorf("phase %v 3 s after the primary fell silent", p)
 	}
 }
--- a/logic/housekeeping.go
+++ b/logic/housekeeping.go
@@ -14,19 +14,19 @@
 // applyConnectionAge uses an answer on a connection that was opened at connOpenedAt as evidence on whether the
 // member restarted during a silence.
 func (r *Router) applyConnectionAge(now time.Duration, m *member, connOpenedAt time.Duration) {
-	if m.handover.Kept(connOpenedAt); r.listCalls.Well() {
-		m.handover.Unborn(now)
+	if m.handover.NoteAnswerOnConnection(connOpenedAt); r.listCalls.Healthy() {
+		m.handover.NoteNoListedStart(now)
 	}
 }
 
 // ConnectionEvidence uses the fate of a connection from before a silence as evidence on whether the member
 // restarted.
-func (r *Router) ConnectionEvidence(now time.Duration, id MemberID, evidence handover.Testimony, connOpenedAt time.Duration) {
-	if m := r.members[id]; m != nil && evidence == handover.Answered {
+func (r *Router) ConnectionEvidence(now time.Duration, id MemberID, evidence handover.ConnectionEvidence, connOpenedAt time.Duration) {
+	if m := r.members[id]; m != nil && evidence == handover.ConnectionAnswered {
 		r.markAlive(m, now)
 		r.applyConnectionAge(now, m, connOpenedAt)
 	} else if m != nil {
-		m.handover.Testifies(evidence)
+		m.handover.NoteConnectionEvidence(evidence)
 	}
 }
 
@@ -49,8 +49,8 @@
 		return
 	}
 	r.actions.SetTimer(tickTimer, now+max(housekeepingInterval, r.cfg.Tick))
-	if r.listCalls.Overdue(now) {
-		r.listCalls.Answered(now, true, r.rng.Float64())
+	if r.listCalls.TimedOut(now) {
+		r.listCalls.NoteEnd(now, true, r.rng.Float64())
 	}
 	if r.listCalls.Due(now) {
 		r.watchList(now)
@@ -81,10 +81,10 @@
 	overdue := len(m.inFlight) > 0 && !m.handover.Silent &&
 		now-max(m.aliveAt, m.inFlight[0].sentAt, m.probedAt) > r.silenceTimeout(m, m.inFlight[0])
 	g, due := m.group, false
-	due, m.nextCheckAt = r.pingSchedule.Due(now, &ping.Member{Probed: m.probedAt, Placed: m.positionAt, Owes: overdue,
-		First: m.firstPingAt, Known: m.peerAliveAt > 0, Ejected: m.ejected,
-		Silent: m.handover.Silent, Primary: m.role() == RolePrimary, Headless: g.primary == nil, Asked: g.rate.updatedAt,
-		Search: g.handover.Searching(now, r.cfg.Proxies), Members: len(g.members), Rate: r.requestRate(now, g)})
+	due, m.nextCheckAt = r.pingSchedule.Due(now, &ping.Member{LastPing: m.probedAt, LastPosition: m.positionAt, AnswerOverdue: overdue,
+		FirstPingAt: m.firstPingAt, Known: m.peerAliveAt > 0, Ejected: m.ejected,
+		Silent: m.handover.Silent, Primary: m.role() == RolePrimary, NoPrimary: g.primary == nil, LastRequest: g.rate.updatedAt,
+		SearchInterval: g.handover.SearchInterval(now, r.cfg.Proxies), GroupSize: len(g.members), RequestRate: r.requestRate(now, g)})
 	if due {
 		r.probe(now, m)
 	}
@@ -116,12 +116,12 @@
 			r.markSilent(m, now)
 		}
 		if p.DialRefused {
-			m.handover.Refused()
+			m.handover.NoteRefusedDial()
 		}
 	}
 	if len(r.awaitingPing) > 0 {
 		r.retryAwaitingPing(now)
-	} else if m.group.handover.Stirs() {
+	} else if m.group.handover.NeedsTick() {
 		r.releaseHeld(now, m.group)
 	}
 }
@@ -129,14 +129,14 @@
 // startingUp reports whether a new router still waits for the agent's list or for a first answer from a member of
 // the group.
 func (r *Router) startingUp(now time.Duration, g *group) bool {
-	listPending := r.cfg.ListFromAgent && !r.listCalls.Ended()
+	listPending := r.cfg.ListFromAgent && !r.listCalls.HasEnded()
 	if now-r.startedAt >= startupHold || !r.cfg.EnableProbes && !listPending {
 		return false
 	}
 	if listPending || len(g.members) == 0 {
 		return true
 	}
-	if r.pingSchedule.OnNeed() && r.pingOnDemand(now, g) { // requests trigger the checks that they need
+	if r.pingSchedule.OnDemand() && r.pingOnDemand(now, g) { // requests trigger the checks that they need
 		return false
 	}
 	return slices.ContainsFunc(g.members, func(m *member) bool {
@@ -163,7 +163,7 @@
 	groups := r.activeGroups
 	r.activeGroups = nil
 	for _, g := range groups {
-		if g.active = g.handover.Stirs(); g.active {
+		if g.active = g.handover.NeedsTick(); g.active {
 			r.activeGroups = append(r.activeGroups, g)
 			r.releaseHeld(now, g)
 		}
@@ -171,6 +171,6 @@
 }
 
 func (r *Router) watchList(now time.Duration) {
-	r.listCalls.Called(now)
+	r.listCalls.NoteCall(now)
 	r.actions.WatchList(true)
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -70,14 +70,14 @@
 		members: map[MemberID]*member{}, groups: map[GroupID]*group{}, requests: map[RequestID]*request{},
 		serviceTime: make([]time.Duration, len(cfg.Classes)), slowTime: make([]time.Duration, len(cfg.Classes)),
 		retryTokens: retryReserve, handover: handover.New(cfg.Handover),
-		pingSchedule: ping.Schedule{Proxies: cfg.Proxies, Tick: cfg.Tick, Room: cfg.MaxConnections}, listCalls: limit.Calls{Bound: cfg.ListMaxDelay}}
+		pingSchedule: ping.Schedule{Proxies: cfg.Proxies, ClockResolution: cfg.Tick, MaxConnections: cfg.MaxConnections}, listCalls: limit.CallSchedule{PropagationBound: cfg.ListMaxDelay}}
 	r.unlistedGroup = r.newGroup(-1)
 	r.pins.init(maxSessionEntries)
 	r.sessionCommits.init(maxSessionEntries)
 	for i, c := range cfg.Classes {
 		r.serviceTime[i], r.slowTime[i] = c.Aim/aimPerServiceTime, c.Aim
 	}
-	r.pingSchedule.Tightest = tightestBound(cfg.Classes)
+	r.pingSchedule.TightestMaxAge = tightestBound(cfg.Classes)
 	quotas := make([]float64, len(cfg.Tenants))
 	for i, t := range cfg.Tenants {
 		quotas[i] = r.proxyShare(t.Quota)
@@ -92,7 +92,7 @@
 func (r *Router) Members(now time.Duration, list MemberList) {
 	r.ensureStarted(now)
 	if r.cfg.ListOnRequest && list.Kind != ListCached {
-		r.listCalls.Answered(now, list.Kind == ListFailed, r.rng.Float64())
+		r.listCalls.NoteEnd(now, list.Kind == ListFailed, r.rng.Float64())
 	}
 	if list.Kind == ListFailed {
 		return
@@ -106,7 +106,7 @@
 		r.updateMember(now, e)
 	}
 	r.memberOrder = slices.DeleteFunc(r.memberOrder, func(m *member) bool { return !m.listed && r.removeUnlisted(now, m) })
-	r.pingSchedule.Listed = len(r.memberOrder)
+	r.pingSchedule.ListedDatabases = len(r.memberOrder)
 	r.retryAwaitingPing(now)
 }
 
@@ -115,16 +115,16 @@
 	known := m != nil
 	if !known {
 		g := r.listedGroup(entry.Group)
-		m = &member{group: g, Limit: limit.New(r.cfg.Proxies, r.cfg.Tuning.FirstLimit), warmUpBudget: limit.NewAccount(),
+		m = &member{group: g, Limit: limit.New(r.cfg.Proxies, r.cfg.Tuning.FirstLimit), warmUpBudget: limit.NewColdBudget(),
 			firstPingAt: r.firstPingTime(now)}
-		m.handover = g.handover.Join(uint64(entry.ID))
+		m.handover = g.handover.AddMember(uint64(entry.ID))
 		r.members[entry.ID] = m
 		r.memberOrder = append(r.memberOrder, m)
 		r.gossip.Add(uint64(entry.ID))
 		g.members = append(g.members, m) // a positive StartedAt makes it cold, below
 	}
 	if entry.StartedAt > m.StartedAt { // restarted: its role is unknown again; its log continues from where it was
-		m.group.handover.Born(now, m.handover, entry.StartedAt, known)
+		m.group.handover.NoteStart(now, m.handover, entry.StartedAt, known)
 		m.restarted()
 	}
 	m.listed = entry.State != Gone
@@ -132,9 +132,9 @@
 		entry.State = m.State
 	}
 	m.Member = entry
-	m.group.handover.Listed(now, m.handover, handover.Presence(entry.State))
+	m.group.handover.SetDiscoveryState(now, m.handover, handover.DiscoveryState(entry.State))
 	if entry.Primary && r.cfg.ListRole != ListRoleNone {
-		m.group.handover.Told(now, m.handover, max(now-listRoleAge, entry.StartedAt), r.cfg.ListRole == ListRoleLate)
+		m.group.handover.NoteListedPrimary(now, m.handover, max(now-listRoleAge, entry.StartedAt), r.cfg.ListRole == ListRoleLate)
 	}
 	r.updatePrimary(now, m.group)
 }
@@ -144,19 +144,19 @@
 func (r *Router) removeUnlisted(now time.Duration, m *member) bool {
 	if m.State != Gone && !r.cfg.IgnoreGone {
 		m.State = Gone
-		m.group.handover.Listed(now, m.handover, handover.Gone)
+		m.group.handover.SetDiscoveryState(now, m.handover, handover.Unlisted)
 		r.updatePrimary(now, m.group)
 	}
-	if len(m.inFlight) > 0 || m.probing || m.State == Ready && (!m.handover.Silent || now-m.handover.LostAt <= silentRetention) {
+	if len(m.inFlight) > 0 || m.probing || m.State == Ready && (!m.handover.Silent || now-m.handover.SilentSince <= silentRetention) {
 		return false
 	}
 	delete(r.members, m.ID)
 	r.gossip.Remove(uint64(m.ID))
 	m.group.members = slices.DeleteFunc(m.group.members, func(x *member) bool { return x == m })
-	m.group.handover.Leave(now, m.handover)
+	m.group.handover.RemoveMember(now, m.handover)
 	r.updatePrimary(now, m.group) // the removed member may have taken precedence over another one
 	if len(m.group.members) == 0 {
-		for _, id := range m.group.handover.Waiting(now) { // the group is not visited any more
+		for _, id := range m.group.handover.ReleaseOrder(now) { // the group is not visited any more
 			r.finish(now, r.requests[RequestID(id)], retryAfterNoPrimary)
 		}
 		delete(r.groups, m.Group)
@@ -207,8 +207,8 @@
 		m.positionAt = max(m.positionAt, at)
 		m.position = max(m.position, min(position, now))
 	}
-	m.group.handover.Says(now, m.handover, handover.Role(role), at)
-	m.handover.Placed(now, position)
+	m.group.handover.NoteRole(now, m.handover, handover.Role(role), at)
+	m.handover.NotePosition(now, position)
 	r.updatePrimary(now, m.group)
 }
 
@@ -216,9 +216,9 @@
 // cold.
 func (r *Router) markAlive(m *member, now time.Duration) {
 	m.aliveAt = now
-	returned, mayHaveRestarted := m.group.handover.Heard(now, m.handover)
+	returned, mayHaveRestarted := m.group.handover.NoteResponse(now, m.handover)
 	if mayHaveRestarted {
-		m.Forget()
+		m.Reset()
 	}
 	if returned {
 		r.updatePrimary(now, m.group)
@@ -231,7 +231,7 @@
 	if m.handover.Silent {
 		return
 	}
-	m.group.handover.Silent(now, m.handover)
+	m.group.handover.NoteSilence(now, m.handover)
 	r.gossip.ObserveFailure(now, uint64(m.ID), peers.Silent)
 	r.updatePrimary(now, m.group)
 	r.hedgeOverdue(now, m)
@@ -246,8 +246,8 @@
 		q, age := a.request, now-a.sentAt
 		if !a.overdue && age > max(2*r.slowTime[q.Class], q.class.Aim) {
 			a.overdue, m.unresponsive = true, true
-			r.failures.Note(now, &m.outlier, 1)
-			if m.Strain < limit.High && !m.handover.Silent {
+			r.failures.Record(now, &m.outlier, 1)
+			if m.Strain < limit.HighStrain && !m.handover.Silent {
 				r.lossRate += lossWeight * (1 - r.lossRate)
 			}
 		}
@@ -258,7 +258,9 @@
 	}
 }
 
-func (r *Router) lossy(m *member) bool { return r.lossRate > maxLossRate && m.Strain < limit.High }
+func (r *Router) lossy(m *member) bool {
+	return r.lossRate > maxLossRate && m.Strain < limit.HighStrain
+}
 
 // ---- Requests, attempts and outcomes ----
 
@@ -279,11 +281,11 @@
 	r.requests[in.ID] = q
 	q.group.rate.add(now, rateWindow)
 	r.enterRounds(now, g)
-	q.overQuota = r.quotas.Beyond(now, in.Tenant)
+	q.overQuota = r.quotas.Exceeded(now, in.Tenant)
 	r.retryTokens = min(r.retryTokens+retryShare, retryReserve)
 	q.group.recordWork(r.serviceTime[q.Class].Seconds(), q.class.Worth, r.isLongRead(q))
 	if q.class.Read == Bounded {
-		r.pingSchedule.Bounded(now)
+		r.pingSchedule.NoteBoundedRead(now)
 	}
 	q.token = r.sessionToken(now, &in)
 	if r.startingUp(now, q.group) {
@@ -295,7 +297,7 @@
 
 func (r *Router) tryStart(now time.Duration, q *request) {
 	if ok, retryAfter := r.route(now, q); !ok && !q.awaitingPing && !q.hasOpenAttempt() {
-		r.holdOrFinish(now, q, retryAfter, q.group.handover.Holds())
+		r.holdOrFinish(now, q, retryAfter, q.group.handover.HeldCount())
 	}
 }
 
@@ -308,7 +310,7 @@
 	}
 	held := q.heldRequest(r.serviceTime[q.Class], r.usualTime(q), ahead)
 	for _, a := range q.attempts {
-		held.Until = min(held.Until, r.retryDeadline(q, a))
+		held.Deadline = min(held.Deadline, r.retryDeadline(q, a))
 	}
 	ok, holdHint, displaced := q.group.handover.Hold(now, held)
 	// With jitter, a longer hint would be cut to MaxRetryAfter, and all clients would return at once.
@@ -326,7 +328,7 @@
 // whether the others stay held.
 func (r *Router) releaseHeld(now time.Duration, g *group) {
 	g.handover.Tick(now)
-	for i, id := range g.handover.Waiting(now) {
+	for i, id := range g.handover.ReleaseOrder(now) {
 		q := r.requests[RequestID(id)]
 		if q == nil || q.done || q.awaitingPing || q.hasOpenAttempt() {
 			continue
@@ -345,7 +347,7 @@
 	if q.class.Effect != Guarded || !a.open && !a.mayHaveRun {
 		return q.Deadline
 	}
-	return min(q.Deadline, r.handover.Config().ResendUntil(a.sentAt, q.class.DedupWindow, r.slowTime[q.Class]))
+	return min(q.Deadline, r.handover.Config().ResendDeadline(a.sentAt, q.class.DedupWindow, r.slowTime[q.Class]))
 }
 
 func (r *Router) holdForPing(q *request) {
@@ -365,7 +367,7 @@
 // send is the only method that sends a request. It checks every rule once more.
 func (r *Router) send(now time.Duration, q *request, m *member) bool {
 	if q.Deadline-now <= r.serviceTime[q.Class] { // too little time is left; lower the estimate so that the class is tried again
-		limit.Quantile(&r.serviceTime[q.Class], 0, serviceTimeQuantile)
+		limit.UpdateQuantile(&r.serviceTime[q.Class], 0, serviceTimeQuantile)
 		return false
 	}
 	if q.done || m.group != q.group || m.State != Ready || !r.effectAllows(now, q, m) ||
@@ -387,7 +389,7 @@
 	q.attempts = append(q.attempts, a)
 	m.inFlight = append(m.inFlight, a)
 	r.activate(m)
-	m.warmUpBudget.Take(r.serviceTime[q.Class].Seconds()) // only matters while the member is cold
+	m.warmUpBudget.Spend(r.serviceTime[q.Class].Seconds()) // only matters while the member is cold
 	r.actions.Send(q.ID, m.ID, deadline-now)
 	return true
 }
@@ -423,7 +425,7 @@
 			retryAfter = 0
 		}
 		if !q.overQuota {
-			r.quotas.Back(q.Tenant)
+			r.quotas.Refund(q.Tenant)
 		}
 		r.refusalCounts[r.refusalReason(now, q)]++
 		if counts := q.classCounts(); q.class.primaryOnly() && q.group.primary == nil {
@@ -473,7 +475,7 @@
 		q.classCounts().Late++
 		for _, a := range q.attempts {
 			if a.open {
-				r.recordLatency(now, a.member, q.class.Aim, limit.Late)
+				r.recordLatency(now, a.member, q.class.Aim, limit.LateStrain)
 			}
 		}
 		r.forget(q)
@@ -497,7 +499,7 @@
 		q.done = true
 		q.countOutcome(now, o)
 	}
-	if q.group.handover.Holds() > 0 && a.member == q.group.primary {
+	if q.group.handover.HeldCount() > 0 && a.member == q.group.primary {
 		defer r.releaseHeld(now, q.group) // the primary has room for a held request
 	}
 	if q.done {
@@ -509,7 +511,7 @@
 		ok, retryAfter = r.route(now, q)
 	}
 	if !ok && !q.hasOpenAttempt() && !q.awaitingPing {
-		r.holdOrFinish(now, q, retryAfter, q.group.handover.Holds())
+		r.holdOrFinish(now, q, retryAfter, q.group.handover.HeldCount())
 	}
 }
 
@@ -542,7 +544,7 @@
 				r.sessionCommits.add(q.Session, cmp.Or(position, now))
 			}
 			position = 0
-			q.group.handover.Served(now)
+			q.group.handover.NoteWriteServed(now)
 		}
 		r.applyConnectionAge(now, m, o.ConnOpenedAt)
 		r.observe(m, role, position, now, now)
@@ -556,27 +558,27 @@
 		m.recordMisdirected(q)
 	case OK:
 		elapsed := now - a.sentAt
-		limit.Quantile(&r.serviceTime[q.Class], elapsed, serviceTimeQuantile)
-		limit.Quantile(&r.slowTime[q.Class], elapsed, slowTimeQuantile)
-		r.recordLatency(now, m, q.class.Aim, min(float64(elapsed)/float64(q.class.Aim), limit.Late))
-		r.failures.Note(now, &m.outlier, 0)
+		limit.UpdateQuantile(&r.serviceTime[q.Class], elapsed, serviceTimeQuantile)
+		limit.UpdateQuantile(&r.slowTime[q.Class], elapsed, slowTimeQuantile)
+		r.recordLatency(now, m, q.class.Aim, min(float64(elapsed)/float64(q.class.Aim), limit.LateStrain))
+		r.failures.Record(now, &m.outlier, 0)
 		r.lossRate -= lossWeight * r.lossRate
 		if q.class.Read != Write && q.Session != 0 && m.role() == RoleReplica {
 			r.pins.put(q.pinKey(), pin{m, q.group.handover.Term()})
 		}
 	case TimedOut:
 		if !r.lossy(m) {
-			r.recordLatency(now, m, q.class.Aim, limit.Late)
+			r.recordLatency(now, m, q.class.Aim, limit.LateStrain)
 		}
 	case Failed, Rejected, ConnectFailed, Reset:
 		if r.recordFailure(now, m); o.Result == Rejected {
-			r.recordLatency(now, m, q.class.Aim, limit.Late)
+			r.recordLatency(now, m, q.class.Aim, limit.LateStrain)
 		}
 		if o.Result == ConnectFailed {
 			r.probe(now, m)
 		}
 		if o.DialRefused {
-			m.handover.Refused()
+			m.handover.NoteRefusedDial()
 		}
 	}
 }
@@ -587,7 +589,7 @@
 // stall of this proxy.
 func (r *Router) recordLatency(now time.Duration, m *member, aim time.Duration, latencyRatio float64) {
 	if !r.stalled(now) {
-		m.Judge(now, aim, latencyRatio, len(m.inFlight))
+		m.RecordAnswer(now, aim, latencyRatio, len(m.inFlight))
 	}
 }
 
@@ -599,7 +601,7 @@
 // Config.OverloadMultiple. It starts with a random debt and is never positive, so that the sum over all proxies is
 // bounded.
 func (r *Router) warmUpAllows(now time.Duration, m *member, share float64) bool {
-	startedAt, certainty := m.handover.Cold(now, r.cfg.ColdPeriod)
+	startedAt, certainty := m.handover.ColdSince(now, r.cfg.ColdPeriod)
 	if certainty == 0 {
 		return true
 	} else if r.gossip.Enabled() && !r.coldPriority.Admits(share, r.requestDraw) {
@@ -608,9 +610,9 @@
 	overloadShare := coldOverloadShare + (doubtfulOverloadShare-coldOverloadShare)*(1-certainty)
 	budgetShare := r.warmCapacitySince(now, startedAt) * max(r.cfg.OverloadMultiple*overloadShare, 1) / r.sharingMembers(m.group)
 	initialDebt := func() float64 { return r.rng.Float64() * m.group.meanWork }
-	ok := m.warmUpBudget.Bears(now, startedAt, initialDebt, budgetShare*r.requestRate(now, m.group)*m.group.meanWork)
+	ok := m.warmUpBudget.Allows(now, startedAt, initialDebt, budgetShare*r.requestRate(now, m.group)*m.group.meanWork)
 	if share >= 1 && m.role() != RolePrimary {
-		r.coldPriority.Note(ok)
+		r.coldPriority.Record(ok)
 	}
 	return ok
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -82,8 +82,8 @@
 	moved := false
 	for i := SessionID(0); i < 12; i++ {
 		moved = moved || f.serve(f.request(classSession, 5), ms).to != first
-		f.router.groups[0].handover.Says(f.now, f.router.members[first].handover, handover.Replica, f.now)
-		f.router.groups[0].handover.Says(f.now, f.router.members[other].handover, handover.Primary, f.now)
+		f.router.groups[0].handover.NoteRole(f.now, f.router.members[first].handover, handover.Replica, f.now)
+		f.router.groups[0].handover.NoteRole(f.now, f.router.members[other].handover, handover.Primary, f.now)
 	}
 	if !moved {
 		t.Error("the session kept its old replica during twelve changes of primary")
@@ -326,7 +326,7 @@
 			t.Errorf("a long read went to %d, not to the replica furthest behind", s.to)
 		}
 	}
-	f.router.members[4].Most = 0 // its limit is reached: its peers stay available for bounded reads all the same
+	f.router.members[4].MaxInFlight = 0 // its limit is reached: its peers stay available for bounded reads all the same
 	id := f.request(classAny, 0)
 	f.wantFinal(id, "refused")
 }
@@ -444,7 +444,7 @@
 	cfg.Classes[classBounded].Worth = 0.1 // the same work as a session read, for a tenth of the worth
 	f := newReadyProxy(t, cfg, 4)
 	for _, m := range f.router.memberOrder {
-		m.Most = 10
+		m.MaxInFlight = 10
 	}
 	shed := func(class, n int) (refused int) {
 		for i := 0; i < n; i++ {
@@ -469,7 +469,7 @@
 func TestAbandonedRequestsReduceTheLimit(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 2)
 	m := f.router.members[2]
-	before := m.Most
+	before := m.MaxInFlight
 	for i := 0; i < 40; i++ {
 		id := f.request(classBounded, 0)
 		if f.sendCount(id) == 0 {
@@ -485,8 +485,8 @@
 		}
 		f.answerPings()
 	}
-	if m.Most > before/3 {
-		t.Errorf("limit %.1f, initially %.1f, after two thirds of the clients left", m.Most, before)
+	if m.MaxInFlight > before/3 {
+		t.Errorf("limit %.1f, initially %.1f, after two thirds of the clients left", m.MaxInFlight, before)
 	}
 }
 
@@ -506,7 +506,7 @@
 		}
 	}
 	for _, m := range f.router.memberOrder {
-		m.Most = 10
+		m.MaxInFlight = 10
 	}
 	ask(0, 40)
 	ask(1, 8)
@@ -546,7 +546,7 @@
 		f.serve(f.request(classSession, 0), 100*ms)
 	}
 	for _, m := range f.router.memberOrder {
-		m.Most = 4
+		m.MaxInFlight = 4
 	}
 	sent := 0
 	for i := 0; i < 5; i++ {
@@ -564,7 +564,7 @@
 	f := newReadyProxy(t, cfg, 3)
 	named := readyMember(2)
 	named.Primary = true
-	f.router.members[2].handover.Role, f.router.members[2].handover.At = handover.Unknown, 0
+	f.router.members[2].handover.Role, f.router.members[2].handover.RoleTime = handover.RoleUnknown, 0
 	f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{named}})
 	if s := f.serve(f.request(classFresh, 0), ms); s.to != 1 {
 		t.Fatalf("a delayed list took precedence over member 1's own report: sent to %d", s.to)
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -21,8 +21,8 @@
 // pings would let it become.
 func (r *Router) newGossip() *peers.Gossip {
 	cfg := peers.Config{Proxies: r.cfg.Proxies, MaxBatch: r.cfg.MaxPeerReports, Phase: float64(splitmix64(r.cfg.Seed)>>11) / (1 << 53)}
-	if r.pingSchedule.Many() {
-		cfg.Interval = time.Duration(min(max(float64(r.cfg.Proxies)/fullRateProxies, 1), 2) * float64(r.pingSchedule.Shortest()))
+	if r.pingSchedule.ExcessiveProxies() {
+		cfg.Interval = time.Duration(min(max(float64(r.cfg.Proxies)/fullRateProxies, 1), 2) * float64(r.pingSchedule.ShortestPeriod()))
 	}
 	return peers.New(cfg)
 }
@@ -50,25 +50,25 @@
 	r.applyObservation(m, Role(report.Role), report.Position, report.At, now)
 	switch {
 	case report.Status == peers.Silent:
-		inUse := !r.pingSchedule.OnNeed() || m.group.inRounds
+		inUse := !r.pingSchedule.OnDemand() || m.group.inRounds
 		if inUse && m.aliveAt < report.At && !m.handover.Silent && now-m.probedAt >= peerSilenceInterval {
 			r.probe(now, m)
 		}
 		return
 	case report.Status == peers.Failing:
-		r.failures.Note(now, &m.outlier, 1)
-		r.failures.Spread(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
+		r.failures.Record(now, &m.outlier, 1)
+		r.failures.ExtendPause(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
 	default:
-		r.failures.Note(now, &m.outlier, 0)
+		r.failures.Record(now, &m.outlier, 0)
 	}
 	m.peerAliveAt = max(m.peerAliveAt, report.At)
 }
 
 // recordFailure counts a quick failure that this proxy has seen, and reports it to peers.
 func (r *Router) recordFailure(now time.Duration, m *member) {
-	r.failures.Note(now, &m.outlier, 1)
+	r.failures.Record(now, &m.outlier, 1)
 	if r.gossip.Enabled() {
-		r.failures.Spread(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
+		r.failures.ExtendPause(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
 		r.gossip.ObserveFailure(now, uint64(m.ID), peers.Failing)
 	}
 }
@@ -86,7 +86,7 @@
 // answers take long, a ping for each open attempt would cost more than it saves. If a peer has had an answer since
 // the attempt was sent, the fault may only be in this proxy's network path, which is rare, so the wait is longer.
 func (r *Router) silenceTimeout(m *member, a *attempt) time.Duration {
-	timeout := max(ping.Quiet, r.slowTime[a.request.Class]/2)
+	timeout := max(ping.OverdueAfter, r.slowTime[a.request.Class]/2)
 	if m.peerAliveAt > a.sentAt {
 		timeout *= 3
 	}
--- a/logic/peers_test.go
+++ b/logic/peers_test.go
@@ -64,7 +64,7 @@
 		t.Fatal("a replica that fails at every peer is still used")
 	}
 	f.now += 1100 * ms
-	if f.router.usable(m, f.now) != (f.now >= f.router.members[2].outlier.Until()) {
+	if f.router.usable(m, f.now) != (f.now >= f.router.members[2].outlier.PausedUntil()) {
 		t.Error("the replica is tried once a second by each proxy")
 	}
 }
@@ -77,7 +77,7 @@
 		f.peerReport(1, peers.Primary, peers.Failing, 0)
 	}
 	m := f.router.members[1]
-	if !f.router.failures.More(&m.outlier) || m.outlier.Trial(f.now) {
+	if !f.router.failures.IsOutlier(&m.outlier) || m.outlier.AllowsTrial(f.now) {
 		t.Fatal("the primary does not count as failing, or is due for a trial")
 	}
 	if !f.router.usable(m, f.now) {
@@ -132,15 +132,15 @@
 		f := newReadyProxy(t, cfg, 4)
 		sent := 0
 		for range 4 { // one position per ping period
-			f.now += f.router.pingSchedule.Shortest()
+			f.now += f.router.pingSchedule.ShortestPeriod()
 			f.router.gossip.Observe(f.now, 2, peers.Replica, f.now, f.now)
-			f.now += f.router.pingSchedule.Shortest() / 2 // when it is due
+			f.now += f.router.pingSchedule.ShortestPeriod() / 2 // when it is due
 			for _, report := range f.router.gossip.NextMessage(f.now) {
 				if report.Database == peers.ShortID(2) {
 					sent++
 				}
 			}
-			f.now -= f.router.pingSchedule.Shortest() / 2
+			f.now -= f.router.pingSchedule.ShortestPeriod() / 2
 		}
 		if sent != x.told {
 			t.Errorf("%d proxies: position sent %d times in four periods, want %d", x.proxies, sent, x.told)
--- a/logic/reload.go
+++ b/logic/reload.go
@@ -25,7 +25,7 @@
 	}
 	r.unlistedGroup.counts = append(r.unlistedGroup.counts, make([]ClassCounts, len(classes)-len(r.unlistedGroup.counts))...)
 	r.cfg.MaxAttempts, r.cfg.EnableRetryAfter, r.cfg.MaxRetryAfter = maxAttempts, enableRetryAfter, maxRetryAfter
-	r.pingSchedule.Tightest = tightestBound(newClasses)
+	r.pingSchedule.TightestMaxAge = tightestBound(newClasses)
 	return indexes
 }
 
--- a/logic/rounds.go
+++ b/logic/rounds.go
@@ -26,14 +26,14 @@
 func (r *Router) checkDueMembers(now time.Duration) {
 	inRound := now >= r.rounds.nextRoundAt
 	if inRound {
-		r.rounds.nextRoundAt = now + ping.Rest
+		r.rounds.nextRoundAt = now + ping.MaxDueDelay
 	}
 	active := r.rounds.active
 	r.rounds.active, r.rounds.spareActive = r.rounds.spareActive[:0], active
 	for _, m := range active {
 		m.active = false
 	}
-	if inRound && !r.pingSchedule.OnNeed() {
+	if inRound && !r.pingSchedule.OnDemand() {
 		r.visitAll(now, r.memberOrder)
 		return
 	}
@@ -83,7 +83,7 @@
 // seeksPrimary reports whether a group's members are checked at each tick for lack of a primary. Where checks are
 // only sent on demand, requests trigger them, or the search for the next primary does.
 func (r *Router) seeksPrimary(now time.Duration, g *group) bool {
-	return g.primary == nil && (!r.pingSchedule.OnNeed() || g.handover.Searching(now, r.cfg.Proxies) > 0)
+	return g.primary == nil && (!r.pingSchedule.OnDemand() || g.handover.SearchInterval(now, r.cfg.Proxies) > 0)
 }
 
 // activate has a member checked at each tick.
@@ -111,7 +111,7 @@
 // activateGroup has a group visited at each tick while it has time-driven work, and its members while it seeks a
 // primary.
 func (r *Router) activateGroup(now time.Duration, g *group) {
-	if !g.active && g.handover.Stirs() {
+	if !g.active && g.handover.NeedsTick() {
 		g.active = true
 		r.activeGroups = append(r.activeGroups, g)
 	}
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -34,9 +34,9 @@
 	if m.State != Ready || m.handover.Silent {
 		return false
 	}
-	if r.failures.More(&m.outlier) { // one trial at a time; a primary that fails often cannot be replaced
-		trial := m.outlier.Trial(now) && len(m.inFlight) == 0
-		return trial && !m.outlier.Rests(now) || m.role() == RolePrimary && (trial || !m.unresponsive)
+	if r.failures.IsOutlier(&m.outlier) { // one trial at a time; a primary that fails often cannot be replaced
+		trial := m.outlier.AllowsTrial(now) && len(m.inFlight) == 0
+		return trial && !m.outlier.Paused(now) || m.role() == RolePrimary && (trial || !m.unresponsive)
 	}
 	return true
 }
@@ -46,7 +46,7 @@
 // report.
 func (r *Router) overloaded(now time.Duration, m *member, share float64) bool {
 	queued := m.queueLength >= longQueue && now-m.queueReportedAt < reportMaxAge
-	return queued && (m.Judged <= m.queueReportedAt || m.Strain >= limit.High) || m.Filled(now, len(m.inFlight), share, r.requestDraw)
+	return queued && (m.LastAnswer <= m.queueReportedAt || m.Strain >= limit.HighStrain) || m.Reached(now, len(m.inFlight), share, r.requestDraw)
 }
 
 // limitShare returns the fraction of a member's limit that the request may fill.
@@ -59,7 +59,7 @@
 	if q.overQuota {
 		merit *= r.cfg.OverShareWorth
 	}
-	return limit.Merit(merit, merits)
+	return limit.LimitShare(merit, merits)
 }
 
 // selectMember returns the member for the request's next attempt, or nil and the retry-after hint of a refusal.
@@ -71,7 +71,7 @@
 			r.pingAndHold(now, q, len(q.group.members), func(*member) bool { return true })
 			return nil, retryAfterNoPrimary
 		}
-		if primary.Filled(now, len(primary.inFlight), share, r.requestDraw) || !r.warmUpAllows(now, primary, 1) {
+		if primary.Reached(now, len(primary.inFlight), share, r.requestDraw) || !r.warmUpAllows(now, primary, 1) {
 			return nil, retryAfterOverload
 		}
 		return primary, 0
@@ -188,7 +188,7 @@
 // isLongRead reports whether the request is a read that may stall replication at its replica. Spread at random,
 // such reads would make every replica too old for bounded reads.
 func (r *Router) isLongRead(q *request) bool {
-	return q.class.Read == Any && r.pingSchedule.Tightest > 0 && r.serviceTime[q.Class] > r.pingSchedule.Tightest/longReadDivisor
+	return q.class.Read == Any && r.pingSchedule.TightestMaxAge > 0 && r.serviceTime[q.Class] > r.pingSchedule.TightestMaxAge/longReadDivisor
 }
 
 // longReadReplicas returns the replicas for long reads: those furthest behind, in proportion to the long reads'
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -348,14 +348,14 @@
 // After a stall, answers that had waited at this proxy looked late and reduced the limits of all members.
 func TestStandingStillMovesNoLimit(t *testing.T) {
 	f := newReadyProxy(t, testConfig(), 3)
-	before := f.router.members[1].Most
+	before := f.router.members[1].MaxInFlight
 	ids := []RequestID{f.request(classUnsafe, 1), f.request(classUnsafe, 2), f.request(classUnsafe, 3)}
 	f.now += 900 * ms
 	f.finishAttempt(f.mustSend(ids[0]), OK)
 	f.router.Timer(f.now, tickTimer)
 	f.finishAttempt(f.mustSend(ids[1]), OK)
-	if m := f.router.members[1]; m.Most != before || m.Strain != 0 {
-		t.Errorf("limit %v, initially %v, and latency ratio %v after answers that waited at this proxy", m.Most, before, m.Strain)
+	if m := f.router.members[1]; m.MaxInFlight != before || m.Strain != 0 {
+		t.Errorf("limit %v, initially %v, and latency ratio %v after answers that waited at this proxy", m.MaxInFlight, before, m.Strain)
 	}
 	f.advance(600 * ms)
 	f.finishAttempt(f.mustSend(ids[2]), OK)
@@ -371,7 +371,7 @@
 	sent := 0
 	for i := 0; i < 200; i++ {
 		for _, m := range f.router.memberOrder {
-			m.Most, m.Eased = 0.5, f.now
+			m.MaxInFlight, m.LastRaised = 0.5, f.now
 		}
 		id := f.request(classAny, 0)
 		if s, ok := f.lastSend(id); ok {
--- a/logic/state.go
+++ b/logic/state.go
@@ -35,21 +35,21 @@
 	memberOrder    []*member            // all members in order of first listing
 	requests       map[RequestID]*request
 	awaitingPing   []*request
-	handover       *handover.Handover
+	handover       *handover.Tracker
 	pins           fifoMap[pinKey, pin]
 	sessionCommits commitLog
 
-	serviceTime []time.Duration // by class: estimated answer time without queueing
-	slowTime    []time.Duration // by class: answer time beyond which an answer is overdue
-	quotas      limit.Quotas    // recent requests by tenant
-	lossRate    float64         // share of answers that are lost though their members answer in time, moving average
-	failures    limit.Failures  // quick failures, over all members
-	retryTokens float64         // retries that may still be made
+	serviceTime []time.Duration      // by class: estimated answer time without queueing
+	slowTime    []time.Duration      // by class: answer time beyond which an answer is overdue
+	quotas      limit.Quotas         // recent requests by tenant
+	lossRate    float64              // share of answers that are lost though their members answer in time, moving average
+	failures    limit.FailureTracker // quick failures, over all members
+	retryTokens float64              // retries that may still be made
 
-	listCalls     limit.Calls // calls for the member list
+	listCalls     limit.CallSchedule // calls for the member list
 	pingSchedule  ping.Schedule
-	coldPriority  limit.Priority // among classes, at cold members
-	gossip        *peers.Gossip  // exchange of reports with the other proxies
+	coldPriority  limit.ColdPriority // among classes, at cold members
+	gossip        *peers.Gossip      // exchange of reports with the other proxies
 	refusalCounts [NumRefusalReasons]uint64
 	memberChecks  uint64      // number of time-driven checks of members
 	checkBudget   checkBudget // where the tier shares health checks
@@ -60,8 +60,8 @@
 	Member
 	listed   bool
 	group    *group
-	handover *handover.Seat // its role, and the probability that it restarted
-	position time.Duration  // it has applied all commits up to this time; a lower bound that never decreases
+	handover *handover.Member // its role, and the probability that it restarted
+	position time.Duration    // it has applied all commits up to this time; a lower bound that never decreases
 
 	pingTime     time.Duration // moving average; 0 = never answered
 	probing      bool
@@ -81,10 +81,10 @@
 
 	inFlight []*attempt // this proxy's attempts, oldest first
 	limit.Limit
-	warmUpBudget    limit.Account // limits its work while it is cold
-	queueLength     float64       // waiting requests according to its last report
+	warmUpBudget    limit.ColdBudget // limits its work while it is cold
+	queueLength     float64          // waiting requests according to its last report
 	queueReportedAt time.Duration
-	outlier         limit.Bench // tracks whether it fails more often than the others
+	outlier         limit.Breaker // tracks whether it fails more often than the others
 }
 
 type group struct {
@@ -161,7 +161,7 @@
 }
 
 func (r *Router) newGroup(id GroupID) *group {
-	return &group{counts: make([]ClassCounts, len(r.cfg.Classes)), handover: r.handover.Group(int(id))}
+	return &group{counts: make([]ClassCounts, len(r.cfg.Classes)), handover: r.handover.NewGroup(int(id))}
 }
 
 // listedGroup returns the group with an ID from the list, and creates it if needed.
@@ -183,14 +183,14 @@
 }
 
 // heldRequest returns the request in the form that the handover state takes.
-func (q *request) heldRequest(serviceTime, usualTime time.Duration, ahead int) handover.Held {
+func (q *request) heldRequest(serviceTime, usualTime time.Duration, ahead int) handover.HeldRequest {
 	concurrency := 0
 	price := q.group.workPrice()
 	if p := q.group.primary; p != nil {
-		concurrency = int(p.Most / 2) // of the attempts that may be in flight there, a part queues
+		concurrency = int(p.MaxInFlight / 2) // of the attempts that may be in flight there, a part queues
 	}
-	return handover.Held{ID: uint64(q.ID), At: q.arrivedAt, Until: q.Deadline, Cost: serviceTime, Slow: usualTime, Aim: q.class.Aim, Late: q.class.Late,
-		Worth: q.class.Worth, Price: price, Size: q.Size, Ran: q.mayHaveRun, Was: q.awaitingPrimary, Ahead: ahead, Width: concurrency}
+	return handover.HeldRequest{ID: uint64(q.ID), ReceivedAt: q.arrivedAt, Deadline: q.Deadline, ServiceTime: serviceTime, SlowServiceTime: usualTime, Aim: q.class.Aim, LateFactor: q.class.Late,
+		Worth: q.class.Worth, ShadowPrice: price, Size: q.Size, MayHaveRun: q.mayHaveRun, AlreadyHeld: q.awaitingPrimary, QueuedAhead: ahead, Concurrency: concurrency}
 }
 
 // usualTime returns the time of an answer that is slow for its class but not late.
@@ -207,7 +207,7 @@
 }
 
 // The price of a group's work rises from zero to its full value between these latency ratios of its members.
-const idleLatencyRatio, fullLatencyRatio = 0.3, limit.High
+const idleLatencyRatio, fullLatencyRatio = 0.3, limit.HighStrain
 
 // workPrice returns the worth that a second of the group's work earns, in proportion to how loaded its members
 // are. A held request takes that much away from other requests.
@@ -227,7 +227,7 @@
 
 // restarted clears what only applied to the member's previous process: its failures and its queue. Its log
 // continues.
-func (m *member) restarted() { m.outlier, m.queueLength, m.unresponsive = limit.Bench{}, 0, false }
+func (m *member) restarted() { m.outlier, m.queueLength, m.unresponsive = limit.Breaker{}, 0, false }
 
 // role returns the role that the member last reported.
 func (m *member) role() Role { return Role(m.handover.Role) }
