--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -165,7 +165,7 @@
 		if d.PositionAge >= 0 {
 			behind = fmt.Sprint(d.PositionAge.Milliseconds())
 		}
-		t.add(d.Name, d.Address, d.Group, d.State, d.Role, d.Health, d.InFlight, d.Limit, d.LatencyRatio, float64(d.Ping.Microseconds())/1e3, behind)
+		t.add(d.Name, d.Address, d.Group, d.State, d.Role, d.Health, d.InFlight, d.Limit, d.Strain, float64(d.Ping.Microseconds())/1e3, behind)
 	}
 	return t
 }
--- a/internal/levels/estimate.go
+++ b/internal/levels/estimate.go
@@ -42,7 +42,7 @@
 	c.did = done / dt.Seconds()
 	c.done.add(done, dt, learnSpan)
 	c.warmth = f.WarmCapacity
-	c.strain += weight * (f.LatencyRatio - c.strain)
+	c.strain += weight * (f.Strain - c.strain)
 	// Under strain answers take longer than the work in them.
 	if c.level == 0 && c.strain < easy && c.loss(1) < c.cfg.Leave {
 		for i := range c.cost {
--- a/internal/levels/levels_test.go
+++ b/internal/levels/levels_test.go
@@ -164,7 +164,7 @@
 	for i := range int(d / (100 * time.Millisecond)) {
 		s.now += 100 * time.Millisecond
 		n := members(i)
-		f := &logic.GroupStats{ReadyMembers: n, UsableMembers: n, WarmCapacity: float64(n) - s.cold, HasPrimary: true, LatencyRatio: 0.2, Classes: make([]logic.ClassCounts, 5)}
+		f := &logic.GroupStats{ReadyMembers: n, UsableMembers: n, WarmCapacity: float64(n) - s.cold, HasPrimary: true, Strain: 0.2, Classes: make([]logic.ClassCounts, 5)}
 		for k := range f.Classes {
 			gone := int(10 * lost)
 			f.Classes[k] = logic.ClassCounts{Offered: 10, InTime: 10 - gone, Refused: gone, ServiceTime: 50 * time.Millisecond}
@@ -433,7 +433,7 @@
 func BenchmarkTick(b *testing.B) {
 	c := shipped(virtual.Yard(1))
 	k := levels.NewController(&c, 0, 0)
-	f := &logic.GroupStats{ReadyMembers: 3, UsableMembers: 3, WarmCapacity: 3, HasPrimary: true, LatencyRatio: 0.6, Classes: make([]logic.ClassCounts, 5)}
+	f := &logic.GroupStats{ReadyMembers: 3, UsableMembers: 3, WarmCapacity: 3, HasPrimary: true, Strain: 0.6, Classes: make([]logic.ClassCounts, 5)}
 	for i := range f.Classes {
 		f.Classes[i] = logic.ClassCounts{Offered: 9, InTime: 6, Refused: 1, ServiceTime: 50 * time.Millisecond}
 	}
--- a/internal/state/show.go
+++ b/internal/state/show.go
@@ -102,7 +102,7 @@
 // Switches gives the groups' places in their order, and behind them the last switches that have ended, the newest first.
 func (f *Engine) Switches() (out []SwitchView) {
 	now := f.clock.Now()
-	groups, ended := f.planned.Handovers(now)
+	groups, ended := f.planned.Failovers(now)
 	name := func(id uint64) string {
 		if m := f.members[logic.MemberID(id)]; m != nil {
 			return m.name
--- a/logic/cold_test.go
+++ b/logic/cold_test.go
@@ -31,18 +31,18 @@
 	cfg.Proxies, cfg.ColdPeriod = proxies, cold
 	start := func(now time.Duration, startedAt time.Duration) *coldProxy {
 		cfg.Seed = rng.Uint64()
-		f := &coldProxy{testProxy: newTestProxy(t, cfg)}
-		f.now = now
-		f.listMembers(ListCached, 4)
+		p := &coldProxy{testProxy: newTestProxy(t, cfg)}
+		p.now = now
+		p.listMembers(ListCached, 4)
 		if startedAt > 0 {
-			f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: startedAt}}})
+			p.router.Members(p.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: startedAt}}})
 		}
-		return f
+		return p
 	}
 	now := 1000 * time.Second
-	var all [][]*coldProxy // the processes of each proxy: one, or two for a while
+	var tier [][]*coldProxy // the processes of each proxy: one, or two for a while
 	for range proxies {
-		all = append(all, []*coldProxy{start(now, 0)})
+		tier = append(tier, []*coldProxy{start(now, 0)})
 	}
 	var startedAt time.Duration
 	var coldSends []time.Duration
@@ -51,47 +51,47 @@
 		now += step
 		if startedAt == 0 && now >= 1000*time.Second+warm {
 			startedAt = now
-			for _, processes := range all {
-				for _, f := range processes {
-					f.router.Members(now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: startedAt}}})
+			for _, processes := range tier {
+				for _, p := range processes {
+					p.router.Members(now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: startedAt}}})
 				}
 			}
 		}
-		if i := rng.IntN(len(all)); rng.IntN(25) == 0 {
-			switch processes := all[i]; {
+		if i := rng.IntN(len(tier)); rng.IntN(25) == 0 {
+			switch processes := tier[i]; {
 			case len(processes) == 2: // the old process has ended
-				all[i] = processes[1:]
+				tier[i] = processes[1:]
 			case rng.IntN(2) == 0:
-				all[i] = append(processes, start(now, startedAt))
+				tier[i] = append(processes, start(now, startedAt))
 			default:
-				all[i] = []*coldProxy{start(now, startedAt)}
+				tier[i] = []*coldProxy{start(now, startedAt)}
 			}
 		}
-		for _, processes := range all {
-			for _, f := range processes {
-				f.now = now
-				for _, s := range f.inFlight { // sent in the previous step
-					f.finishAttempt(s, OK)
+		for _, processes := range tier {
+			for _, p := range processes {
+				p.now = now
+				for _, s := range p.inFlight { // sent in the previous step
+					p.finishAttempt(s, OK)
 				}
-				f.inFlight = f.inFlight[:0]
-				f.router.Timer(now, tickTimer)
-				f.answerPings()
+				p.inFlight = p.inFlight[:0]
+				p.router.Timer(now, tickTimer)
+				p.answerPings()
 			}
 			if rng.Float64() >= rate*step.Seconds() {
 				continue
 			}
-			f := processes[rng.IntN(len(processes))]
-			f.sends = f.sends[:0]
-			f.request(classSession, 0)
-			f.answerPings()
-			for _, s := range f.sends {
+			p := processes[rng.IntN(len(processes))]
+			p.sends = p.sends[:0]
+			p.request(classSession, 0)
+			p.answerPings()
+			for _, s := range p.sends {
 				switch {
 				case s.to == 2 && startedAt > 0:
 					coldSends = append(coldSends, now)
 				case s.to > 2 && startedAt > 0:
 					others++
 				}
-				f.inFlight = append(f.inFlight, s)
+				p.inFlight = append(p.inFlight, s)
 			}
 		}
 	}
--- a/logic/facts.go
+++ b/logic/facts.go
@@ -27,7 +27,7 @@
 	UsableMembers int           // ready members that are not silent
 	WarmCapacity  float64       // sum of the usable members' capacities, each as a fraction of its usual one
 	HasPrimary    bool          // a primary is known
-	LatencyRatio  float64       // mean of the usable members' answer times over their aims
+	Strain        float64       // mean of the usable members' answer times over their aims
 	Classes       []ClassCounts // counts since the last call
 }
 
@@ -56,10 +56,10 @@
 			continue
 		}
 		stats.UsableMembers++
-		stats.LatencyRatio += m.Strain
+		stats.Strain += m.Strain
 		stats.WarmCapacity += r.warmCapacity(now, m)
 	}
-	stats.LatencyRatio /= float64(max(stats.UsableMembers, 1))
+	stats.Strain /= float64(max(stats.UsableMembers, 1))
 	return true
 }
 
@@ -85,8 +85,8 @@
 	return m != nil && !r.usable(m, now)
 }
 
-// Handovers returns the state of each group's primary and the latest completed switches of primary, newest first.
-func (r *Router) Handovers(now time.Duration) (groups map[GroupID]handover.Status, completed []handover.Failover) {
+// Failovers returns the state of each group's primary and the latest completed failovers, newest first.
+func (r *Router) Failovers(now time.Duration) (groups map[GroupID]handover.Status, completed []handover.Failover) {
 	groups = map[GroupID]handover.Status{}
 	for _, id := range r.groupOrder {
 		groups[id] = r.groups[id].handover.Status(now)
@@ -94,7 +94,7 @@
 	return groups, r.handover.RecentFailovers()
 }
 
-// SetHandoverConfig replaces the settings for switches of primary.
+// SetHandoverConfig replaces the failover settings.
 func (r *Router) SetHandoverConfig(cfg handover.Config) { r.handover.Configure(cfg) }
 
 // SetTuning replaces the tuning. Existing limits continue from their present values.
@@ -127,7 +127,7 @@
 	RestartDoubt float64       // probability that it restarted during a silence, where that is unknown
 	InFlight     int           // this proxy's attempts in flight
 	Limit        float64       // how many may be in flight
-	LatencyRatio float64       // answer time over aim, moving average
+	Strain       float64       // answer time over aim, moving average
 	Ping         time.Duration // moving average; 0 = never answered
 	Position     time.Duration // it has applied all commits up to this time; 0 = unknown
 }
@@ -138,7 +138,7 @@
 	if m == nil {
 		return MemberStats{}, false
 	}
-	return MemberStats{Group: m.Group, Role: m.role(), Silent: m.handover.Silent, Failing: r.failures.IsOutlier(&m.outlier), Cold: r.warmCapacity(now, m) < 1,
+	return MemberStats{Group: m.Group, Role: m.role(), Silent: m.handover.Silent, Failing: r.failures.IsOutlier(&m.breaker), Cold: r.warmCapacity(now, m) < 1,
 		RestartDoubt: m.handover.RestartProbability(),
-		InFlight:     len(m.inFlight), Limit: m.MaxInFlight, LatencyRatio: m.Strain, Ping: m.pingTime, Position: m.position}, true
+		InFlight:     len(m.inFlight), Limit: m.MaxInFlight, Strain: m.Strain, Ping: m.pingTime, Position: m.position}, true
 }
--- a/logic/front_test.go
+++ b/logic/front_test.go
@@ -32,33 +32,33 @@
 	at    time.Duration
 }
 
-func (f *testProxy) Send(id RequestID, to MemberID, _ time.Duration) {
+func (p *testProxy) Send(id RequestID, to MemberID, _ time.Duration) {
 	n := 0
-	for _, s := range f.sends {
+	for _, s := range p.sends {
 		if s.id == id {
 			n++
 		}
 	}
-	f.sends = append(f.sends, sentAttempt{id, n, to, f.now})
+	p.sends = append(p.sends, sentAttempt{id, n, to, p.now})
 }
-func (f *testProxy) Probe(to MemberID) { f.probes = append(f.probes, to) }
-func (f *testProxy) Refuse(id RequestID, comeBack time.Duration) {
-	f.recordFinal(id, "refused")
-	f.hints[id] = comeBack
+func (p *testProxy) Probe(to MemberID) { p.probes = append(p.probes, to) }
+func (p *testProxy) Refuse(id RequestID, retryAfter time.Duration) {
+	p.recordFinal(id, "refused")
+	p.hints[id] = retryAfter
 }
-func (f *testProxy) Fail(id RequestID) { f.recordFinal(id, "failed") }
-func (f *testProxy) recordFinal(id RequestID, answer string) {
-	if previous := f.finals[id]; previous != "" {
-		f.t.Errorf("request %d: final answer %s after %s", id, answer, previous)
+func (p *testProxy) Fail(id RequestID) { p.recordFinal(id, "failed") }
+func (p *testProxy) recordFinal(id RequestID, answer string) {
+	if previous := p.finals[id]; previous != "" {
+		p.t.Errorf("request %d: final answer %s after %s", id, answer, previous)
 	}
-	f.finals[id] = answer
+	p.finals[id] = answer
 }
-func (f *testProxy) Cancel(RequestID, int)                { f.cancels++ }
-func (f *testProxy) SetTimer(_ TimerID, at time.Duration) { f.timers = append(f.timers, at) }
-func (f *testProxy) WatchList(bool)                       { f.watches++ }
-func (f *testProxy) FetchList()                           {}
-func (f *testProxy) SendToPeers([]peers.Report)           {}
-func (f *testProxy) Log(string)                           {}
+func (p *testProxy) Cancel(RequestID, int)                { p.cancels++ }
+func (p *testProxy) SetTimer(_ TimerID, at time.Duration) { p.timers = append(p.timers, at) }
+func (p *testProxy) WatchList(bool)                       { p.watches++ }
+func (p *testProxy) FetchList()                           {}
+func (p *testProxy) SendToPeers([]peers.Report)           {}
+func (p *testProxy) Log(string)                           {}
 
 // Classes of the test configuration.
 const (
@@ -86,68 +86,68 @@
 
 func newTestProxy(t *testing.T, cfg Config) *testProxy {
 	t.Helper()
-	f := &testProxy{t: t, now: 1000 * time.Second, finals: map[RequestID]string{}, hints: map[RequestID]time.Duration{}}
-	r, err := New(cfg, f)
+	p := &testProxy{t: t, now: 1000 * time.Second, finals: map[RequestID]string{}, hints: map[RequestID]time.Duration{}}
+	r, err := New(cfg, p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.router = r
-	return f
+	p.router = r
+	return p
 }
 
 // newReadyProxy lists n members, with 1 as the primary, and answers their first pings.
 func newReadyProxy(t *testing.T, cfg Config, n int) *testProxy {
 	t.Helper()
-	f := newTestProxy(t, cfg)
-	f.listMembers(ListCached, n)
-	f.advance(20 * ms)
-	return f
+	p := newTestProxy(t, cfg)
+	p.listMembers(ListCached, n)
+	p.advance(20 * ms)
+	return p
 }
 
 func readyMember(id int) Member { return Member{ID: MemberID(id), Group: 0, State: Ready} }
 
-func (f *testProxy) listMembers(kind ListKind, n int) {
+func (p *testProxy) listMembers(kind ListKind, n int) {
 	var list MemberList
 	list.Kind = kind
 	for i := 1; i <= n; i++ {
 		list.Entries = append(list.Entries, readyMember(i))
 	}
-	f.router.Members(f.now, list)
+	p.router.Members(p.now, list)
 }
 
 // advance advances the clock and answers pings: member 1 as the primary, the others as replicas 10 ms behind.
-func (f *testProxy) advance(d time.Duration, silent ...MemberID) {
-	for end := f.now + d; f.now < end; {
-		f.now += 10 * ms
-		f.router.Timer(f.now, tickTimer)
-		f.answerPings(silent...)
+func (p *testProxy) advance(d time.Duration, silent ...MemberID) {
+	for end := p.now + d; p.now < end; {
+		p.now += 10 * ms
+		p.router.Timer(p.now, tickTimer)
+		p.answerPings(silent...)
 	}
 }
 
-func (f *testProxy) answerPings(silent ...MemberID) {
-	probed := f.probes
-	f.probes = nil
+func (p *testProxy) answerPings(silent ...MemberID) {
+	probed := p.probes
+	p.probes = nil
 	for _, m := range probed {
 		if slices.Contains(silent, m) {
 			continue
 		}
-		report := Report{Role: RoleReplica, Position: f.now - 10*ms}
+		report := Report{Role: RoleReplica, Position: p.now - 10*ms}
 		if m == 1 {
-			report = Report{Role: RolePrimary, Position: f.now}
+			report = Report{Role: RolePrimary, Position: p.now}
 		}
-		f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: report})
+		p.router.Probed(p.now, ProbeEnd{Member: m, Elapsed: ms, Report: report})
 	}
 }
 
-func (f *testProxy) request(class int, session SessionID) RequestID {
-	f.nextID++
-	f.router.Request(f.now, Request{ID: f.nextID, Class: class, Session: session, Deadline: f.now + f.router.cfg.Classes[class].Limit})
-	return f.nextID
+func (p *testProxy) request(class int, session SessionID) RequestID {
+	p.nextID++
+	p.router.Request(p.now, Request{ID: p.nextID, Class: class, Session: session, Deadline: p.now + p.router.cfg.Classes[class].Limit})
+	return p.nextID
 }
 
 // lastSend returns the latest send of a request.
-func (f *testProxy) lastSend(id RequestID) (sentAttempt, bool) {
-	for _, s := range slices.Backward(f.sends) {
+func (p *testProxy) lastSend(id RequestID) (sentAttempt, bool) {
+	for _, s := range slices.Backward(p.sends) {
 		if s.id == id {
 			return s, true
 		}
@@ -155,17 +155,17 @@
 	return sentAttempt{}, false
 }
 
-func (f *testProxy) mustSend(id RequestID) sentAttempt {
-	f.t.Helper()
-	s, ok := f.lastSend(id)
+func (p *testProxy) mustSend(id RequestID) sentAttempt {
+	p.t.Helper()
+	s, ok := p.lastSend(id)
 	if !ok {
-		f.t.Fatalf("request %d was not sent; final answer %q", id, f.finals[id])
+		p.t.Fatalf("request %d was not sent; final answer %q", id, p.finals[id])
 	}
 	return s
 }
 
-func (f *testProxy) sendCount(id RequestID) (n int) {
-	for _, s := range f.sends {
+func (p *testProxy) sendCount(id RequestID) (n int) {
+	for _, s := range p.sends {
 		if s.id == id {
 			n++
 		}
@@ -174,32 +174,32 @@
 }
 
 // finishAttempt reports the end of an attempt, with the role and position that the member would report.
-func (f *testProxy) finishAttempt(s sentAttempt, result Result) {
-	o := Outcome{Request: s.id, Attempt: s.index, Member: s.to, Result: result, Elapsed: f.now - s.at, Finished: result == OK}
+func (p *testProxy) finishAttempt(s sentAttempt, result Result) {
+	o := Outcome{Request: s.id, Attempt: s.index, Member: s.to, Result: result, Elapsed: p.now - s.at, Finished: result == OK}
 	if result == OK || result == Misdirected || result == Failed || result == Rejected {
-		o.Role, o.Position = RoleReplica, f.now-10*ms
+		o.Role, o.Position = RoleReplica, p.now-10*ms
 		if s.to == 1 {
-			o.Role, o.Position = RolePrimary, f.now
+			o.Role, o.Position = RolePrimary, p.now
 		}
 	}
 	if result == OK {
-		f.finals[s.id] = "served"
+		p.finals[s.id] = "served"
 	}
-	f.router.Outcome(f.now, o)
+	p.router.Outcome(p.now, o)
 }
 
-func (f *testProxy) serve(id RequestID, took time.Duration) sentAttempt {
-	f.t.Helper()
-	s := f.mustSend(id)
-	f.now += took
-	f.finishAttempt(s, OK)
+func (p *testProxy) serve(id RequestID, elapsed time.Duration) sentAttempt {
+	p.t.Helper()
+	s := p.mustSend(id)
+	p.now += elapsed
+	p.finishAttempt(s, OK)
 	return s
 }
 
-func (f *testProxy) wantFinal(id RequestID, answer string) {
-	f.t.Helper()
-	if got := f.finals[id]; got != answer {
-		f.t.Errorf("request %d: final answer %q, want %q", id, got, answer)
+func (p *testProxy) wantFinal(id RequestID, answer string) {
+	p.t.Helper()
+	if got := p.finals[id]; got != answer {
+		p.t.Errorf("request %d: final answer %q, want %q", id, got, answer)
 	}
 }
 
--- a/logic/health.go
+++ b/logic/health.go
@@ -133,8 +133,8 @@
 		m.peerAliveAt = max(m.peerAliveAt, min(verdict.RoleObservedAt, now))
 	}
 	if verdict.Failing && !previous.Failing {
-		r.failures.Record(now, &m.outlier, 1)
-		r.failures.ExtendPause(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
+		r.failures.Record(now, &m.breaker, 1)
+		r.failures.ExtendPause(now, &m.breaker, r.cfg.Proxies, r.rng.Float64())
 	}
 	if previous.State == healthcheck.Ejected && !m.ejected && m.handover.Silent && ping.InUse(now, m.group.rate.updatedAt) {
 		r.probe(now, m)
--- a/logic/large_fleet_test.go
+++ b/logic/large_fleet_test.go
@@ -13,35 +13,35 @@
 	t.Helper()
 	cfg := testConfig()
 	cfg.Proxies, cfg.MaxPeerReports, cfg.MaxConnections = 400, 17, 122
-	f := newTestProxy(t, cfg)
+	p := newTestProxy(t, cfg)
 	l := MemberList{Kind: ListCached}
 	for id := range 4 * groups {
 		l.Entries = append(l.Entries, Member{ID: MemberID(id + 1), Group: GroupID(id / 4), State: Ready})
 	}
-	f.router.Members(f.now, l)
-	return f
+	p.router.Members(p.now, l)
+	return p
 }
 
 // advanceLarge advances the clock and answers checks, with the first member of each group as its primary. It
 // returns the number of checks.
-func (f *testProxy) advanceLarge(d time.Duration) (checks int) {
-	for end := f.now + d; f.now < end; {
-		f.now += 10 * ms
-		f.router.Timer(f.now, tickTimer)
-		checks += f.answerLargePings()
+func (p *testProxy) advanceLarge(d time.Duration) (checks int) {
+	for end := p.now + d; p.now < end; {
+		p.now += 10 * ms
+		p.router.Timer(p.now, tickTimer)
+		checks += p.answerLargePings()
 	}
 	return checks
 }
 
-func (f *testProxy) answerLargePings() int {
-	probed := f.probes
-	f.probes = nil
+func (p *testProxy) answerLargePings() int {
+	probed := p.probes
+	p.probes = nil
 	for _, m := range probed {
-		report := Report{Role: RoleReplica, Position: f.now - 10*ms}
+		report := Report{Role: RoleReplica, Position: p.now - 10*ms}
 		if (m-1)%4 == 0 {
-			report = Report{Role: RolePrimary, Position: f.now}
+			report = Report{Role: RolePrimary, Position: p.now}
 		}
-		f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: report})
+		p.router.Probed(p.now, ProbeEnd{Member: m, Elapsed: ms, Report: report})
 	}
 	return len(probed)
 }
@@ -49,16 +49,16 @@
 // Guards against incident 38: a check that was never sent, for lack of a connection, made its member silent, was
 // reported to all peers as silence, and later had the member treated as cold.
 func TestACheckThatWasNeverSentSaysNothingOfItsMember(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 3)
-	f.advance(2 * time.Second)
-	f.now += 10 * ms
-	m := f.router.members[1]
-	f.router.probe(f.now, m)
-	f.router.Probed(f.now, ProbeEnd{Member: 1, Result: NotSent})
-	if m.handover.Silent || m.probing || f.router.groups[0].primary != m {
-		t.Errorf("silent %v, check in flight %v, primary %v", m.handover.Silent, m.probing, f.router.groups[0].primary == m)
+	p := newReadyProxy(t, testConfig(), 3)
+	p.advance(2 * time.Second)
+	p.now += 10 * ms
+	m := p.router.members[1]
+	p.router.probe(p.now, m)
+	p.router.Probed(p.now, ProbeEnd{Member: 1, Result: NotSent})
+	if m.handover.Silent || m.probing || p.router.groups[0].primary != m {
+		t.Errorf("silent %v, check in flight %v, primary %v", m.handover.Silent, m.probing, p.router.groups[0].primary == m)
 	}
-	if f.now += 10 * ms; f.router.warmCapacity(f.now, m) != 1 {
+	if p.now += 10 * ms; p.router.warmCapacity(p.now, m) != 1 {
 		t.Error("the member counts as cold")
 	}
 }
@@ -66,17 +66,17 @@
 // Guards against incident 38: a new proxy checked every database of the list in its first 0.3 s, regardless of
 // their number and of whether any request needed them.
 func TestANewRouterChecksNoGroupThatNobodyAsksFor(t *testing.T) {
-	f := newLargeProxy(t, 800)
-	if n := f.advanceLarge(5 * time.Second); n != 0 {
+	p := newLargeProxy(t, 800)
+	if n := p.advanceLarge(5 * time.Second); n != 0 {
 		t.Errorf("%d checks without a request", n)
 	}
-	f.nextID++
-	f.router.Request(f.now, Request{ID: f.nextID, Class: classUnsafe, Group: 7, Deadline: f.now + time.Second})
-	n := f.answerLargePings() + f.advanceLarge(100*ms)
+	p.nextID++
+	p.router.Request(p.now, Request{ID: p.nextID, Class: classUnsafe, Group: 7, Deadline: p.now + time.Second})
+	n := p.answerLargePings() + p.advanceLarge(100*ms)
 	if n == 0 || n > 4 {
 		t.Errorf("%d checks for the first request to a group of four", n)
 	}
-	if s := f.mustSend(f.nextID); s.to != 4*7+1 {
+	if s := p.mustSend(p.nextID); s.to != 4*7+1 {
 		t.Errorf("a write went to member %d, want %d", s.to, 4*7+1)
 	}
 }
@@ -85,16 +85,16 @@
 // of a large list. It must only check what is in use.
 func TestWhatTheRouterLooksAtDoesNotGrowWithTheList(t *testing.T) {
 	looked := func(groups int) uint64 {
-		f := newLargeProxy(t, groups)
-		f.advanceLarge(2 * time.Second)
-		before := f.router.memberChecks
+		p := newLargeProxy(t, groups)
+		p.advanceLarge(2 * time.Second)
+		before := p.router.memberChecks
 		for range 50 {
-			f.nextID++
-			f.router.Request(f.now, Request{ID: f.nextID, Class: classAny, Group: GroupID(int(f.nextID) % 50), Deadline: f.now + 8*time.Second})
-			f.answerLargePings()
-			f.advanceLarge(20 * ms)
+			p.nextID++
+			p.router.Request(p.now, Request{ID: p.nextID, Class: classAny, Group: GroupID(int(p.nextID) % 50), Deadline: p.now + 8*time.Second})
+			p.answerLargePings()
+			p.advanceLarge(20 * ms)
 		}
-		return f.router.memberChecks - before
+		return p.router.memberChecks - before
 	}
 	small, large := looked(50), looked(800)
 	if large > small*14/10 {
@@ -105,22 +105,22 @@
 // Guards against the same fault as in incident 38 in the handling of peer reports: if a thousand databases fell
 // silent, a proxy checked each of them on its peers' reports, whether or not any request needed it.
 func TestAPeersWordOfSilenceHasOnlyGroupsInUseChecked(t *testing.T) {
-	f := newLargeProxy(t, 800)
-	f.advanceLarge(time.Second)
-	f.nextID++
-	f.router.Request(f.now, Request{ID: f.nextID, Class: classUnsafe, Group: 7, Deadline: f.now + time.Second})
-	f.answerLargePings()
-	f.advanceLarge(3 * time.Second)
+	p := newLargeProxy(t, 800)
+	p.advanceLarge(time.Second)
+	p.nextID++
+	p.router.Request(p.now, Request{ID: p.nextID, Class: classUnsafe, Group: 7, Deadline: p.now + time.Second})
+	p.answerLargePings()
+	p.advanceLarge(3 * time.Second)
 	for id := range MemberID(1000) {
-		report := peers.Report{Database: peers.ShortID(uint64(id + 1)), Status: peers.Silent, At: f.now}
-		f.router.PeerReports(f.now, []peers.Report{report})
+		report := peers.Report{Database: peers.ShortID(uint64(id + 1)), Status: peers.Silent, At: p.now}
+		p.router.PeerReports(p.now, []peers.Report{report})
 	}
-	for _, m := range f.probes {
-		if f.router.members[m].Group != 7 {
-			t.Fatalf("%d checks, one of member %d, which no request needs", len(f.probes), m)
+	for _, m := range p.probes {
+		if p.router.members[m].Group != 7 {
+			t.Fatalf("%d checks, one of member %d, which no request needs", len(p.probes), m)
 		}
 	}
-	if len(f.probes) == 0 {
+	if len(p.probes) == 0 {
 		t.Error("no member of the group in use was checked")
 	}
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -42,7 +42,7 @@
 	retryShare   = 0.2  // retries as a fraction of all requests
 	retryReserve = 30.0 // retries saved for a short burst of failures
 
-	retryAfterNoPrimary = 500 * time.Millisecond // a switch of primary takes seconds
+	retryAfterNoPrimary = 500 * time.Millisecond // a failover takes seconds
 	retryAfterOverload  = 150 * time.Millisecond // an overload eases within a few service times
 
 	listRoleAge     = 5 * time.Second  // assumed age of a role that a list names
@@ -55,7 +55,7 @@
 	serviceTimeQuantile   = 0.3     // quantile of a class's answer times that estimates its service time
 	slowTimeQuantile      = 0.95    // quantile of a class's answer times beyond which an answer is overdue
 	lossWeight            = 0.02    // weight of one attempt in the moving average of lost answers
-	maxLossRate           = 0.05    // in normal operation the share stays far below
+	maxLoss               = 0.05    // in normal operation the share stays far below
 	maxSessionEntries     = 1 << 15 // of pins, and of session commits
 	tickTimer             = TimerID(1)
 )
@@ -246,9 +246,9 @@
 		q, age := a.request, now-a.sentAt
 		if !a.overdue && age > max(2*r.slowTime[q.Class], q.class.Aim) {
 			a.overdue, m.unresponsive = true, true
-			r.failures.Record(now, &m.outlier, 1)
+			r.failures.Record(now, &m.breaker, 1)
 			if m.Strain < limit.HighStrain && !m.handover.Silent {
-				r.lossRate += lossWeight * (1 - r.lossRate)
+				r.loss += lossWeight * (1 - r.loss)
 			}
 		}
 		answersLost := r.lossy(m) && age > r.slowTime[q.Class] && !r.isLongRead(q)
@@ -258,9 +258,7 @@
 	}
 }
 
-func (r *Router) lossy(m *member) bool {
-	return r.lossRate > maxLossRate && m.Strain < limit.HighStrain
-}
+func (r *Router) lossy(m *member) bool { return r.loss > maxLoss && m.Strain < limit.HighStrain }
 
 // ---- Requests, attempts and outcomes ----
 
@@ -561,8 +559,8 @@
 		limit.UpdateQuantile(&r.serviceTime[q.Class], elapsed, serviceTimeQuantile)
 		limit.UpdateQuantile(&r.slowTime[q.Class], elapsed, slowTimeQuantile)
 		r.recordLatency(now, m, q.class.Aim, min(float64(elapsed)/float64(q.class.Aim), limit.LateStrain))
-		r.failures.Record(now, &m.outlier, 0)
-		r.lossRate -= lossWeight * r.lossRate
+		r.failures.Record(now, &m.breaker, 0)
+		r.loss -= lossWeight * r.loss
 		if q.class.Read != Write && q.Session != 0 && m.role() == RoleReplica {
 			r.pins.put(q.pinKey(), pin{m, q.group.handover.Term()})
 		}
@@ -587,9 +585,9 @@
 
 // recordLatency updates the member's limit with an answer time over its aim, unless the delay may be due to a
 // stall of this proxy.
-func (r *Router) recordLatency(now time.Duration, m *member, aim time.Duration, latencyRatio float64) {
+func (r *Router) recordLatency(now time.Duration, m *member, aim time.Duration, strain float64) {
 	if !r.stalled(now) {
-		m.RecordAnswer(now, aim, latencyRatio, len(m.inFlight))
+		m.RecordAnswer(now, aim, strain, len(m.inFlight))
 	}
 }
 
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -27,37 +27,37 @@
 }
 
 func TestModesByClass(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 4)
+	p := newReadyProxy(t, testConfig(), 4)
 	for i := 0; i < 40; i++ {
 		for _, c := range []int{classBounded, classSession, classAny} {
-			if s := f.serve(f.request(c, 0), ms); s.to == 1 {
+			if s := p.serve(p.request(c, 0), ms); s.to == 1 {
 				t.Fatalf("class %d went to the primary although replicas qualify", c)
 			}
 		}
 		for _, c := range []int{classGuarded, classUnsafe, classFresh} {
-			if s := f.serve(f.request(c, 0), ms); s.to != 1 {
+			if s := p.serve(p.request(c, 0), ms); s.to != 1 {
 				t.Fatalf("class %d went to member %d, not the primary", c, s.to)
 			}
 		}
-		f.advance(50 * ms)
+		p.advance(50 * ms)
 	}
 }
 
 func TestPingWindow(t *testing.T) {
-	f := newTestProxy(t, testConfig())
-	f.listMembers(ListCached, 4)
-	f.now += 10 * ms
-	f.router.Timer(f.now, tickTimer)
+	p := newTestProxy(t, testConfig())
+	p.listMembers(ListCached, 4)
+	p.now += 10 * ms
+	p.router.Timer(p.now, tickTimer)
 	for m, ping := range map[MemberID]time.Duration{1: ms, 2: ms, 3: 15 * ms, 4: 40 * ms} {
-		rep := Report{Role: RoleReplica, Position: f.now}
+		rep := Report{Role: RoleReplica, Position: p.now}
 		if m == 1 {
 			rep.Role = RolePrimary
 		}
-		f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ping, Report: rep})
+		p.router.Probed(p.now, ProbeEnd{Member: m, Elapsed: ping, Report: rep})
 	}
 	seen := map[MemberID]int{}
 	for i := 0; i < 60; i++ {
-		seen[f.serve(f.request(classSession, 0), 0).to]++
+		seen[p.serve(p.request(classSession, 0), 0).to]++
 	}
 	if seen[4] != 0 || seen[2] < 15 || seen[3] < 15 {
 		t.Errorf("sends by member %v: want 2 and 3 alike, and none to 4, which is outside the window", seen)
@@ -65,10 +65,10 @@
 }
 
 func TestPinsHoldUntilThePrimaryChanges(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 6)
-	first := f.serve(f.request(classSession, 5), 10*ms).to
+	p := newReadyProxy(t, testConfig(), 6)
+	first := p.serve(p.request(classSession, 5), 10*ms).to
 	for i := 0; i < 20; i++ {
-		if s := f.serve(f.request(classSession, 5), 10*ms); s.to != first {
+		if s := p.serve(p.request(classSession, 5), 10*ms); s.to != first {
 			t.Fatalf("read %d went to %d, pinned to %d", i, s.to, first)
 		}
 	}
@@ -77,13 +77,13 @@
 	if first == other {
 		other = 3
 	}
-	f.now += 10 * ms
-	f.router.observe(f.router.members[other], RolePrimary, f.now, f.now, f.now)
+	p.now += 10 * ms
+	p.router.observe(p.router.members[other], RolePrimary, p.now, p.now, p.now)
 	moved := false
 	for i := SessionID(0); i < 12; i++ {
-		moved = moved || f.serve(f.request(classSession, 5), ms).to != first
-		f.router.groups[0].handover.NoteRole(f.now, f.router.members[first].handover, handover.Replica, f.now)
-		f.router.groups[0].handover.NoteRole(f.now, f.router.members[other].handover, handover.Primary, f.now)
+		moved = moved || p.serve(p.request(classSession, 5), ms).to != first
+		p.router.groups[0].handover.NoteRole(p.now, p.router.members[first].handover, handover.Replica, p.now)
+		p.router.groups[0].handover.NoteRole(p.now, p.router.members[other].handover, handover.Primary, p.now)
 	}
 	if !moved {
 		t.Error("the session kept its old replica during twelve changes of primary")
@@ -91,30 +91,30 @@
 }
 
 func TestSessionReadNeedsItsWrites(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 3)
-	w := f.mustSend(f.request(classGuarded, 9))
-	f.now += 20 * ms
-	f.router.Outcome(f.now, Outcome{Request: w.id, Member: 1, Result: OK, Finished: true, Role: RolePrimary, Position: f.now})
-	if s := f.mustSend(f.request(classSession, 9)); s.to != 1 {
+	p := newReadyProxy(t, testConfig(), 3)
+	w := p.mustSend(p.request(classGuarded, 9))
+	p.now += 20 * ms
+	p.router.Outcome(p.now, Outcome{Request: w.id, Member: 1, Result: OK, Finished: true, Role: RolePrimary, Position: p.now})
+	if s := p.mustSend(p.request(classSession, 9)); s.to != 1 {
 		t.Errorf("the read went to replica %d, which is not known to have the write", s.to)
 	}
-	f.advance(300 * ms)
-	f.request(classBounded, 0) // bounded reads make pings more frequent
-	f.advance(1200 * ms)
-	if s := f.mustSend(f.request(classSession, 9)); s.to == 1 {
+	p.advance(300 * ms)
+	p.request(classBounded, 0) // bounded reads make pings more frequent
+	p.advance(1200 * ms)
+	if s := p.mustSend(p.request(classSession, 9)); s.to == 1 {
 		t.Error("the read still goes to the primary although replicas report later positions")
 	}
 }
 
 func TestEvictedCommitsBoundUnknownSessions(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 2)
+	p := newReadyProxy(t, testConfig(), 2)
 	for i := 0; i <= maxSessionEntries; i++ {
-		f.router.sessionCommits.add(SessionID(i+1), f.now+time.Duration(i))
+		p.router.sessionCommits.add(SessionID(i+1), p.now+time.Duration(i))
 	}
-	if got := f.router.sessionToken(f.now, &Request{Session: 1}); got != f.now {
-		t.Errorf("the token of an evicted session is %v, want the newest evicted commit %v", got, f.now)
+	if got := p.router.sessionToken(p.now, &Request{Session: 1}); got != p.now {
+		t.Errorf("the token of an evicted session is %v, want the newest evicted commit %v", got, p.now)
 	}
-	if n := len(f.router.sessionCommits.entries); n != maxSessionEntries {
+	if n := len(p.router.sessionCommits.entries); n != maxSessionEntries {
 		t.Errorf("%d commits kept, want %d", n, maxSessionEntries)
 	}
 }
@@ -122,11 +122,11 @@
 func TestSessionTokenInRequest(t *testing.T) {
 	cfg := testConfig()
 	cfg.SessionTokens = true
-	f := newReadyProxy(t, cfg, 3)
+	p := newReadyProxy(t, cfg, 3)
 	send := func(age time.Duration) MemberID {
-		f.nextID++
-		f.router.Request(f.now, Request{ID: f.nextID, Class: classSession, Session: 4, TokenAge: age, Deadline: f.now + time.Second})
-		return f.mustSend(f.nextID).to
+		p.nextID++
+		p.router.Request(p.now, Request{ID: p.nextID, Class: classSession, Session: 4, TokenAge: age, Deadline: p.now + time.Second})
+		return p.mustSend(p.nextID).to
 	}
 	if to := send(5 * ms); to != 1 {
 		t.Errorf("a read 5 ms after its write went to %d; replicas are 10 ms behind", to)
@@ -137,41 +137,41 @@
 }
 
 func TestWriteWithoutPrimaryIsRefusedUnsent(t *testing.T) {
-	f := newTestProxy(t, testConfig())
-	f.listMembers(ListCached, 3)
-	f.advance(20*ms, 1)
-	f.now += 400 * ms
-	f.router.Timer(f.now, tickTimer)
-	id := f.request(classUnsafe, 3)
-	f.wantFinal(id, "refused")
-	if f.sendCount(id) != 0 || f.hints[id] == 0 {
-		t.Errorf("%d sends and hint %v, want none and a hint", f.sendCount(id), f.hints[id])
+	p := newTestProxy(t, testConfig())
+	p.listMembers(ListCached, 3)
+	p.advance(20*ms, 1)
+	p.now += 400 * ms
+	p.router.Timer(p.now, tickTimer)
+	id := p.request(classUnsafe, 3)
+	p.wantFinal(id, "refused")
+	if p.sendCount(id) != 0 || p.hints[id] == 0 {
+		t.Errorf("%d sends and hint %v, want none and a hint", p.sendCount(id), p.hints[id])
 	}
 }
 
 func TestNewRouterHoldsRequestsUntilFirstPings(t *testing.T) {
-	f := newTestProxy(t, testConfig())
-	f.listMembers(ListCached, 3)
-	w, rd := f.request(classUnsafe, 1), f.request(classBounded, 0)
-	if len(f.sends) != 0 || len(f.finals) != 0 {
-		t.Fatalf("sends %v, finals %v before any ping was answered", f.sends, f.finals)
-	}
-	f.advance(20 * ms)
-	if s := f.mustSend(w); s.to != 1 {
+	p := newTestProxy(t, testConfig())
+	p.listMembers(ListCached, 3)
+	w, rd := p.request(classUnsafe, 1), p.request(classBounded, 0)
+	if len(p.sends) != 0 || len(p.finals) != 0 {
+		t.Fatalf("sends %v, finals %v before any ping was answered", p.sends, p.finals)
+	}
+	p.advance(20 * ms)
+	if s := p.mustSend(w); s.to != 1 {
 		t.Errorf("the held write went to %d", s.to)
 	}
-	f.mustSend(rd)
+	p.mustSend(rd)
 }
 
 func TestMisdirectedWriteDemotesThePrimary(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 3)
-	s := f.mustSend(f.request(classUnsafe, 1))
-	f.now += 2 * ms
-	f.router.Outcome(f.now, Outcome{Request: s.id, Member: s.to, Result: Misdirected, Role: RoleReplica, Position: f.now - 10*ms})
-	f.wantFinal(s.id, "refused")
-	id := f.request(classUnsafe, 1)
-	f.wantFinal(id, "refused")
-	if f.sendCount(id) != 0 {
+	p := newReadyProxy(t, testConfig(), 3)
+	s := p.mustSend(p.request(classUnsafe, 1))
+	p.now += 2 * ms
+	p.router.Outcome(p.now, Outcome{Request: s.id, Member: s.to, Result: Misdirected, Role: RoleReplica, Position: p.now - 10*ms})
+	p.wantFinal(s.id, "refused")
+	id := p.request(classUnsafe, 1)
+	p.wantFinal(id, "refused")
+	if p.sendCount(id) != 0 {
 		t.Error("a write was sent to a member that had just rejected one as a replica")
 	}
 }
@@ -189,83 +189,83 @@
 		{classGuarded, Failed, 8, "failed"},
 		{classBounded, Failed, 3, "refused"},
 	} {
-		f := newReadyProxy(t, testConfig(), 4)
-		id := f.request(c.class, 1)
-		for i := 0; i < 9 && f.finals[id] == ""; i++ {
-			f.now += 5 * ms
-			f.finishAttempt(f.mustSend(id), c.res)
+		p := newReadyProxy(t, testConfig(), 4)
+		id := p.request(c.class, 1)
+		for i := 0; i < 9 && p.finals[id] == ""; i++ {
+			p.now += 5 * ms
+			p.finishAttempt(p.mustSend(id), c.res)
 		}
-		if f.finals[id] != c.final || f.sendCount(id) != c.sends {
-			t.Errorf("class %d after %d: %d sends and %q, want %d and %q", c.class, c.res, f.sendCount(id), f.finals[id],
+		if p.finals[id] != c.final || p.sendCount(id) != c.sends {
+			t.Errorf("class %d after %d: %d sends and %q, want %d and %q", c.class, c.res, p.sendCount(id), p.finals[id],
 				c.sends, c.final)
 		}
 	}
 }
 
 func TestGuardedRetryRespectsDedupWindow(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 3)
-	id := f.request(classGuarded, 1)
-	f.advance(1195 * ms)
-	f.finishAttempt(f.mustSend(id), Failed)
-	if f.sendCount(id) != 1 {
+	p := newReadyProxy(t, testConfig(), 3)
+	id := p.request(classGuarded, 1)
+	p.advance(1195 * ms)
+	p.finishAttempt(p.mustSend(id), Failed)
+	if p.sendCount(id) != 1 {
 		t.Error("a guarded write was retried after its deduplication window")
 	}
-	f.wantFinal(id, "failed")
+	p.wantFinal(id, "failed")
 }
 
 // A member that owes answers and misses a ping gets no more requests, and its repeatable reads are sent elsewhere.
 func TestSilentMemberLosesItsReads(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 4)
+	p := newReadyProxy(t, testConfig(), 4)
 	var stuck []RequestID
 	for i := 0; i < 30; i++ {
-		id := f.request(classBounded, 0)
-		if f.mustSend(id).to == 2 {
+		id := p.request(classBounded, 0)
+		if p.mustSend(id).to == 2 {
 			stuck = append(stuck, id)
 		} else {
-			f.serve(id, 0)
+			p.serve(id, 0)
 		}
 	}
 	if len(stuck) == 0 {
 		t.Fatal("no read went to member 2")
 	}
-	f.advance(700*ms, 2)
+	p.advance(700*ms, 2)
 	for _, id := range stuck {
-		if f.sendCount(id) != 2 || f.mustSend(id).to == 2 {
-			t.Errorf("read %d: %d sends, the last to %d; want a second one to another member", id, f.sendCount(id), f.mustSend(id).to)
+		if p.sendCount(id) != 2 || p.mustSend(id).to == 2 {
+			t.Errorf("read %d: %d sends, the last to %d; want a second one to another member", id, p.sendCount(id), p.mustSend(id).to)
 		}
 	}
 	for i := 0; i < 30; i++ {
-		if s := f.serve(f.request(classAny, 0), 0); s.to == 2 {
+		if s := p.serve(p.request(classAny, 0), 0); s.to == 2 {
 			t.Fatal("a read went to the silent member")
 		}
 	}
 }
 
 func TestSilentPrimaryRefusesWrites(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 3)
-	f.advance(1500*ms, 1)
-	id := f.request(classUnsafe, 1)
-	f.wantFinal(id, "refused")
-	if f.sendCount(id) != 0 {
+	p := newReadyProxy(t, testConfig(), 3)
+	p.advance(1500*ms, 1)
+	id := p.request(classUnsafe, 1)
+	p.wantFinal(id, "refused")
+	if p.sendCount(id) != 0 {
 		t.Error("a write was sent to a silent primary")
 	}
 }
 
 // A member that fails quickly is set aside and gets one trial request at a time.
 func TestFailingMemberGetsFewRequests(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 4)
+	p := newReadyProxy(t, testConfig(), 4)
 	hits := 0
 	for i := 0; i < 200; i++ {
-		id := f.request(classAny, 0)
-		for f.finals[id] == "" {
-			if s := f.mustSend(id); s.to == 3 {
+		id := p.request(classAny, 0)
+		for p.finals[id] == "" {
+			if s := p.mustSend(id); s.to == 3 {
 				hits++
-				f.finishAttempt(s, Failed)
+				p.finishAttempt(s, Failed)
 			} else {
-				f.finishAttempt(s, OK)
+				p.finishAttempt(s, OK)
 			}
 		}
-		f.advance(10 * ms)
+		p.advance(10 * ms)
 	}
 	if hits > 12 {
 		t.Errorf("the failing member got %d of 200 reads", hits)
@@ -274,7 +274,7 @@
 
 // A member that answers pings quickly but requests late gets fewer requests, and its peers get the rest.
 func TestSlowMemberGetsLess(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 4)
+	p := newReadyProxy(t, testConfig(), 4)
 	type flight struct {
 		s   sentAttempt
 		due time.Duration
@@ -282,22 +282,22 @@
 	var inFlight []flight
 	got := map[MemberID]int{}
 	for i := 0; i < 1500; i++ {
-		id := f.request(classBounded, 0)
-		if s, ok := f.lastSend(id); ok {
+		id := p.request(classBounded, 0)
+		if s, ok := p.lastSend(id); ok {
 			took := 60 * ms
 			if s.to == 3 {
 				took = 600 * ms
 			}
-			inFlight = append(inFlight, flight{s, f.now + took})
+			inFlight = append(inFlight, flight{s, p.now + took})
 			if i > 500 {
 				got[s.to]++
 			}
 		}
-		f.advance(10 * ms)
+		p.advance(10 * ms)
 		var remaining []flight
 		for _, a := range inFlight {
-			if a.due <= f.now {
-				f.finishAttempt(a.s, OK)
+			if a.due <= p.now {
+				p.finishAttempt(a.s, OK)
 			} else {
 				remaining = append(remaining, a)
 			}
@@ -312,33 +312,33 @@
 // Long reads that stall replication go to a replica that is too old for bounded reads, starting with a router's
 // first.
 func TestLongReadsGoToTheReplicaFurthestBehind(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 5)
+	p := newReadyProxy(t, testConfig(), 5)
 	for i := 0; i < 300; i++ { // makes long reads a small part of the work
-		f.serve(f.request(classSession, 0), 100*ms)
+		p.serve(p.request(classSession, 0), 100*ms)
 	}
-	first := f.mustSend(f.request(classAny, 0)).to
-	if again := f.mustSend(f.request(classAny, 0)).to; again != first {
+	first := p.mustSend(p.request(classAny, 0)).to
+	if again := p.mustSend(p.request(classAny, 0)).to; again != first {
 		t.Errorf("the first long reads went to %d and %d: want the same replica", first, again)
 	}
-	f.router.members[4].position = f.now - 3*time.Second
+	p.router.members[4].position = p.now - 3*time.Second
 	for i := 0; i < 2; i++ {
-		if s := f.mustSend(f.request(classAny, 0)); s.to != 4 {
+		if s := p.mustSend(p.request(classAny, 0)); s.to != 4 {
 			t.Errorf("a long read went to %d, not to the replica furthest behind", s.to)
 		}
 	}
-	f.router.members[4].MaxInFlight = 0 // its limit is reached: its peers stay available for bounded reads all the same
-	id := f.request(classAny, 0)
-	f.wantFinal(id, "refused")
+	p.router.members[4].MaxInFlight = 0 // its limit is reached: its peers stay available for bounded reads all the same
+	id := p.request(classAny, 0)
+	p.wantFinal(id, "refused")
 }
 
 func TestDrainStopsAtTheNews(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 3)
+	p := newReadyProxy(t, testConfig(), 3)
 	for i, st := range []MemberState{Draining, Gone} {
 		e := readyMember(2 + i)
 		e.State = st
-		f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
+		p.router.Members(p.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
 		for j := 0; j < 20; j++ {
-			if s := f.serve(f.request(classBounded, 0), 0); int(s.to) == 2+i {
+			if s := p.serve(p.request(classBounded, 0), 0); int(s.to) == 2+i {
 				t.Fatalf("a read went to a member in state %d", st)
 			}
 		}
@@ -347,18 +347,18 @@
 
 // A restarted member gets little traffic at first, at most its peers' mean times its fraction of capacity.
 func TestColdMemberGetsReducedTraffic(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 5)
+	p := newReadyProxy(t, testConfig(), 5)
 	for i := 0; i < 100; i++ {
-		f.serve(f.request(classBounded, 0), 10*ms)
-		f.advance(10 * ms)
+		p.serve(p.request(classBounded, 0), 10*ms)
+		p.advance(10 * ms)
 	}
 	e := readyMember(3)
-	e.StartedAt = f.now
-	f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
+	e.StartedAt = p.now
+	p.router.Members(p.now, MemberList{Kind: ListDelta, Entries: []Member{e}})
 	got := map[MemberID]int{}
 	for i := 0; i < 300; i++ {
-		got[f.serve(f.request(classBounded, 0), 5*ms).to]++
-		f.advance(10 * ms)
+		got[p.serve(p.request(classBounded, 0), 5*ms).to]++
+		p.advance(10 * ms)
 	}
 	if got[3]*2 > got[2] || got[3] == 0 {
 		t.Errorf("sends by member %v: want the cold member at under half of a warm one's", got)
@@ -368,71 +368,71 @@
 func TestUnexpectedEvents(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListOnRequest = true
-	f := newTestProxy(t, cfg)
-	f.router.Outcome(f.now, Outcome{Request: 99, Result: OK})
-	f.router.Abandoned(f.now, 99)
-	f.router.ResponseStarted(f.now, 99, 0)
-	f.router.Timer(f.now, 12345)
-	f.router.Probed(f.now, ProbeEnd{Member: 77})
-	f.router.Members(f.now, MemberList{Kind: ListFailed})
-	f.listMembers(ListFull, 3)
-	f.advance(400 * ms)
-	f.nextID++
-	f.router.Request(f.now, Request{ID: f.nextID, Class: classAny, Group: 8, Deadline: f.now + time.Second})
-	f.wantFinal(f.nextID, "refused") // the group has no members
-	f.nextID++
-	f.router.Request(f.now, Request{ID: f.nextID, Class: 1000, Deadline: f.now + time.Second})
-	f.wantFinal(f.nextID, "failed")
-	s := f.mustSend(f.request(classBounded, 0))
-	f.router.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{readyMember(1)}}) // the list no longer names the request's member
-	f.finishAttempt(s, OK)
-	f.finishAttempt(s, OK)
-	f.router.Members(f.now, MemberList{Kind: ListFull, Entries: []Member{readyMember(1)}})
-	if len(f.router.requests) != 0 || len(f.router.memberOrder) != 1 {
-		t.Errorf("%d requests and %d members kept, want 0 and 1", len(f.router.requests), len(f.router.memberOrder))
+	p := newTestProxy(t, cfg)
+	p.router.Outcome(p.now, Outcome{Request: 99, Result: OK})
+	p.router.Abandoned(p.now, 99)
+	p.router.ResponseStarted(p.now, 99, 0)
+	p.router.Timer(p.now, 12345)
+	p.router.Probed(p.now, ProbeEnd{Member: 77})
+	p.router.Members(p.now, MemberList{Kind: ListFailed})
+	p.listMembers(ListFull, 3)
+	p.advance(400 * ms)
+	p.nextID++
+	p.router.Request(p.now, Request{ID: p.nextID, Class: classAny, Group: 8, Deadline: p.now + time.Second})
+	p.wantFinal(p.nextID, "refused") // the group has no members
+	p.nextID++
+	p.router.Request(p.now, Request{ID: p.nextID, Class: 1000, Deadline: p.now + time.Second})
+	p.wantFinal(p.nextID, "failed")
+	s := p.mustSend(p.request(classBounded, 0))
+	p.router.Members(p.now, MemberList{Kind: ListFull, Entries: []Member{readyMember(1)}}) // the list no longer names the request's member
+	p.finishAttempt(s, OK)
+	p.finishAttempt(s, OK)
+	p.router.Members(p.now, MemberList{Kind: ListFull, Entries: []Member{readyMember(1)}})
+	if len(p.router.requests) != 0 || len(p.router.memberOrder) != 1 {
+		t.Errorf("%d requests and %d members kept, want 0 and 1", len(p.router.requests), len(p.router.memberOrder))
 	}
 }
 
 func TestFailedListCallsAreSpaced(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListOnRequest = true
-	f := newTestProxy(t, cfg)
+	p := newTestProxy(t, cfg)
 	for i := 0; i < 1000; i++ {
-		before := f.watches
-		f.now += 10 * ms
-		f.router.Timer(f.now, tickTimer)
-		if f.watches > before || i == 0 {
-			f.router.Members(f.now, MemberList{Kind: ListFailed})
+		before := p.watches
+		p.now += 10 * ms
+		p.router.Timer(p.now, tickTimer)
+		if p.watches > before || i == 0 {
+			p.router.Members(p.now, MemberList{Kind: ListFailed})
 		}
 	}
-	if f.watches < 3 || f.watches > 9 {
-		t.Errorf("%d calls in 10 s of failures, want a few", f.watches)
+	if p.watches < 3 || p.watches > 9 {
+		t.Errorf("%d calls in 10 s of failures, want a few", p.watches)
 	}
 }
 
 // A member that answers pings but no requests gets at most trial requests, and its reads are sent elsewhere.
 func TestUnresponsiveMemberThatAnswersPings(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 3)
+	p := newReadyProxy(t, testConfig(), 3)
 	var writes []RequestID
 	for i := 0; i < 3; i++ {
-		writes = append(writes, f.request(classUnsafe, 1))
-		f.mustSend(writes[i])
+		writes = append(writes, p.request(classUnsafe, 1))
+		p.mustSend(writes[i])
 	}
-	f.advance(400 * ms)
-	if id := f.request(classUnsafe, 1); f.sendCount(id) != 1 {
+	p.advance(400 * ms)
+	if id := p.request(classUnsafe, 1); p.sendCount(id) != 1 {
 		t.Fatal("refused before the aim had passed")
 	}
-	f.advance(700 * ms)
-	id := f.request(classUnsafe, 1)
-	f.wantFinal(id, "refused")
-	if f.sendCount(id) != 0 {
+	p.advance(700 * ms)
+	id := p.request(classUnsafe, 1)
+	p.wantFinal(id, "refused")
+	if p.sendCount(id) != 0 {
 		t.Error("a write was sent to a primary that has not answered any for longer than their aim")
 	}
 	for _, w := range writes {
-		f.finishAttempt(f.mustSend(w), OK)
+		p.finishAttempt(p.mustSend(w), OK)
 	}
-	f.advance(2 * time.Second)
-	if id := f.request(classUnsafe, 1); f.sendCount(id) != 1 {
+	p.advance(2 * time.Second)
+	if id := p.request(classUnsafe, 1); p.sendCount(id) != 1 {
 		t.Error("still refused after the primary answered")
 	}
 }
@@ -442,13 +442,13 @@
 func TestLeastMeritIsShedFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[classBounded].Worth = 0.1 // the same work as a session read, for a tenth of the worth
-	f := newReadyProxy(t, cfg, 4)
-	for _, m := range f.router.memberOrder {
+	p := newReadyProxy(t, cfg, 4)
+	for _, m := range p.router.memberOrder {
 		m.MaxInFlight = 10
 	}
 	shed := func(class, n int) (refused int) {
 		for i := 0; i < n; i++ {
-			if f.finals[f.request(class, 0)] == "refused" {
+			if p.finals[p.request(class, 0)] == "refused" {
 				refused++
 			}
 		}
@@ -467,23 +467,23 @@
 
 // If clients leave early, the remaining quick answers alone would hide that the member is overloaded.
 func TestAbandonedRequestsReduceTheLimit(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 2)
-	m := f.router.members[2]
+	p := newReadyProxy(t, testConfig(), 2)
+	m := p.router.members[2]
 	before := m.MaxInFlight
 	for i := 0; i < 40; i++ {
-		id := f.request(classBounded, 0)
-		if f.sendCount(id) == 0 {
+		id := p.request(classBounded, 0)
+		if p.sendCount(id) == 0 {
 			continue
 		}
-		f.advance(150 * ms)
+		p.advance(150 * ms)
 		if i%3 == 0 {
-			f.finishAttempt(f.mustSend(id), OK)
+			p.finishAttempt(p.mustSend(id), OK)
 		} else {
-			f.router.Abandoned(f.now, id)
-			f.finals[id] = "abandoned"
-			f.finishAttempt(f.mustSend(id), Cancelled)
+			p.router.Abandoned(p.now, id)
+			p.finals[id] = "abandoned"
+			p.finishAttempt(p.mustSend(id), Cancelled)
 		}
-		f.answerPings()
+		p.answerPings()
 	}
 	if m.MaxInFlight > before/3 {
 		t.Errorf("limit %.1f, initially %.1f, after two thirds of the clients left", m.MaxInFlight, before)
@@ -494,18 +494,18 @@
 func TestBeyondItsShareIsShedFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.OverShareWorth = []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 20}}, 0.1
-	f := newReadyProxy(t, cfg, 4)
+	p := newReadyProxy(t, cfg, 4)
 	refused := map[int]int{}
 	ask := func(tenant, n int) {
 		for i := 0; i < n; i++ {
-			f.nextID++
-			f.router.Request(f.now, Request{ID: f.nextID, Class: classSession, Tenant: tenant, Deadline: f.now + time.Second})
-			if f.finals[f.nextID] == "refused" {
+			p.nextID++
+			p.router.Request(p.now, Request{ID: p.nextID, Class: classSession, Tenant: tenant, Deadline: p.now + time.Second})
+			if p.finals[p.nextID] == "refused" {
 				refused[tenant]++
 			}
 		}
 	}
-	for _, m := range f.router.memberOrder {
+	for _, m := range p.router.memberOrder {
 		m.MaxInFlight = 10
 	}
 	ask(0, 40)
@@ -517,19 +517,19 @@
 
 // Failures that affect all members alike set none aside: a loss of a fifth must not turn into refusing everything.
 func TestFailuresEverywhereBenchNobody(t *testing.T) {
-	f, benched := newReadyProxy(t, testConfig(), 6), 0
+	p, benched := newReadyProxy(t, testConfig(), 6), 0
 	for i := 0; i < 600; i++ {
-		id := f.request(classSession, 0)
-		for n := 0; f.finals[id] == ""; n++ {
+		id := p.request(classSession, 0)
+		for n := 0; p.finals[id] == ""; n++ {
 			res := OK
 			if (i+n)%5 < 2 && n == 0 { // two fifths of the first attempts are reset
 				res = Reset
 			}
-			f.finishAttempt(f.mustSend(id), res)
+			p.finishAttempt(p.mustSend(id), res)
 		}
-		f.advance(10 * ms)
-		for _, m := range f.router.memberOrder[1:] {
-			if i > 100 && !f.router.usable(m, f.now) {
+		p.advance(10 * ms)
+		for _, m := range p.router.memberOrder[1:] {
+			if i > 100 && !p.router.usable(m, p.now) {
 				benched++
 			}
 		}
@@ -541,16 +541,16 @@
 
 // Long reads fill only their share of a replica's limit; if they filled all of it, most would time out there.
 func TestLongReadsFillOnlyTheirShareOfAReplica(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 5)
+	p := newReadyProxy(t, testConfig(), 5)
 	for i := 0; i < 300; i++ {
-		f.serve(f.request(classSession, 0), 100*ms)
+		p.serve(p.request(classSession, 0), 100*ms)
 	}
-	for _, m := range f.router.memberOrder {
+	for _, m := range p.router.memberOrder {
 		m.MaxInFlight = 4
 	}
 	sent := 0
 	for i := 0; i < 5; i++ {
-		sent += f.sendCount(f.request(classAny, 0))
+		sent += p.sendCount(p.request(classAny, 0))
 	}
 	if sent == 0 || sent >= 4 {
 		t.Errorf("%d long reads sent at a limit of 4, want some, but not all", sent)
@@ -561,17 +561,17 @@
 func TestNewestWordOfTwoPrimariesCounts(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListRole = ListRoleLate
-	f := newReadyProxy(t, cfg, 3)
+	p := newReadyProxy(t, cfg, 3)
 	named := readyMember(2)
 	named.Primary = true
-	f.router.members[2].handover.Role, f.router.members[2].handover.RoleTime = handover.RoleUnknown, 0
-	f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{named}})
-	if s := f.serve(f.request(classFresh, 0), ms); s.to != 1 {
+	p.router.members[2].handover.Role, p.router.members[2].handover.RoleTime = handover.RoleUnknown, 0
+	p.router.Members(p.now, MemberList{Kind: ListDelta, Entries: []Member{named}})
+	if s := p.serve(p.request(classFresh, 0), ms); s.to != 1 {
 		t.Fatalf("a delayed list took precedence over member 1's own report: sent to %d", s.to)
 	}
-	f.now += 5 * ms
-	f.router.observe(f.router.members[2], RolePrimary, f.now, f.now, f.now)
-	if s := f.mustSend(f.request(classFresh, 0)); s.to != 2 {
+	p.now += 5 * ms
+	p.router.observe(p.router.members[2], RolePrimary, p.now, p.now, p.now)
+	if s := p.mustSend(p.request(classFresh, 0)); s.to != 2 {
 		t.Errorf("sent to %d, although member 2's report is the newest", s.to)
 	}
 }
@@ -582,14 +582,14 @@
 	for _, probes := range []bool{true, false} {
 		cfg := testConfig()
 		cfg.ListOnRequest, cfg.ListFromAgent, cfg.EnableProbes = true, true, probes
-		f := newReadyProxy(t, cfg, 3) // from the configuration's list; all checks have been answered
-		early := f.request(classAny, 0)
-		if _, sent := f.lastSend(early); sent {
+		p := newReadyProxy(t, cfg, 3) // from the configuration's list; all checks have been answered
+		early := p.request(classAny, 0)
+		if _, sent := p.lastSend(early); sent {
 			t.Fatal("sent before the agent's list arrived")
 		}
-		f.router.Members(f.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: 2, State: Draining}, {ID: 1, State: Draining}}})
-		f.advance(20 * ms)
-		if s := f.mustSend(early); s.to != 3 {
+		p.router.Members(p.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: 2, State: Draining}, {ID: 1, State: Draining}}})
+		p.advance(20 * ms)
+		if s := p.mustSend(early); s.to != 3 {
 			t.Errorf("probes %v: sent to %d, which is draining", probes, s.to)
 		}
 	}
--- a/logic/peers.go
+++ b/logic/peers.go
@@ -56,19 +56,19 @@
 		}
 		return
 	case report.Status == peers.Failing:
-		r.failures.Record(now, &m.outlier, 1)
-		r.failures.ExtendPause(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
+		r.failures.Record(now, &m.breaker, 1)
+		r.failures.ExtendPause(now, &m.breaker, r.cfg.Proxies, r.rng.Float64())
 	default:
-		r.failures.Record(now, &m.outlier, 0)
+		r.failures.Record(now, &m.breaker, 0)
 	}
 	m.peerAliveAt = max(m.peerAliveAt, report.At)
 }
 
 // recordFailure counts a quick failure that this proxy has seen, and reports it to peers.
 func (r *Router) recordFailure(now time.Duration, m *member) {
-	r.failures.Record(now, &m.outlier, 1)
+	r.failures.Record(now, &m.breaker, 1)
 	if r.gossip.Enabled() {
-		r.failures.ExtendPause(now, &m.outlier, r.cfg.Proxies, r.rng.Float64())
+		r.failures.ExtendPause(now, &m.breaker, r.cfg.Proxies, r.rng.Float64())
 		r.gossip.ObserveFailure(now, uint64(m.ID), peers.Failing)
 	}
 }
--- a/logic/plan_test.go
+++ b/logic/plan_test.go
@@ -8,11 +8,11 @@
 
 // requestOnce has many clients send one request each and returns which of them the plan sheds. The other requests
 // are not followed further.
-func requestOnce(f *testProxy, clients int, class int) (shed []bool) {
+func requestOnce(p *testProxy, clients int, class int) (shed []bool) {
 	for i := range clients {
-		f.nextID++
-		q := Request{ID: f.nextID, Class: class, ClientKey: uint64(i + 1), Deadline: f.now + 8*time.Second}
-		shed = append(shed, !f.router.admits(f.now, &q, f.router.groups[0]))
+		p.nextID++
+		q := Request{ID: p.nextID, Class: class, ClientKey: uint64(i + 1), Deadline: p.now + 8*time.Second}
+		shed = append(shed, !p.router.admits(p.now, &q, p.router.groups[0]))
 	}
 	return shed
 }
@@ -27,21 +27,21 @@
 	return float64(n) / float64(len(shed))
 }
 
-func setPlan(f *testProxy, share float64) {
-	p := make([]Admission, len(f.router.cfg.Classes))
-	for i := range p {
-		p[i] = Admission{Share: 1}
+func setPlan(p *testProxy, share float64) {
+	plan := make([]Admission, len(p.router.cfg.Classes))
+	for i := range plan {
+		plan[i] = Admission{Share: 1}
 	}
-	p[classAny] = Admission{Share: share, RetryAfter: 400 * ms}
-	f.router.SetAdmission(0, p)
+	plan[classAny] = Admission{Share: share, RetryAfter: 400 * ms}
+	p.router.SetAdmission(0, plan)
 }
 
 func TestStricterPlanShedsASupersetOfClients(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 4)
-	setPlan(f, 0.6)
-	mild := requestOnce(f, 2000, classAny)
-	setPlan(f, 0.2)
-	strict := requestOnce(f, 2000, classAny)
+	p := newReadyProxy(t, testConfig(), 4)
+	setPlan(p, 0.6)
+	mild := requestOnce(p, 2000, classAny)
+	setPlan(p, 0.2)
+	strict := requestOnce(p, 2000, classAny)
 	if a, b := admittedShare(mild), admittedShare(strict); math.Abs(a-0.6) > 0.04 || math.Abs(b-0.2) > 0.04 {
 		t.Errorf("admitted %.3f and %.3f, want 0.6 and 0.2", a, b)
 	}
@@ -50,11 +50,11 @@
 			t.Fatalf("client %d is shed by the milder plan but not by the stricter", i)
 		}
 	}
-	if admittedShare(requestOnce(f, 100, classBounded)) != 1 {
+	if admittedShare(requestOnce(p, 100, classBounded)) != 1 {
 		t.Error("requests of a class that the plan admits in full are shed")
 	}
-	f.router.SetAdmission(0, nil)
-	if admittedShare(requestOnce(f, 100, classAny)) != 1 {
+	p.router.SetAdmission(0, nil)
+	if admittedShare(requestOnce(p, 100, classAny)) != 1 {
 		t.Error("requests are shed without a plan")
 	}
 }
@@ -62,13 +62,13 @@
 // Retries of a client do not defeat the plan, but clients are drawn anew over time so that none is refused for
 // good.
 func TestAdmissionDecisionIsStableThenRedrawn(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 4)
-	setPlan(f, 0.5)
-	first := requestOnce(f, 400, classAny)
+	p := newReadyProxy(t, testConfig(), 4)
+	setPlan(p, 0.5)
+	first := requestOnce(p, 400, classAny)
 	same, turned := 0, 0
 	for range 5 {
-		f.advance(20 * ms)
-		for i, x := range requestOnce(f, 400, classAny) {
+		p.advance(20 * ms)
+		for i, x := range requestOnce(p, 400, classAny) {
 			if x == first[i] {
 				same++
 			}
@@ -79,9 +79,9 @@
 	}
 	ever := make([]bool, 400)
 	for range 12 {
-		f.now += redrawInterval
-		f.advance(10 * ms)
-		for i, x := range requestOnce(f, 400, classAny) {
+		p.now += redrawInterval
+		p.advance(10 * ms)
+		for i, x := range requestOnce(p, 400, classAny) {
 			ever[i] = ever[i] || !x
 		}
 	}
@@ -98,12 +98,12 @@
 // A client that sends most of the traffic is admitted for a part of its requests, since otherwise it would be
 // admitted or refused as a whole.
 func TestHeavyClientIsAdmittedInPart(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 4)
-	setPlan(f, 0.5)
+	p := newReadyProxy(t, testConfig(), 4)
+	setPlan(p, 0.5)
 	admitted, n := 0, 0
 	for range 1200 {
-		f.advance(10 * ms)
-		if f.router.admits(f.now, &Request{Class: classAny, ClientKey: 42}, f.router.groups[0]) {
+		p.advance(10 * ms)
+		if p.router.admits(p.now, &Request{Class: classAny, ClientKey: 42}, p.router.groups[0]) {
 			admitted++
 		}
 		n++
@@ -114,15 +114,15 @@
 }
 
 func TestRetriesBehindARefusalAreNoNewDemand(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 4)
-	setPlan(f, 0)
+	p := newReadyProxy(t, testConfig(), 4)
+	setPlan(p, 0)
 	var stats GroupStats
-	f.router.GroupStats(f.now, 0, &stats)
+	p.router.GroupStats(p.now, 0, &stats)
 	for range 5 {
-		requestOnce(f, 200, classAny)
-		f.now += 50 * ms
+		requestOnce(p, 200, classAny)
+		p.now += 50 * ms
 	}
-	f.router.GroupStats(f.now, 0, &stats)
+	p.router.GroupStats(p.now, 0, &stats)
 	// The table of refusals is small: some entries are displaced by others and count again.
 	if c := stats.Classes[classAny]; c.Offered+c.Retries != 1000 || c.Offered > 650 || c.Shed > c.Offered {
 		t.Errorf("%+v", c)
@@ -131,15 +131,15 @@
 
 // The hint of a shed request is within what clients respect, and spread over time.
 func TestRetryAfterOfShedRequestsIsSpread(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 4)
-	setPlan(f, 0)
+	p := newReadyProxy(t, testConfig(), 4)
+	setPlan(p, 0)
 	for i := range 100 {
-		f.nextID++
-		f.router.Request(f.now, Request{ID: f.nextID, Class: classAny, ClientKey: uint64(i + 1), Deadline: f.now + 8*time.Second})
+		p.nextID++
+		p.router.Request(p.now, Request{ID: p.nextID, Class: classAny, ClientKey: uint64(i + 1), Deadline: p.now + 8*time.Second})
 	}
 	seen := map[time.Duration]bool{}
-	for id, how := range f.finals {
-		if h := f.hints[id]; how != "refused" || h < 200*ms || h > min(600*ms, f.router.cfg.MaxRetryAfter) {
+	for id, how := range p.finals {
+		if h := p.hints[id]; how != "refused" || h < 200*ms || h > min(600*ms, p.router.cfg.MaxRetryAfter) {
 			t.Fatalf("%s, hint %v", how, h)
 		} else {
 			seen[h] = true
@@ -151,17 +151,17 @@
 }
 
 func TestPlanForbidsRetries(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 4)
-	p := make([]Admission, len(f.router.cfg.Classes))
-	for i := range p {
-		p[i] = Admission{Share: 1, NoRetries: true}
-	}
-	f.router.SetAdmission(0, p)
-	id := f.request(classAny, 0)
-	f.finishAttempt(f.mustSend(id), Rejected)
-	f.wantFinal(id, "refused")
-	if f.sendCount(id) != 1 {
-		t.Errorf("%d attempts", f.sendCount(id))
+	p := newReadyProxy(t, testConfig(), 4)
+	plan := make([]Admission, len(p.router.cfg.Classes))
+	for i := range plan {
+		plan[i] = Admission{Share: 1, NoRetries: true}
+	}
+	p.router.SetAdmission(0, plan)
+	id := p.request(classAny, 0)
+	p.finishAttempt(p.mustSend(id), Rejected)
+	p.wantFinal(id, "refused")
+	if p.sendCount(id) != 1 {
+		t.Errorf("%d attempts", p.sendCount(id))
 	}
 }
 
--- a/logic/refusal_test.go
+++ b/logic/refusal_test.go
@@ -20,7 +20,7 @@
 type thinProxy struct {
 	*testProxy
 	result       Result        // of attempts
-	took         time.Duration // until they end
+	answerDelay  time.Duration // until they end
 	pingsLost    bool          // pings are not answered either
 	queue        float64       // reported by the members
 	faultStays   bool          // the fault continues during the measurement
@@ -34,120 +34,120 @@
 }
 
 // run advances the clock, with five requests per second of all classes.
-func (s *thinProxy) run(d time.Duration) {
+func (p *thinProxy) run(d time.Duration) {
 	const step, every = 10 * ms, 20 // in steps
-	for end := s.now + d; s.now < end; {
-		s.now += step
-		s.router.Timer(s.now, tickTimer)
-		s.answerPings()
-		if s.steps++; s.steps%every == 0 {
-			class := s.steps / every % len(s.router.cfg.Classes)
-			id := s.request(class, SessionID(s.steps%7))
-			if s.answerPings(); s.finals[id] == "refused" {
-				s.refused++
+	for end := p.now + d; p.now < end; {
+		p.now += step
+		p.router.Timer(p.now, tickTimer)
+		p.answerPings()
+		if p.steps++; p.steps%every == 0 {
+			class := p.steps / every % len(p.router.cfg.Classes)
+			id := p.request(class, SessionID(p.steps%7))
+			if p.answerPings(); p.finals[id] == "refused" {
+				p.refused++
 			}
 		}
-		for len(s.inFlight) > 0 && s.now-s.inFlight[0].at >= s.took {
-			a := s.inFlight[0]
-			s.inFlight = s.inFlight[1:]
-			s.finishAttempt(a, s.result)
+		for len(p.inFlight) > 0 && p.now-p.inFlight[0].at >= p.answerDelay {
+			a := p.inFlight[0]
+			p.inFlight = p.inFlight[1:]
+			p.finishAttempt(a, p.result)
 		}
-		if s.refused >= refusalCount {
-			s.longest = max(s.longest, s.now-s.since)
+		if p.refused >= refusalCount {
+			p.longest = max(p.longest, p.now-p.since)
 		}
 	}
 }
 
 // Send implements Actions.
-func (s *thinProxy) Send(id RequestID, to MemberID, timeout time.Duration) {
-	s.testProxy.Send(id, to, timeout)
-	s.inFlight = append(s.inFlight, s.sends[len(s.sends)-1])
-	s.refused, s.since = 0, s.now
+func (p *thinProxy) Send(id RequestID, to MemberID, timeout time.Duration) {
+	p.testProxy.Send(id, to, timeout)
+	p.inFlight = append(p.inFlight, p.sends[len(p.sends)-1])
+	p.refused, p.since = 0, p.now
 }
 
 // answerPings answers the pings, or has them time out.
-func (s *thinProxy) answerPings() {
-	probed := s.probes
-	s.probes = nil
+func (p *thinProxy) answerPings() {
+	probed := p.probes
+	p.probes = nil
 	for _, m := range probed {
-		end := ProbeEnd{Member: m, Elapsed: ms, ConnOpenedAt: s.connOpenedAt, Report: Report{Role: RoleReplica, Position: s.now - 10*ms, Queue: s.queue}}
+		end := ProbeEnd{Member: m, Elapsed: ms, ConnOpenedAt: p.connOpenedAt, Report: Report{Role: RoleReplica, Position: p.now - 10*ms, Queue: p.queue}}
 		if m == 1 {
-			end.Report.Role, end.Report.Position = RolePrimary, s.now
+			end.Report.Role, end.Report.Position = RolePrimary, p.now
 		}
-		if s.pingsLost {
+		if p.pingsLost {
 			end = ProbeEnd{Member: m, Result: TimedOut}
 		}
-		s.router.Probed(s.now, end)
+		p.router.Probed(p.now, end)
 	}
 }
 
 // restart lists members as started now.
-func (s *thinProxy) restart(ids ...MemberID) {
+func (p *thinProxy) restart(ids ...MemberID) {
 	for _, id := range ids {
-		s.router.Members(s.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: id, State: Ready, StartedAt: s.now}}})
+		p.router.Members(p.now, MemberList{Kind: ListDelta, Entries: []Member{{ID: id, State: Ready, StartedAt: p.now}}})
 	}
 }
 
 // measure ends the members' fault, unless it is to continue, and starts the measurement.
-func (s *thinProxy) measure() {
-	if !s.faultStays {
-		s.result, s.took, s.pingsLost, s.queue = OK, 10*ms, false, 0
+func (p *thinProxy) measure() {
+	if !p.faultStays {
+		p.result, p.answerDelay, p.pingsLost, p.queue = OK, 10*ms, false, 0
 	}
-	s.refused, s.since, s.longest = 0, s.now, 0
+	p.refused, p.since, p.longest = 0, p.now, 0
 }
 
 // Whatever a proxy has been through, by its own fault or its network's, it must not keep refusing everything once
 // the databases serve it.
 func TestFewProxiesRefuseAllWhileDatabasesServe(t *testing.T) {
 	const proxies, members = 300, 6
-	for name, c := range map[string]func(s *thinProxy){
-		"it has just started": func(s *thinProxy) {},
-		"all answers came late": func(s *thinProxy) {
-			s.result, s.took = TimedOut, 1500*ms
-			s.run(8 * time.Second)
+	for name, c := range map[string]func(p *thinProxy){
+		"it has just started": func(p *thinProxy) {},
+		"all answers came late": func(p *thinProxy) {
+			p.result, p.answerDelay = TimedOut, 1500*ms
+			p.run(8 * time.Second)
 		},
-		"all attempts were reset": func(s *thinProxy) {
-			s.result = Reset
-			s.run(8 * time.Second)
+		"all attempts were reset": func(p *thinProxy) {
+			p.result = Reset
+			p.run(8 * time.Second)
 		},
-		"no connection came up": func(s *thinProxy) {
-			s.result, s.pingsLost = ConnectFailed, true
-			s.run(8 * time.Second)
+		"no connection came up": func(p *thinProxy) {
+			p.result, p.pingsLost = ConnectFailed, true
+			p.run(8 * time.Second)
 		},
-		"it was cut off for a moment": func(s *thinProxy) {
-			s.result, s.pingsLost = ConnectFailed, true
-			s.run(1500 * ms)
+		"it was cut off for a moment": func(p *thinProxy) {
+			p.result, p.pingsLost = ConnectFailed, true
+			p.run(1500 * ms)
 		},
-		"it stood still": func(s *thinProxy) { s.now += 5 * time.Second },
-		"members were full": func(s *thinProxy) {
-			s.result = Rejected
-			s.run(8 * time.Second)
+		"it stood still": func(p *thinProxy) { p.now += 5 * time.Second },
+		"members were full": func(p *thinProxy) {
+			p.result = Rejected
+			p.run(8 * time.Second)
 		},
-		"members are full all the while": func(s *thinProxy) {
-			s.result, s.faultStays = Rejected, true
+		"members are full all the while": func(p *thinProxy) {
+			p.result, p.faultStays = Rejected, true
 		},
-		"members were full for a moment": func(s *thinProxy) {
-			s.result = Rejected
-			s.run(2 * time.Second)
+		"members were full for a moment": func(p *thinProxy) {
+			p.result = Rejected
+			p.run(2 * time.Second)
 		},
-		"all answers were slow": func(s *thinProxy) {
-			s.took = 900 * ms
-			s.run(8 * time.Second)
+		"all answers were slow": func(p *thinProxy) {
+			p.answerDelay = 900 * ms
+			p.run(8 * time.Second)
 		},
-		"all queues were long": func(s *thinProxy) {
-			s.queue = 3
-			s.run(8 * time.Second)
+		"all queues were long": func(p *thinProxy) {
+			p.queue = 3
+			p.run(8 * time.Second)
 		},
-		"half of the members have just started": func(s *thinProxy) { s.restart(1, 2, 3) },
-		"all members have just started":         func(s *thinProxy) { s.restart(1, 2, 3, 4, 5, 6) },
-		"peers told of failures everywhere": func(s *thinProxy) {
+		"half of the members have just started": func(p *thinProxy) { p.restart(1, 2, 3) },
+		"all members have just started":         func(p *thinProxy) { p.restart(1, 2, 3, 4, 5, 6) },
+		"peers told of failures everywhere": func(p *thinProxy) {
 			for range 10 {
 				var reports []peers.Report
 				for id := range MemberID(members) {
-					reports = append(reports, peers.Report{Database: peers.ShortID(uint64(id + 1)), At: s.now, Status: peers.Failing})
+					reports = append(reports, peers.Report{Database: peers.ShortID(uint64(id + 1)), At: p.now, Status: peers.Failing})
 				}
-				s.router.PeerReports(s.now, reports)
-				s.run(100 * ms)
+				p.router.PeerReports(p.now, reports)
+				p.run(100 * ms)
 			}
 		},
 	} {
@@ -157,17 +157,17 @@
 			for seed := range uint64(seeds) {
 				cfg := manyProxies()
 				cfg.Proxies, cfg.Seed, cfg.MaxPeerReports = proxies, seed, 8
-				s := &thinProxy{testProxy: newTestProxy(t, cfg), result: OK, took: 10 * ms}
-				s.router.actions = s
-				s.connOpenedAt = s.now
-				s.listMembers(ListCached, members)
+				p := &thinProxy{testProxy: newTestProxy(t, cfg), result: OK, answerDelay: 10 * ms}
+				p.router.actions = p
+				p.connOpenedAt = p.now
+				p.listMembers(ListCached, members)
 				if name != "it has just started" {
-					s.run(10 * time.Second)
+					p.run(10 * time.Second)
 				}
-				c(s)
-				s.measure()
-				s.run(20 * time.Second)
-				if none = max(none, s.longest); s.longest >= refusalSpan {
+				c(p)
+				p.measure()
+				p.run(20 * time.Second)
+				if none = max(none, p.longest); p.longest >= refusalSpan {
 					over++
 				}
 			}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -64,14 +64,14 @@
 	due     time.Duration
 }
 
-func (w *simulation) fail(violation string) {
-	if w.violation == "" {
-		w.violation = violation
+func (s *simulation) fail(violation string) {
+	if s.violation == "" {
+		s.violation = violation
 	}
 }
 
-func (w *simulation) memberByID(id MemberID) *simMember {
-	for _, m := range w.members {
+func (s *simulation) memberByID(id MemberID) *simMember {
+	for _, m := range s.members {
 		if m.id == id {
 			return m
 		}
@@ -83,158 +83,158 @@
 }
 
 // advance advances the clock and the members' logs.
-func (w *simulation) advance(d time.Duration) {
-	w.now += d
-	for _, m := range w.members {
+func (s *simulation) advance(d time.Duration) {
+	s.now += d
+	for _, m := range s.members {
 		if m.role == RolePrimary {
-			m.position = w.now
+			m.position = s.now
 		} else {
-			m.position = max(m.position, w.now-m.lag)
+			m.position = max(m.position, s.now-m.lag)
 		}
 	}
 }
 
-func (w *simulation) Send(id RequestID, to MemberID, _ time.Duration) {
-	q, m := w.requests[id], w.memberByID(to)
-	w.sends++
+func (s *simulation) Send(id RequestID, to MemberID, _ time.Duration) {
+	q, m := s.requests[id], s.memberByID(to)
+	s.sends++
 	switch {
 	case q == nil || m == nil:
-		w.fail("unknown request or member")
+		s.fail("unknown request or member")
 		return
 	case q.done:
-		w.fail("sent after the final answer")
+		s.fail("sent after the final answer")
 	case m.group != q.Group:
-		w.fail("outside the group")
-	case w.cfg.IgnoreGone && m.drained, !w.cfg.IgnoreGone && m.state != Ready:
-		w.fail("sent to a member that drains")
-	case len(q.attempts) >= w.cfg.MaxAttempts:
-		w.fail("too many attempts")
+		s.fail("outside the group")
+	case s.cfg.IgnoreGone && m.drained, !s.cfg.IgnoreGone && m.state != Ready:
+		s.fail("sent to a member that drains")
+	case len(q.attempts) >= s.cfg.MaxAttempts:
+		s.fail("too many attempts")
 	}
-	for _, a := range q.attempts {
-		if a.open && !w.cfg.ParallelAttempts {
-			w.fail("two attempts at once")
+	for _, attempt := range q.attempts {
+		if attempt.open && !s.cfg.ParallelAttempts {
+			s.fail("two attempts at once")
 		}
-		if q.class.Effect == Idempotent || !a.open && !a.mayRun {
+		if q.class.Effect == Idempotent || !attempt.open && !attempt.mayRun {
 			continue
 		}
-		if q.class.Effect == SingleShot || w.now-a.sent > q.class.DedupWindow {
-			w.fail("executed twice")
+		if q.class.Effect == SingleShot || s.now-attempt.sent > q.class.DedupWindow {
+			s.fail("executed twice")
 		}
 	}
-	if !m.maybePrimary && w.cfg.LagCheck == LagCheckNone {
+	if !m.maybePrimary && s.cfg.LagCheck == LagCheckNone {
 		switch q.class.Read {
 		case Bounded:
-			if m.position < w.now-q.class.MaxAge {
-				w.fail("stale bounded read")
+			if m.position < s.now-q.class.MaxAge {
+				s.fail("stale bounded read")
 			}
 		case Session:
 			if m.position < q.token {
-				w.fail("stale session read")
+				s.fail("stale session read")
 			}
 		case Fresh:
-			w.fail("fresh read at a replica")
+			s.fail("fresh read at a replica")
 		}
 	}
-	q.attempts = append(q.attempts, simAttempt{w.now, m, true, false})
-	due := min(w.now+time.Duration(w.rng.IntN(300))*ms, q.Deadline)
-	if m.silent || w.rng.IntN(12) == 0 {
+	q.attempts = append(q.attempts, simAttempt{s.now, m, true, false})
+	due := min(s.now+time.Duration(s.rng.IntN(300))*ms, q.Deadline)
+	if m.silent || s.rng.IntN(12) == 0 {
 		due = q.Deadline
 	}
-	w.pending = append(w.pending, pendingAnswer{q, len(q.attempts) - 1, due})
+	s.pending = append(s.pending, pendingAnswer{q, len(q.attempts) - 1, due})
 }
 
-func (w *simulation) Probe(to MemberID) { w.probes = append(w.probes, to) }
+func (s *simulation) Probe(to MemberID) { s.probes = append(s.probes, to) }
 
-func (w *simulation) Refuse(id RequestID, _ time.Duration) {
-	q := w.requests[id]
+func (s *simulation) Refuse(id RequestID, _ time.Duration) {
+	q := s.requests[id]
 	for _, a := range q.attempts {
 		if q.class.Effect != Idempotent && (a.open || a.mayRun) {
-			w.fail("refused although it may have run")
+			s.fail("refused although it may have run")
 		}
 	}
-	w.recordFinal(q)
+	s.recordFinal(q)
 }
-func (w *simulation) Fail(id RequestID) { w.recordFinal(w.requests[id]) }
-func (w *simulation) recordFinal(q *simRequest) {
+func (s *simulation) Fail(id RequestID) { s.recordFinal(s.requests[id]) }
+func (s *simulation) recordFinal(q *simRequest) {
 	q.finals++
 	q.done = true
-	if q.finals > 1 || w.now > max(q.Deadline, w.stalledUntil)+answerGrace {
-		w.fail("final answer late or twice")
+	if q.finals > 1 || s.now > max(q.Deadline, s.stalledUntil)+answerGrace {
+		s.fail("final answer late or twice")
 	}
 }
-func (w *simulation) Cancel(RequestID, int)                {}
-func (w *simulation) SetTimer(_ TimerID, at time.Duration) { w.timers = append(w.timers, at) }
-func (w *simulation) WatchList(bool)                       {}
-func (w *simulation) FetchList()                           {}
-func (w *simulation) SendToPeers([]peers.Report)           {}
-func (w *simulation) Log(string)                           {}
+func (s *simulation) Cancel(RequestID, int)                {}
+func (s *simulation) SetTimer(_ TimerID, at time.Duration) { s.timers = append(s.timers, at) }
+func (s *simulation) WatchList(bool)                       {}
+func (s *simulation) FetchList()                           {}
+func (s *simulation) SendToPeers([]peers.Report)           {}
+func (s *simulation) Log(string)                           {}
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), requests: map[RequestID]*simRequest{}, now: 100 * time.Second}
-	w.cfg = testConfig()
-	w.cfg.Seed = seed
-	w.cfg.SessionTokens, w.cfg.ListOnRequest = w.rng.IntN(2) == 0, w.rng.IntN(2) == 0
-	w.cfg.ParallelAttempts, w.cfg.EnableCancel = w.rng.IntN(4) > 0, w.rng.IntN(2) == 0
-	w.cfg.IgnoreGone, w.cfg.Proxies = w.rng.IntN(2) == 0, []int{0, 2, 40, 200, -3}[w.rng.IntN(5)]
-	w.cfg.ListRole, w.cfg.MaxAttempts = ListRole(w.rng.IntN(3)), 1+w.rng.IntN(8)
+	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), requests: map[RequestID]*simRequest{}, now: 100 * time.Second}
+	s.cfg = testConfig()
+	s.cfg.Seed = seed
+	s.cfg.SessionTokens, s.cfg.ListOnRequest = s.rng.IntN(2) == 0, s.rng.IntN(2) == 0
+	s.cfg.ParallelAttempts, s.cfg.EnableCancel = s.rng.IntN(4) > 0, s.rng.IntN(2) == 0
+	s.cfg.IgnoreGone, s.cfg.Proxies = s.rng.IntN(2) == 0, []int{0, 2, 40, 200, -3}[s.rng.IntN(5)]
+	s.cfg.ListRole, s.cfg.MaxAttempts = ListRole(s.rng.IntN(3)), 1+s.rng.IntN(8)
 	for i := 0; i < 9; i++ {
 		m := &simMember{id: MemberID(i + 1), group: GroupID(i / 5), role: RoleReplica, lag: 20 * ms, state: Ready}
 		if i%5 == 0 {
 			m.role, m.maybePrimary = RolePrimary, true
 		}
-		w.members = append(w.members, m)
+		s.members = append(s.members, m)
 	}
-	w.advance(0)
-	r, err := New(w.cfg, w)
+	s.advance(0)
+	r, err := New(s.cfg, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.r = r
-	w.listMembers(ListCached)
-	return w
+	s.r = r
+	s.listMembers(ListCached)
+	return s
 }
 
-func (w *simulation) listMembers(kind ListKind) {
+func (s *simulation) listMembers(kind ListKind) {
 	l := MemberList{Kind: kind}
-	for _, m := range w.members {
+	for _, m := range s.members {
 		e := Member{ID: m.id, Group: m.group, State: m.state}
 		// A list may only name a member as primary that has been one; in this simulation it is right or names
 		// none.
-		e.Primary = w.cfg.ListRole != ListRoleNone && m.role == RolePrimary
+		e.Primary = s.cfg.ListRole != ListRoleNone && m.role == RolePrimary
 		m.drained = m.state == Draining || m.drained && m.state != Ready
 		if m.state != Gone || kind == ListDelta {
 			l.Entries = append(l.Entries, e)
 		}
 	}
-	if kind == ListFull && w.rng.IntN(3) == 0 { // a member that does not exist, and one listed twice
+	if kind == ListFull && s.rng.IntN(3) == 0 { // a member that does not exist, and one listed twice
 		l.Entries = append(l.Entries, Member{ID: 900, Group: 1, State: Ready}, l.Entries[0])
 	}
-	w.r.Members(w.now, l)
+	s.r.Members(s.now, l)
 }
 
 // injectFault changes the true state: lag, silence, drains, restarts, changes of primary.
-func (w *simulation) injectFault() {
-	m := w.members[w.rng.IntN(len(w.members))]
-	switch w.rng.IntN(8) {
+func (s *simulation) injectFault() {
+	m := s.members[s.rng.IntN(len(s.members))]
+	switch s.rng.IntN(8) {
 	case 6: // the list names no members although they run; without IgnoreGone that is binding
-		if w.cfg.IgnoreGone {
-			w.r.Members(w.now, MemberList{Kind: ListFull})
+		if s.cfg.IgnoreGone {
+			s.r.Members(s.now, MemberList{Kind: ListFull})
 		}
 	case 7:
-		w.advance(time.Duration(300+w.rng.IntN(1700)) * ms)
-		w.stalledUntil = w.now
+		s.advance(time.Duration(300+s.rng.IntN(1700)) * ms)
+		s.stalledUntil = s.now
 	case 0:
-		m.lag = time.Duration(w.rng.IntN(3000)) * ms
+		m.lag = time.Duration(s.rng.IntN(3000)) * ms
 	case 1:
 		m.silent = !m.silent
 	case 2:
-		m.state = MemberState(w.rng.IntN(3))
-		w.listMembers(ListDelta)
+		m.state = MemberState(s.rng.IntN(3))
+		s.listMembers(ListDelta)
 	case 3, 4:
 		m.lag, m.silent, m.state = 15*ms, false, Ready
-		w.listMembers(ListFull)
+		s.listMembers(ListFull)
 	case 5:
-		for _, x := range w.members {
+		for _, x := range s.members {
 			if x.group == m.group && x.role == RolePrimary {
 				x.role = RoleReplica
 			}
@@ -244,46 +244,46 @@
 }
 
 // reportedQueue returns the queue that a member reports, plausible or not.
-func (w *simulation) reportedQueue() float64 {
-	return []float64{-1, 0, 0, 0, 3, 1e300, math.NaN(), math.Inf(1)}[w.rng.IntN(8)]
+func (s *simulation) reportedQueue() float64 {
+	return []float64{-1, 0, 0, 0, 3, 1e300, math.NaN(), math.Inf(1)}[s.rng.IntN(8)]
 }
 
-func (w *simulation) submit() {
-	w.nextID++
-	c := w.rng.IntN(len(w.cfg.Classes))
-	in := Request{ID: w.nextID, Class: c, Group: GroupID(w.rng.IntN(2)), Session: SessionID(1 + w.rng.IntN(6)),
-		Deadline: w.now + w.cfg.Classes[c].Limit*time.Duration(2+w.rng.IntN(99))/100}
-	q := &simRequest{Request: in, class: w.cfg.Classes[c]}
-	if q.class.Read == Session && w.cfg.SessionTokens && w.rng.IntN(3) > 0 {
-		q.TokenAge = time.Duration(1+w.rng.IntN(1500)) * ms
-		q.token = w.now - q.TokenAge
-	} else if q.class.Read == Session && !w.cfg.SessionTokens {
-		q.token = w.commits[in.Session]
+func (s *simulation) submit() {
+	s.nextID++
+	c := s.rng.IntN(len(s.cfg.Classes))
+	in := Request{ID: s.nextID, Class: c, Group: GroupID(s.rng.IntN(2)), Session: SessionID(1 + s.rng.IntN(6)),
+		Deadline: s.now + s.cfg.Classes[c].Limit*time.Duration(2+s.rng.IntN(99))/100}
+	q := &simRequest{Request: in, class: s.cfg.Classes[c]}
+	if q.class.Read == Session && s.cfg.SessionTokens && s.rng.IntN(3) > 0 {
+		q.TokenAge = time.Duration(1+s.rng.IntN(1500)) * ms
+		q.token = s.now - q.TokenAge
+	} else if q.class.Read == Session && !s.cfg.SessionTokens {
+		q.token = s.commits[in.Session]
 	}
-	w.requests[q.ID] = q
-	w.r.Request(w.now, q.Request)
+	s.requests[q.ID] = q
+	s.r.Request(s.now, q.Request)
 }
 
-func (w *simulation) finishDue() {
+func (s *simulation) finishDue() {
 	var remaining []pendingAnswer
-	due := w.pending
-	w.pending = nil
+	due := s.pending
+	s.pending = nil
 	for _, f := range due {
-		if f.due > w.now {
+		if f.due > s.now {
 			remaining = append(remaining, f)
 			continue
 		}
-		w.finishAttempt(f)
+		s.finishAttempt(f)
 	}
-	w.pending = append(w.pending, remaining...)
+	s.pending = append(s.pending, remaining...)
 }
 
-func (w *simulation) finishAttempt(f pendingAnswer) {
+func (s *simulation) finishAttempt(f pendingAnswer) {
 	q, a := f.request, &f.request.attempts[f.attempt]
 	m := a.member
-	o := Outcome{Request: q.ID, Attempt: f.attempt, Member: m.id, Elapsed: w.now - a.sent}
-	switch draw := w.rng.IntN(20); {
-	case w.now >= q.Deadline || m.silent:
+	o := Outcome{Request: q.ID, Attempt: f.attempt, Member: m.id, Elapsed: s.now - a.sent}
+	switch draw := s.rng.IntN(20); {
+	case s.now >= q.Deadline || m.silent:
 		o.Result = TimedOut
 	case q.class.Read == Write && m.role != RolePrimary:
 		o.Result = Misdirected
@@ -309,65 +309,65 @@
 		q.done = true
 		q.finals++
 		if q.class.Read == Write {
-			o.Position = w.now
-			w.commits[q.Session] = w.now
+			o.Position = s.now
+			s.commits[q.Session] = s.now
 		}
 	}
 	o.Finished = q.done
-	w.r.Outcome(w.now, o)
+	s.r.Outcome(s.now, o)
 }
 
-func (w *simulation) run(steps int) string {
-	w.commits = map[SessionID]time.Duration{}
-	for i := 0; i < steps && w.violation == ""; i++ {
-		w.advance(time.Duration(1+w.rng.IntN(10)) * ms)
-		for len(w.timers) > 0 && w.timers[0] <= w.now {
-			w.timers = w.timers[1:]
-			w.r.Timer(w.now, tickTimer)
+func (s *simulation) run(steps int) string {
+	s.commits = map[SessionID]time.Duration{}
+	for i := 0; i < steps && s.violation == ""; i++ {
+		s.advance(time.Duration(1+s.rng.IntN(10)) * ms)
+		for len(s.timers) > 0 && s.timers[0] <= s.now {
+			s.timers = s.timers[1:]
+			s.r.Timer(s.now, tickTimer)
 		}
-		probed := w.probes
-		w.probes = nil
+		probed := s.probes
+		s.probes = nil
 		for _, id := range probed {
-			m := w.memberByID(id)
-			end := ProbeEnd{Member: id, Elapsed: ms, Report: Report{Role: m.role, Position: m.position, Queue: w.reportedQueue()}}
+			m := s.memberByID(id)
+			end := ProbeEnd{Member: id, Elapsed: ms, Report: Report{Role: m.role, Position: m.position, Queue: s.reportedQueue()}}
 			if m.silent {
 				end = ProbeEnd{Member: id, Result: TimedOut, Elapsed: 250 * ms}
 			}
-			w.r.Probed(w.now, end)
+			s.r.Probed(s.now, end)
 		}
-		w.finishDue()
-		if w.rng.IntN(40) == 0 {
-			w.injectFault()
+		s.finishDue()
+		if s.rng.IntN(40) == 0 {
+			s.injectFault()
 		}
-		if w.rng.IntN(100) == 0 {
-			w.r.Members(w.now, MemberList{Kind: ListFailed})
+		if s.rng.IntN(100) == 0 {
+			s.r.Members(s.now, MemberList{Kind: ListFailed})
 		}
-		for n := w.rng.IntN(3); n > 0 && i < steps-1800; n-- {
-			w.submit()
+		for n := s.rng.IntN(3); n > 0 && i < steps-1800; n-- {
+			s.submit()
 		}
-		for _, q := range w.requests {
-			if !q.done && w.now > max(q.Deadline, w.stalledUntil)+answerGrace {
-				w.fail("no final answer")
+		for _, q := range s.requests {
+			if !q.done && s.now > max(q.Deadline, s.stalledUntil)+answerGrace {
+				s.fail("no final answer")
 			}
-			if q.done && w.now > q.Deadline+time.Second {
-				delete(w.requests, q.ID)
+			if q.done && s.now > q.Deadline+time.Second {
+				delete(s.requests, q.ID)
 			}
 		}
 	}
-	if w.violation == "" && len(w.r.requests) != 0 {
-		w.fail("requests kept after all have ended")
+	if s.violation == "" && len(s.r.requests) != 0 {
+		s.fail("requests kept after all have ended")
 	}
-	return w.violation
+	return s.violation
 }
 
 func TestInvariantsInRandomSimulations(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
-		w := newSimulation(t, seed)
-		if broken := w.run(4000); broken != "" {
-			t.Errorf("seed %d: %s at %v", seed, broken, w.now)
+		s := newSimulation(t, seed)
+		if broken := s.run(4000); broken != "" {
+			t.Errorf("seed %d: %s at %v", seed, broken, s.now)
 		}
-		if w.sends < 250 {
-			t.Errorf("seed %d: only %d sends, too few for a test", seed, w.sends)
+		if s.sends < 250 {
+			t.Errorf("seed %d: only %d sends, too few for a test", seed, s.sends)
 		}
 	}
 }
@@ -383,34 +383,34 @@
 
 // The checker itself must detect violations.
 func TestCheckerDetectsViolations(t *testing.T) {
-	for want, act := range map[string]func(w *simulation, q *simRequest){
-		"sent after the final answer":  func(w *simulation, q *simRequest) { q.done = true; w.Send(q.ID, 1, 0) },
-		"sent to a member that drains": func(w *simulation, q *simRequest) { w.members[1].state = Draining; w.Send(q.ID, 2, 0) },
-		"outside the group":            func(w *simulation, q *simRequest) { w.Send(q.ID, 9, 0) },
-		"executed twice": func(w *simulation, q *simRequest) {
+	for want, act := range map[string]func(s *simulation, q *simRequest){
+		"sent after the final answer":  func(s *simulation, q *simRequest) { q.done = true; s.Send(q.ID, 1, 0) },
+		"sent to a member that drains": func(s *simulation, q *simRequest) { s.members[1].state = Draining; s.Send(q.ID, 2, 0) },
+		"outside the group":            func(s *simulation, q *simRequest) { s.Send(q.ID, 9, 0) },
+		"executed twice": func(s *simulation, q *simRequest) {
 			q.class.Effect = SingleShot
-			w.cfg.ParallelAttempts = true
-			w.Send(q.ID, 1, 0)
-			w.Send(q.ID, 1, 0)
+			s.cfg.ParallelAttempts = true
+			s.Send(q.ID, 1, 0)
+			s.Send(q.ID, 1, 0)
 		},
-		"stale bounded read": func(w *simulation, q *simRequest) {
-			w.members[1].position = w.now - time.Hour
+		"stale bounded read": func(s *simulation, q *simRequest) {
+			s.members[1].position = s.now - time.Hour
 			q.class.Read, q.class.MaxAge = Bounded, time.Second
-			w.Send(q.ID, 2, 0)
+			s.Send(q.ID, 2, 0)
 		},
-		"stale session read": func(w *simulation, q *simRequest) {
-			q.class.Read, q.token = Session, w.now
-			w.Send(q.ID, 2, 0)
+		"stale session read": func(s *simulation, q *simRequest) {
+			q.class.Read, q.token = Session, s.now
+			s.Send(q.ID, 2, 0)
 		},
-		"final answer late or twice":       func(w *simulation, q *simRequest) { w.Fail(q.ID); w.Fail(q.ID) },
-		"refused although it may have run": func(w *simulation, q *simRequest) { q.class.Effect = Guarded; w.Send(q.ID, 1, 0); w.Refuse(q.ID, 0) },
+		"final answer late or twice":       func(s *simulation, q *simRequest) { s.Fail(q.ID); s.Fail(q.ID) },
+		"refused although it may have run": func(s *simulation, q *simRequest) { q.class.Effect = Guarded; s.Send(q.ID, 1, 0); s.Refuse(q.ID, 0) },
 	} {
-		w := newSimulation(t, 3)
-		q := &simRequest{Request: Request{ID: 1, Group: 0, Deadline: w.now + time.Second}, class: Class{Read: Any, Limit: time.Second}}
-		w.requests[1] = q
-		w.cfg.MaxAttempts = 8
-		if act(w, q); w.violation != want {
-			t.Errorf("the checker reports %q, want %q", w.violation, want)
+		s := newSimulation(t, 3)
+		q := &simRequest{Request: Request{ID: 1, Group: 0, Deadline: s.now + time.Second}, class: Class{Read: Any, Limit: time.Second}}
+		s.requests[1] = q
+		s.cfg.MaxAttempts = 8
+		if act(s, q); s.violation != want {
+			t.Errorf("the checker reports %q, want %q", s.violation, want)
 		}
 	}
 }
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -34,9 +34,9 @@
 	if m.State != Ready || m.handover.Silent {
 		return false
 	}
-	if r.failures.IsOutlier(&m.outlier) { // one trial at a time; a primary that fails often cannot be replaced
-		trial := m.outlier.AllowsTrial(now) && len(m.inFlight) == 0
-		return trial && !m.outlier.Paused(now) || m.role() == RolePrimary && (trial || !m.unresponsive)
+	if r.failures.IsOutlier(&m.breaker) { // one trial at a time; a primary that fails often cannot be replaced
+		trial := m.breaker.AllowsTrial(now) && len(m.inFlight) == 0
+		return trial && !m.breaker.Paused(now) || m.role() == RolePrimary && (trial || !m.unresponsive)
 	}
 	return true
 }
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -16,28 +16,28 @@
 
 // countProbes advances the clock in steps of about half a second, counts the pings and answers them. It calls
 // afterEach after each step.
-func (f *testProxy) countProbes(d time.Duration, afterEach func()) (n int) {
-	for end := f.now + d; f.now < end; {
+func (p *testProxy) countProbes(d time.Duration, afterEach func()) (n int) {
+	for end := p.now + d; p.now < end; {
 		for i := 0; i < 50; i++ {
-			f.now += 10 * ms
-			f.router.Timer(f.now, tickTimer)
-			n += len(f.probes)
-			f.answerPings()
+			p.now += 10 * ms
+			p.router.Timer(p.now, tickTimer)
+			n += len(p.probes)
+			p.answerPings()
 		}
 		afterEach()
-		n += len(f.probes)
-		f.answerPings()
+		n += len(p.probes)
+		p.answerPings()
 	}
 	return n
 }
 
 // Periodic pings of 170 proxies amounted to 7 to 11 per request. With two proxies the periods stay.
 func TestPingsFollowNeedWhereTrafficIsThin(t *testing.T) {
-	f := newReadyProxy(t, manyProxies(), 6)
+	p := newReadyProxy(t, manyProxies(), 6)
 	requests := 0
-	pings := f.countProbes(30*time.Second, func() {
+	pings := p.countProbes(30*time.Second, func() {
 		requests++
-		if s := f.serve(f.requestAndAnswerPings(classBounded), 5*ms); s.to == 1 {
+		if s := p.serve(p.requestAndAnswerPings(classBounded), 5*ms); s.to == 1 {
 			t.Error("a bounded read went to the primary although a ping would find a recent replica")
 		}
 	})
@@ -52,39 +52,39 @@
 }
 
 // requestAndAnswerPings submits a request and answers the pings that it triggers.
-func (f *testProxy) requestAndAnswerPings(class int) RequestID {
-	id := f.request(class, 0)
-	f.answerPings()
+func (p *testProxy) requestAndAnswerPings(class int) RequestID {
+	id := p.request(class, 0)
+	p.answerPings()
 	return id
 }
 
 // A read that waits for a ping must not wait for long if none of the pinged members answers.
 func TestReadAwaitingPingMovesOn(t *testing.T) {
-	f := newReadyProxy(t, manyProxies(), 3)
-	f.advance(2 * time.Second)
-	id := f.request(classBounded, 0)
-	f.advance(100*ms, 2, 3)
-	if s := f.mustSend(id); s.to != 1 || s.at > f.now-20*ms {
-		t.Errorf("sent to %d, %v ago; want the primary after two ping waits at most", s.to, f.now-s.at)
+	p := newReadyProxy(t, manyProxies(), 3)
+	p.advance(2 * time.Second)
+	id := p.request(classBounded, 0)
+	p.advance(100*ms, 2, 3)
+	if s := p.mustSend(id); s.to != 1 || s.at > p.now-20*ms {
+		t.Errorf("sent to %d, %v ago; want the primary after two ping waits at most", s.to, p.now-s.at)
 	}
 }
 
 // Under low traffic, limits shared by many proxies refused a part of all requests.
 func TestLowTrafficIsNotRefused(t *testing.T) {
-	for _, fronts := range []int{0, 1, 2, 40, 200, 100000} {
+	for _, proxies := range []int{0, 1, 2, 40, 200, 100000} {
 		cfg := testConfig()
-		cfg.Proxies = fronts
-		f := newReadyProxy(t, cfg, 6)
+		cfg.Proxies = proxies
+		p := newReadyProxy(t, cfg, 6)
 		for i := 0; i < 400; i++ {
-			f.advance(100 * ms)
+			p.advance(100 * ms)
 			class := i % len(cfg.Classes)
-			id := f.request(class, SessionID(i%7))
-			f.answerPings()
-			f.advance(10 * ms)
-			if f.sendCount(id) != 1 {
-				t.Fatalf("%d proxies: class %d sent %d times, final answer %q", fronts, class, f.sendCount(id), f.finals[id])
+			id := p.request(class, SessionID(i%7))
+			p.answerPings()
+			p.advance(10 * ms)
+			if p.sendCount(id) != 1 {
+				t.Fatalf("%d proxies: class %d sent %d times, final answer %q", proxies, class, p.sendCount(id), p.finals[id])
 			}
-			f.serve(id, cfg.Classes[class].Aim/8)
+			p.serve(id, cfg.Classes[class].Aim/8)
 		}
 	}
 }
@@ -92,28 +92,28 @@
 // Proxies that each sent one request to a returned member overloaded it together. The sum of what many routers
 // with different seeds send in any three seconds must stay within what the member can bear.
 func TestColdMemberIsSentItsShareByAllFronts(t *testing.T) {
-	const fronts, members, perSecond = 150, 6, 300 // all proxies; each warm replica gets about 60 reads per second
+	const proxies, members, perSecond = 150, 6, 300 // all proxies; each warm replica gets about 60 reads per second
 	cfg := manyProxies()
-	cfg.Proxies = fronts
+	cfg.Proxies = proxies
 	sent, warm := 0, 0
-	for i := 0; i < fronts; i++ {
+	for i := 0; i < proxies; i++ {
 		cfg.Seed = uint64(i)
-		f := newReadyProxy(t, cfg, members)
+		p := newReadyProxy(t, cfg, members)
 		run := func(n int) {
 			for k := 0; k < n; k++ {
-				f.advance(10 * ms)
-				if (k+i)%(fronts*100/perSecond) == 0 {
-					if s, ok := f.lastSend(f.requestAndAnswerPings(classSession)); ok {
-						f.serve(s.id, 5*ms)
+				p.advance(10 * ms)
+				if (k+i)%(proxies*100/perSecond) == 0 {
+					if s, ok := p.lastSend(p.requestAndAnswerPings(classSession)); ok {
+						p.serve(s.id, 5*ms)
 					}
 				}
 			}
 		}
 		run(1500)
-		f.sends = nil
-		f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: f.now}}})
+		p.sends = nil
+		p.router.Members(p.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: p.now}}})
 		run(300)
-		for _, s := range f.sends {
+		for _, s := range p.sends {
 			switch s.to {
 			case 2:
 				sent++
@@ -139,22 +139,22 @@
 	for _, only := range []bool{true, false} {
 		cfg := testConfig()
 		cfg.IgnoreGone = only
-		f := newReadyProxy(t, cfg, 4)
+		p := newReadyProxy(t, cfg, 4)
 		for _, l := range []MemberList{{Kind: ListFull}, {Entries: gone}} {
-			f.router.Members(f.now, l)
-			f.advance(500 * ms)
-			if id := f.request(classAny, 0); (f.sendCount(id) == 1) != only {
-				t.Errorf("IgnoreGone %v: %d sends after the list named no members", only, f.sendCount(id))
+			p.router.Members(p.now, l)
+			p.advance(500 * ms)
+			if id := p.request(classAny, 0); (p.sendCount(id) == 1) != only {
+				t.Errorf("IgnoreGone %v: %d sends after the list named no members", only, p.sendCount(id))
 			}
 		}
 	}
 	cfg := testConfig()
 	cfg.IgnoreGone = true
-	f := newReadyProxy(t, cfg, 2)
-	f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Draining}}})
-	f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Gone}}})
+	p := newReadyProxy(t, cfg, 2)
+	p.router.Members(p.now, MemberList{Entries: []Member{{ID: 2, State: Draining}}})
+	p.router.Members(p.now, MemberList{Entries: []Member{{ID: 2, State: Gone}}})
 	for i := 0; i < 20; i++ {
-		if s, ok := f.lastSend(f.request(classAny, 0)); ok && s.to == 2 {
+		if s, ok := p.lastSend(p.request(classAny, 0)); ok && s.to == 2 {
 			t.Fatal("sent to a member that had been listed as draining")
 		}
 	}
@@ -164,17 +164,17 @@
 func TestUnlistedSilentMembersAreRemoved(t *testing.T) {
 	cfg := testConfig()
 	cfg.IgnoreGone = true
-	f := newReadyProxy(t, cfg, 4)
-	f.listMembers(ListFull, 3)
+	p := newReadyProxy(t, cfg, 4)
+	p.listMembers(ListFull, 3)
 	for i := 0; i < 300; i++ {
-		f.advance(200*ms, 4)
+		p.advance(200*ms, 4)
 		for _, id := range []MemberID{4} { // its pings time out
-			f.router.Probed(f.now, ProbeEnd{Member: id, Result: TimedOut})
+			p.router.Probed(p.now, ProbeEnd{Member: id, Result: TimedOut})
 		}
-		f.listMembers(ListFull, 3)
+		p.listMembers(ListFull, 3)
 	}
-	if len(f.router.memberOrder) != 3 || len(f.router.groups[0].members) != 3 || len(f.router.members) != 3 {
-		t.Errorf("%d members kept, want 3", len(f.router.memberOrder))
+	if len(p.router.memberOrder) != 3 || len(p.router.groups[0].members) != 3 || len(p.router.members) != 3 {
+		t.Errorf("%d members kept, want 3", len(p.router.memberOrder))
 	}
 }
 
@@ -182,29 +182,29 @@
 // with occasional slow answers, and where all answers are late, no copies are sent.
 func TestLostAnswersGetCopies(t *testing.T) {
 	copies := func(latency func(i int) time.Duration) (n, refused int) {
-		f := newReadyProxy(t, testConfig(), 5)
+		p := newReadyProxy(t, testConfig(), 5)
 		for i := 0; i < 600; i++ {
-			id := f.request(classSession, 0)
-			s, ok := f.lastSend(id)
+			id := p.request(classSession, 0)
+			s, ok := p.lastSend(id)
 			if !ok {
 				refused++
 				continue
 			}
 			if d := latency(i); d > 0 {
-				f.advance(d)
-				f.finishAttempt(f.mustSend(id), OK)
+				p.advance(d)
+				p.finishAttempt(p.mustSend(id), OK)
 			} else {
-				f.advance(700 * ms)
-				if f.sendCount(id) > 1 {
-					f.finishAttempt(f.mustSend(id), OK)
-					f.router.Outcome(f.now, Outcome{Request: id, Attempt: s.index, Member: s.to, Result: Cancelled, Finished: true})
+				p.advance(700 * ms)
+				if p.sendCount(id) > 1 {
+					p.finishAttempt(p.mustSend(id), OK)
+					p.router.Outcome(p.now, Outcome{Request: id, Attempt: s.index, Member: s.to, Result: Cancelled, Finished: true})
 				} else {
-					f.advance(300 * ms)
-					f.finishAttempt(s, TimedOut)
+					p.advance(300 * ms)
+					p.finishAttempt(s, TimedOut)
 				}
 			}
 			if i >= 300 {
-				n += f.sendCount(id) - 1
+				n += p.sendCount(id) - 1
 			}
 		}
 		return n, refused
@@ -235,73 +235,73 @@
 // Slowed replicas fell behind, and every proxy sent their reads to primaries whose queues it could have seen.
 // Later answers in time to this proxy take precedence over a report.
 func TestReportedQueueGuards(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 3)
+	p := newReadyProxy(t, testConfig(), 3)
 	report := func(m MemberID, queue float64) {
-		f.router.members[m].probing = true
-		f.router.Probed(f.now, ProbeEnd{Member: m, Elapsed: ms, Report: Report{Role: RoleReplica, Position: f.now, Queue: queue}})
+		p.router.members[m].probing = true
+		p.router.Probed(p.now, ProbeEnd{Member: m, Elapsed: ms, Report: Report{Role: RoleReplica, Position: p.now, Queue: queue}})
 	}
 	report(2, 5)
 	for i := 0; i < 30; i++ {
-		if s := f.serve(f.request(classAny, 0), 0); s.to == 2 {
+		if s := p.serve(p.request(classAny, 0), 0); s.to == 2 {
 			t.Fatal("a read went to a member with requests waiting while another had none")
 		}
 	}
-	f.now += ms
-	f.router.recordLatency(f.now, f.router.members[2], 500*ms, 0.1)
+	p.now += ms
+	p.router.recordLatency(p.now, p.router.members[2], 500*ms, 0.1)
 	used := false
 	for i := 0; i < 30; i++ {
-		used = used || f.serve(f.request(classAny, 0), 0).to == 2
+		used = used || p.serve(p.request(classAny, 0), 0).to == 2
 	}
 	if !used {
 		t.Error("a report still excludes a member that has answered in time since")
 	}
 	report(2, 5)
 	report(3, 5)
-	f.router.members[1].queueLength, f.router.members[1].queueReportedAt = 5, f.now
-	if id := f.request(classAny, 0); f.sendCount(id) != 0 {
+	p.router.members[1].queueLength, p.router.members[1].queueReportedAt = 5, p.now
+	if id := p.request(classAny, 0); p.sendCount(id) != 0 {
 		t.Error("a read was sent although every member reports waiting requests")
 	}
-	f.now += 2 * time.Second
-	if f.router.overloaded(f.now, f.router.members[2], 1) {
+	p.now += 2 * time.Second
+	if p.router.overloaded(p.now, p.router.members[2], 1) {
 		t.Error("a report of two seconds ago still counts")
 	}
 }
 
 // A stalled proxy handled its own timer before the ping answers that had arrived in the meantime.
 func TestStandingStillIsNotTheMembersSilence(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 3)
-	for len(f.probes) == 0 {
-		f.now += 10 * ms
-		f.router.Timer(f.now, tickTimer)
-	}
-	f.now += 900 * ms
-	f.router.Timer(f.now, tickTimer)
-	for _, m := range f.router.memberOrder {
+	p := newReadyProxy(t, testConfig(), 3)
+	for len(p.probes) == 0 {
+		p.now += 10 * ms
+		p.router.Timer(p.now, tickTimer)
+	}
+	p.now += 900 * ms
+	p.router.Timer(p.now, tickTimer)
+	for _, m := range p.router.memberOrder {
 		if m.handover.Silent {
 			t.Fatalf("member %d counts as silent for a second in which the proxy was stalled", m.ID)
 		}
 	}
-	f.advance(20 * ms)
-	if id := f.request(classUnsafe, 1); f.sendCount(id) != 1 {
+	p.advance(20 * ms)
+	if id := p.request(classUnsafe, 1); p.sendCount(id) != 1 {
 		t.Error("a write was not sent after a stall")
 	}
 }
 
 // A primary that was silent for a moment and returned unchanged invalidated all pins of its group.
 func TestPinsOutliveASilentPrimary(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 6)
-	pinned := f.serve(f.request(classSession, 5), 10*ms).to
-	f.advance(1500*ms, 1)
-	if f.router.groups[0].primary != nil {
+	p := newReadyProxy(t, testConfig(), 6)
+	pinned := p.serve(p.request(classSession, 5), 10*ms).to
+	p.advance(1500*ms, 1)
+	if p.router.groups[0].primary != nil {
 		t.Fatal("the silent primary is still taken for reachable")
 	}
-	f.router.members[1].probing = false
-	f.advance(1200 * ms)
-	if f.router.groups[0].primary == nil {
+	p.router.members[1].probing = false
+	p.advance(1200 * ms)
+	if p.router.groups[0].primary == nil {
 		t.Fatal("the primary is not found again")
 	}
 	for i := 0; i < 10; i++ {
-		if to := f.serve(f.request(classSession, 5), ms).to; to != pinned {
+		if to := p.serve(p.request(classSession, 5), ms).to; to != pinned {
 			t.Fatalf("the session moved from %d to %d", pinned, to)
 		}
 	}
@@ -309,57 +309,57 @@
 
 // Retry tokens were also spent when no member could be chosen.
 func TestRetryTokensAreSpentBySendsOnly(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 1) // only the primary: there is no second member
-	before := f.router.retryTokens
+	p := newReadyProxy(t, testConfig(), 1) // only the primary: there is no second member
+	before := p.router.retryTokens
 	for i := 0; i < 20; i++ {
-		f.finishAttempt(f.mustSend(f.request(classAny, 0)), Reset)
-		f.now += time.Second
-		f.advance(2 * time.Second)
+		p.finishAttempt(p.mustSend(p.request(classAny, 0)), Reset)
+		p.now += time.Second
+		p.advance(2 * time.Second)
 	}
-	if f.router.retryTokens < before {
-		t.Errorf("%v retry tokens left of %v without a second attempt", f.router.retryTokens, before)
+	if p.router.retryTokens < before {
+		t.Errorf("%v retry tokens left of %v without a second attempt", p.router.retryTokens, before)
 	}
 }
 
 // Clients with little time left got attempts that could not end in time. But the estimated service time must not
 // exclude a class whose clients always have little time: it decreases until one is tried.
 func TestTooLittleTimeIsAnsweredAtOnceAndTriedAgain(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 3)
+	p := newReadyProxy(t, testConfig(), 3)
 	short := func() RequestID {
-		f.nextID++
-		f.router.Request(f.now, Request{ID: f.nextID, Class: classSession, Deadline: f.now + 30*ms})
-		return f.nextID
+		p.nextID++
+		p.router.Request(p.now, Request{ID: p.nextID, Class: classSession, Deadline: p.now + 30*ms})
+		return p.nextID
 	}
 	id := short() // the aim is 400 ms, and the true service time is unknown yet
-	f.wantFinal(id, "refused")
-	if f.sendCount(id) != 0 {
+	p.wantFinal(id, "refused")
+	if p.sendCount(id) != 0 {
 		t.Error("sent with 30 ms left to a class expected to take 100 ms")
 	}
-	for i := 0; f.sendCount(id) == 0; i++ {
+	for i := 0; p.sendCount(id) == 0; i++ {
 		if i > 100 {
 			t.Fatal("a class whose clients come with little time is never tried again")
 		}
-		f.now += ms
+		p.now += ms
 		id = short()
 	}
-	f.serve(id, 5*ms)
+	p.serve(id, 5*ms)
 }
 
 // After a stall, answers that had waited at this proxy looked late and reduced the limits of all members.
 func TestStandingStillMovesNoLimit(t *testing.T) {
-	f := newReadyProxy(t, testConfig(), 3)
-	before := f.router.members[1].MaxInFlight
-	ids := []RequestID{f.request(classUnsafe, 1), f.request(classUnsafe, 2), f.request(classUnsafe, 3)}
-	f.now += 900 * ms
-	f.finishAttempt(f.mustSend(ids[0]), OK)
-	f.router.Timer(f.now, tickTimer)
-	f.finishAttempt(f.mustSend(ids[1]), OK)
-	if m := f.router.members[1]; m.MaxInFlight != before || m.Strain != 0 {
-		t.Errorf("limit %v, initially %v, and latency ratio %v after answers that waited at this proxy", m.MaxInFlight, before, m.Strain)
-	}
-	f.advance(600 * ms)
-	f.finishAttempt(f.mustSend(ids[2]), OK)
-	if f.router.members[1].Strain == 0 {
+	p := newReadyProxy(t, testConfig(), 3)
+	before := p.router.members[1].MaxInFlight
+	ids := []RequestID{p.request(classUnsafe, 1), p.request(classUnsafe, 2), p.request(classUnsafe, 3)}
+	p.now += 900 * ms
+	p.finishAttempt(p.mustSend(ids[0]), OK)
+	p.router.Timer(p.now, tickTimer)
+	p.finishAttempt(p.mustSend(ids[1]), OK)
+	if m := p.router.members[1]; m.MaxInFlight != before || m.Strain != 0 {
+		t.Errorf("limit %v, initially %v, and strain %v after answers that waited at this proxy", m.MaxInFlight, before, m.Strain)
+	}
+	p.advance(600 * ms)
+	p.finishAttempt(p.mustSend(ids[2]), OK)
+	if p.router.members[1].Strain == 0 {
 		t.Error("a late answer no longer counts")
 	}
 }
@@ -367,16 +367,16 @@
 // Many members, each half full for this proxy, admitted nearly every request: with a separate random draw for each
 // of them, one always accepted. In a large group that made all answers late.
 func TestHalfFullMembersShedHalf(t *testing.T) {
-	f := newReadyProxy(t, manyProxies(), 9)
+	p := newReadyProxy(t, manyProxies(), 9)
 	sent := 0
 	for i := 0; i < 200; i++ {
-		for _, m := range f.router.memberOrder {
-			m.MaxInFlight, m.LastRaised = 0.5, f.now
+		for _, m := range p.router.memberOrder {
+			m.MaxInFlight, m.LastRaised = 0.5, p.now
 		}
-		id := f.request(classAny, 0)
-		if s, ok := f.lastSend(id); ok {
+		id := p.request(classAny, 0)
+		if s, ok := p.lastSend(id); ok {
 			sent++
-			f.finishAttempt(s, OK)
+			p.finishAttempt(s, OK)
 		}
 	}
 	if sent < 50 || sent > 130 {
@@ -394,37 +394,37 @@
 		for _, two := range []bool{false, true} {
 			cfg := testConfig()
 			cfg.Seed, cfg.Proxies = seed, 1
-			fronts := []*testProxy{newReadyProxy(t, cfg, 4)}
+			proxies := []*testProxy{newReadyProxy(t, cfg, 4)}
 			run := func(n int) {
 				for k := range n {
-					for i, f := range fronts {
-						f.advance(10 * ms)
-						if k%every == 0 && k/every%len(fronts) == i {
-							if s, ok := f.lastSend(f.requestAndAnswerPings(classAny)); ok {
-								f.finishAttempt(s, OK)
+					for i, p := range proxies {
+						p.advance(10 * ms)
+						if k%every == 0 && k/every%len(proxies) == i {
+							if s, ok := p.lastSend(p.requestAndAnswerPings(classAny)); ok {
+								p.finishAttempt(s, OK)
 							}
 						}
 					}
 				}
 			}
 			run(1500)
-			old := fronts[0]
+			old := proxies[0]
 			if two {
 				cfg.Seed += 1000
-				f := newTestProxy(t, cfg)
-				f.now = old.now
-				f.listMembers(ListCached, 4)
-				f.advance(20 * ms)
+				p := newTestProxy(t, cfg)
+				p.now = old.now
+				p.listMembers(ListCached, 4)
+				p.advance(20 * ms)
 				old.advance(20 * ms)
-				fronts = append(fronts, f)
+				proxies = append(proxies, p)
 			}
-			for _, f := range fronts {
-				f.sends = nil
-				f.router.Members(f.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: old.now}}})
+			for _, p := range proxies {
+				p.sends = nil
+				p.router.Members(p.now, MemberList{Entries: []Member{{ID: 2, State: Ready, StartedAt: old.now}}})
 			}
 			run(300)
-			for _, f := range fronts {
-				for _, s := range f.sends {
+			for _, p := range proxies {
+				for _, s := range p.sends {
 					if s.to == 2 && two {
 						both++
 					} else if s.to == 2 {
--- a/logic/state.go
+++ b/logic/state.go
@@ -42,7 +42,7 @@
 	serviceTime []time.Duration      // by class: estimated answer time without queueing
 	slowTime    []time.Duration      // by class: answer time beyond which an answer is overdue
 	quotas      limit.Quotas         // recent requests by tenant
-	lossRate    float64              // share of answers that are lost though their members answer in time, moving average
+	loss        float64              // share of answers that are lost though their members answer in time, moving average
 	failures    limit.FailureTracker // quick failures, over all members
 	retryTokens float64              // retries that may still be made
 
@@ -84,7 +84,7 @@
 	warmUpBudget    limit.ColdBudget // limits its work while it is cold
 	queueLength     float64          // waiting requests according to its last report
 	queueReportedAt time.Duration
-	outlier         limit.Breaker // tracks whether it fails more often than the others
+	breaker         limit.Breaker // tracks whether it fails more often than the others
 }
 
 type group struct {
@@ -206,8 +206,8 @@
 	g.meanLongWork += workWeight * (work - g.meanLongWork)
 }
 
-// The price of a group's work rises from zero to its full value between these latency ratios of its members.
-const idleLatencyRatio, fullLatencyRatio = 0.3, limit.HighStrain
+// The price of a group's work rises from zero to its full value between these mean strains of its members.
+const idleStrain, fullStrain = 0.3, limit.HighStrain
 
 // workPrice returns the worth that a second of the group's work earns, in proportion to how loaded its members
 // are. A held request takes that much away from other requests.
@@ -215,7 +215,7 @@
 	load, members := 0.0, 0
 	for _, m := range g.members {
 		if m.State == Ready && !m.handover.Silent {
-			load += min(max((m.Strain-idleLatencyRatio)/(fullLatencyRatio-idleLatencyRatio), 0), 1)
+			load += min(max((m.Strain-idleStrain)/(fullStrain-idleStrain), 0), 1)
 			members++
 		}
 	}
@@ -227,7 +227,7 @@
 
 // restarted clears what only applied to the member's previous process: its failures and its queue. Its log
 // continues.
-func (m *member) restarted() { m.outlier, m.queueLength, m.unresponsive = limit.Breaker{}, 0, false }
+func (m *member) restarted() { m.breaker, m.queueLength, m.unresponsive = limit.Breaker{}, 0, false }
 
 // role returns the role that the member last reported.
 func (m *member) role() Role { return Role(m.handover.Role) }
