--- a/internal/lab/scale/calculate/inputs.go
+++ b/internal/lab/scale/calculate/inputs.go
@@ -34,7 +34,7 @@
 
 // Target gives the inputs of the planned size with the defaults of the program.
 func Target() Inputs {
-	return Inputs{Size: analysis.Target, GroupSize: 4, Lease: 2 * time.Second, ListBound: limit.DefaultPropagationBound,
+	return Inputs{Size: analysis.Target, GroupSize: 4, Lease: 2 * time.Second, ListBound: limit.DefaultMaxDelay,
 		PolicyBytes: 4 << 10, PolicyChanges: 820, Replaced: 184,
 		Connections: 2805, Statements: 3415, ComeBack: 500 * time.Millisecond, PartedFor: 3 * time.Minute,
 		ProbeCost: 300 * time.Microsecond, RolesEvery: 500 * time.Millisecond,
--- a/internal/limit/calls.go
+++ b/internal/limit/calls.go
@@ -2,71 +2,71 @@
 
 import "time"
 
-// DefaultPropagationBound is the platform's: whatever call failed, a change of the list counts as told this long after the service had it and
-// could be reached.
-const DefaultPropagationBound = 6 * time.Second
+// DefaultMaxDelay is the default of CallSchedule.MaxDelay. The platform counts a change of the list as known this long after the service
+// had it and could be reached, whatever call failed.
+const DefaultMaxDelay = 6 * time.Second
 
-// CallSchedule spaces out the calls to a service that must have one at most under way, and fails at times. All its times are parts of
-// Bound, so that a call which hangs, the pause behind it and the next call's answer end within it.
+// CallSchedule schedules the calls to a service that may fail. At most one call is in progress. All times are fractions of MaxDelay, chosen
+// so that a call that hangs, the delay after it and the answer of the next call fit into it.
 type CallSchedule struct {
-	PropagationBound time.Duration // by when a change has to be known here; 0 = DefaultBound
+	MaxDelay time.Duration // by when a change has to be known here; 0 = DefaultMaxDelay
 
-	calledAt time.Duration // when the outstanding one was made; 0 = none
-	nextAt   time.Duration // when to call next; 0 = no need
-	failed   bool          // the last one did
-	ended    bool          // one of them at least has
+	calledAt time.Duration // when the call in progress was made; 0 = none
+	nextAt   time.Duration // when the next call is due; 0 = none is
+	failed   bool          // the last call failed
+	ended    bool          // at least one call has ended
 }
 
-func (c *CallSchedule) bound() time.Duration {
-	if c.PropagationBound > 0 {
-		return c.PropagationBound
+func (c *CallSchedule) maxDelay() time.Duration {
+	if c.MaxDelay > 0 {
+		return c.MaxDelay
 	}
-	return DefaultPropagationBound
+	return DefaultMaxDelay
 }
 
-// RetryDelays gives the shortest and the longest pause behind a call that failed.
-func (c *CallSchedule) RetryDelays() (least, most time.Duration) {
-	return c.bound() / 12, c.bound() / 3
+// RetryDelays returns the shortest and the longest delay after a call that failed.
+func (c *CallSchedule) RetryDelays() (shortest, longest time.Duration) {
+	return c.maxDelay() / 12, c.maxDelay() / 3
 }
 
-// Timeout is how long a call that is to be answered at once may take: then it is taken for failed.
-func (c *CallSchedule) Timeout() time.Duration { return c.bound() / 2 }
+// Timeout returns how long a call that is answered at once may take before it counts as failed.
+func (c *CallSchedule) Timeout() time.Duration { return c.maxDelay() / 2 }
 
-// WatchTimeouts gives how long a call may wait for news, and how long it may take in all: one that stays without an answer behind that is
-// given up, for the service, or the way to it, may have fallen silent for good.
-func (c *CallSchedule) WatchTimeouts() (wait, patience time.Duration) {
-	return c.bound() / 2, c.bound()/2 + c.bound()/12
+// WatchTimeouts returns how long a watch call may wait for news at the service, and how long it may take in all. After that it is given up,
+// as the service or the network may have failed without a sign.
+func (c *CallSchedule) WatchTimeouts() (wait, timeout time.Duration) {
+	return c.maxDelay() / 2, c.maxDelay()/2 + c.maxDelay()/12
 }
 
-// FirstCallTimeouts gives the same for the call that begins a watch, which is to be answered at once. It ends before Patience does.
-func (c *CallSchedule) FirstCallTimeouts() (wait, patience time.Duration) {
-	return min(firstWait, c.bound()/12), c.bound() * 5 / 12
+// FirstCallTimeouts returns the same for the call that begins a watch, which the service should answer at once. It ends before Timeout does.
+func (c *CallSchedule) FirstCallTimeouts() (wait, timeout time.Duration) {
+	return min(firstWait, c.maxDelay()/12), c.maxDelay() * 5 / 12
 }
 
 const firstWait = 50 * time.Millisecond
 
-// NoteCall notes a call.
+// NoteCall records that a call was made.
 func (c *CallSchedule) NoteCall(now time.Duration) { c.nextAt, c.calledAt = 0, now }
 
-// NoteEnd notes its end; another follows where it failed, after a time drawn by a number from 0 to 1.
-func (c *CallSchedule) NoteEnd(now time.Duration, failed bool, draw float64) {
+// NoteEnd records that the call in progress has ended. If it failed, the next one is due after a delay that random, from 0 to 1, selects.
+func (c *CallSchedule) NoteEnd(now time.Duration, failed bool, random float64) {
 	c.ended = true
 	if c.calledAt, c.failed = 0, failed; failed {
-		least, most := c.RetryDelays()
-		c.nextAt = now + least + time.Duration(draw*float64(most-least))
+		shortest, longest := c.RetryDelays()
+		c.nextAt = now + shortest + time.Duration(random*float64(longest-shortest))
 	}
 }
 
-// TimedOut tells that the call under way will have no answer.
+// TimedOut reports whether the call in progress has exceeded Timeout.
 func (c *CallSchedule) TimedOut(now time.Duration) bool {
 	return c.calledAt > 0 && now-c.calledAt > c.Timeout()
 }
 
-// Due tells that a call is to be made.
+// Due reports whether a call has to be made.
 func (c *CallSchedule) Due(now time.Duration) bool { return c.nextAt > 0 && now >= c.nextAt }
 
-// HasEnded tells that a call has ended, whether or not it failed.
+// HasEnded reports whether any call has ended, successfully or not.
 func (c *CallSchedule) HasEnded() bool { return c.ended }
 
-// Healthy tells that the last call that ended did not fail.
+// Healthy reports whether the last call that ended has not failed.
 func (c *CallSchedule) Healthy() bool { return !c.failed }
--- a/internal/limit/cold.go
+++ b/internal/limit/cold.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// ColdBudget keeps a started database from being pushed over: it fills with the work that may be sent, is never above zero,
-// so that the sum of all proxies is bounded, and starts in a random debt, so that they don't begin together.
+// ColdBudget limits the work that is sent to a database that has just started. It is a token bucket that holds no tokens in store, so that
+// the work of all proxies together is bounded, and that starts with a random debt, so that they don't begin at the same time.
 type ColdBudget struct {
-	bank float64 // seconds of work; zero at most
-	at   time.Duration
+	balance   float64 // seconds of work; at most 0
+	updatedAt time.Duration
 }
 
-// NewColdBudget makes one that no start has opened yet.
-func NewColdBudget() ColdBudget { return ColdBudget{at: -1} }
+// NewColdBudget returns a budget that applies from the database's next start on.
+func NewColdBudget() ColdBudget { return ColdBudget{updatedAt: -1} }
 
-// Allows brings the account up to now and tells whether something may be sent. from is when the database started, debt what
-// its account starts with, fill the work that it bears in a second.
-func (a *ColdBudget) Allows(now, from time.Duration, debt func() float64, fill float64) bool {
-	if a.at < from {
-		a.bank, a.at = -debt(), now
+// Allows updates the budget to now, and reports whether a request may be sent. startedAt is when the database started, debt returns the
+// initial debt in seconds of work, and rate is the work per second that may be sent.
+func (b *ColdBudget) Allows(now, startedAt time.Duration, debt func() float64, rate float64) bool {
+	if b.updatedAt < startedAt {
+		b.balance, b.updatedAt = -debt(), now
 	}
-	a.bank, a.at = min(a.bank+fill*(now-a.at).Seconds(), 0), now
-	return a.bank >= 0
+	b.balance, b.updatedAt = min(b.balance+rate*(now-b.updatedAt).Seconds(), 0), now
+	return b.balance >= 0
 }
 
-// Spend notes work that is sent, in seconds.
-func (a *ColdBudget) Spend(work float64) { a.bank -= work }
+// Spend subtracts work that is sent, in seconds.
+func (b *ColdBudget) Spend(work float64) { b.balance -= work }
 
-// ColdPriority keeps what little cold databases bear for the worthiest class while it runs short there (additive increase, multiplicative
-// decrease of what the others may have). The zero value admits all.
-type ColdPriority struct{ held float64 } // part of the lesser classes that is kept off
+// ColdPriority reserves the small capacity of cold databases for the class of the highest worth while it is scarce. The share of the other
+// classes' requests that is admitted follows additive increase, multiplicative decrease. The zero value admits all requests.
+type ColdPriority struct{ rejected float64 } // share of the other classes' requests
 
-// Record takes whether a cold database could bear a request of the worthiest class.
-func (p *ColdPriority) Record(borne bool) {
-	if borne {
-		p.held = max(p.held-0.02, 0)
+// Record notes whether a cold database could take a request of the class of the highest worth.
+func (p *ColdPriority) Record(taken bool) {
+	if taken {
+		p.rejected = max(p.rejected-0.02, 0)
 	} else {
-		p.held += (1 - p.held) * 0.1
+		p.rejected += (1 - p.rejected) * 0.1
 	}
 }
 
-// Admits tells whether a request may be sent to a cold database at all: merit is as Merit gives it, luck from 0 to 1.
-func (p *ColdPriority) Admits(merit, luck float64) bool { return merit >= 1 || luck >= p.held }
+// Admits reports whether a request may be sent to a cold database. share is the request's LimitShare, random is uniform from 0 to 1.
+func (p *ColdPriority) Admits(share, random float64) bool { return share >= 1 || random >= p.rejected }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,78 +1,81 @@
-// Package limit bounds how many requests one proxy has out at one database: by how its answers stand against their aims
-// (additive increase, multiplicative decrease), against slow databases behind quick pings, crowds and overload. It is pure.
+// Package limit bounds how many requests one proxy has in flight at one database. The limit follows the ratio of answer times to the aims of
+// their classes (additive increase, multiplicative decrease), so that it also protects databases that are slow or overloaded while their
+// pings are quick. The package also has a circuit breaker, budgets for cold databases, tenants' quotas and a schedule for calls that fail.
+// It does no I/O and reads no clock.
 package limit
 
 import "time"
 
 const (
-	weightMany = 0.1 // an answer's weight where they are many;
-	weightRare = 0.5 // and where many aims have passed since the last one
-	rareAims   = 4.0
-	ownAtLeast = 3.0 // what each proxy may have out at a database at least; a lower limit rises to it by itself, one each easeEvery
-	easeEvery  = 10 * time.Second
-	floorAll   = 2.0                    // what they leave a strained one, so that it can show its recovery
-	cutEvery   = 100 * time.Millisecond // let one cut show before the next
+	minAnswerWeight = 0.1 // of an answer in the moving average, where answers are frequent
+	maxAnswerWeight = 0.5 // where the last answer was rareAims or more aims ago
+	rareAims        = 4.0
+	minRecovered    = 3.0 // a lower limit recovers to this without answers, by one in each recoverEvery
+	recoverEvery    = 10 * time.Second
+	minTotal        = 2.0                    // all proxies together keep at least so many in flight at a strained database, to see its recovery
+	cutInterval     = 100 * time.Millisecond // least time between two reductions, so that one takes effect before the next
 )
 
 const (
-	// HighStrain is the strain above which exponential-like answer times begin to miss their aims in number.
+	// HighStrain is the strain above which many answers miss their aims, with answer times that are about exponentially distributed.
 	HighStrain = 0.5
-	// LateStrain is what an attempt counts that ended without an answer in time.
+	// LateStrain is the strain that counts for an attempt that ended without an answer in time.
 	LateStrain = 2.0
 )
 
-// Limit is one database's, at one proxy.
+// Limit is one proxy's limit for one database.
 type Limit struct {
-	Strain      float64       // answer time over aim, moving average
-	MaxInFlight float64       // how many attempts may be out
-	LastAnswer  time.Duration // when an answer was last held against its aim
-	LastRaised  time.Duration // when a low limit last rose by itself
+	Strain      float64       // ratio of answer time to aim, moving average
+	MaxInFlight float64       // how many attempts may be in flight
+	LastAnswer  time.Duration // when RecordAnswer was last called
+	LastRaised  time.Duration // when a low limit was last raised without an answer
 
 	proxies int
-	first   float64 // what all proxies together may have out at an unknown database
+	initial float64 // in-flight attempts of all proxies together at an unknown database
 	cutAt   time.Duration
-	turned  bool // a request was turned away since the limit last grew
+	reached bool // a request was turned away since the limit was last raised
 }
 
-// DefaultInitialLimit is how many attempts all proxies together may have out at an unknown database, unless an operator knows better.
+// DefaultInitialLimit is how many attempts all proxies together may have in flight at an unknown database, unless the operator sets another.
 const DefaultInitialLimit = 36.0
 
-// New makes the limit of an unknown database, of which so many proxies have each their part; first is what they may have out
-// there together, for now.
-func New(proxies int, first float64) Limit {
-	l := Limit{proxies: max(proxies, 1), first: first}
+// New returns the limit for an unknown database that is shared by a number of proxies. initial is how many attempts all of them together may
+// have in flight at first.
+func New(proxies int, initial float64) Limit {
+	l := Limit{proxies: max(proxies, 1), initial: initial}
 	l.Reset()
 	return l
 }
 
-// Reset begins anew: the database may be another than it was.
-func (l *Limit) Reset() { l.MaxInFlight, l.Strain = l.first/float64(l.proxies), 0 }
+// Reset restores the initial limit, as the database may have been replaced.
+func (l *Limit) Reset() { l.MaxInFlight, l.Strain = l.initial/float64(l.proxies), 0 }
 
-// Reached tells whether the database has this proxy's fill, of which a request may take part. The broken part of a limit
-// counts as a chance, by luck from 0 to 1.
-func (l *Limit) Reached(now time.Duration, out int, part, luck float64) bool {
-	if l.MaxInFlight < ownAtLeast {
-		l.MaxInFlight = min(l.MaxInFlight+float64(now-l.LastRaised)/float64(easeEvery), ownAtLeast)
+// Reached reports whether the limit allows no further request beside the inFlight ones. share is the part of the limit that the request may
+// use. A fraction of the limit is used with that probability, as random, uniform from 0 to 1, decides.
+func (l *Limit) Reached(now time.Duration, inFlight int, share, random float64) bool {
+	if l.MaxInFlight < minRecovered {
+		l.MaxInFlight = min(l.MaxInFlight+float64(now-l.LastRaised)/float64(recoverEvery), minRecovered)
 	}
 	l.LastRaised = now
-	free := l.MaxInFlight*part - float64(out)
-	full := free <= 0 || free < 1 && luck >= free
-	l.turned = l.turned || full
-	return full
+	free := l.MaxInFlight*share - float64(inFlight)
+	reached := free <= 0 || free < 1 && random >= free
+	l.reached = l.reached || reached
+	return reached
 }
 
-// RecordAnswer holds an answer against its aim: x is its time over the aim, Late at most. out counts those still out.
-func (l *Limit) RecordAnswer(now, aim time.Duration, x float64, out int) {
-	weight := min(max(float64(now-l.LastAnswer)/(rareAims*float64(aim)), weightMany), weightRare)
+// RecordAnswer adjusts the limit to an answer. strain is the ratio of its time to the aim, LateStrain at most. inFlight counts the attempts
+// that are still in flight.
+func (l *Limit) RecordAnswer(now, aim time.Duration, strain float64, inFlight int) {
+	weight := min(max(float64(now-l.LastAnswer)/(rareAims*float64(aim)), minAnswerWeight), maxAnswerWeight)
 	l.LastAnswer = now
-	l.Strain += weight * (x - l.Strain)
-	n := float64(out + 1)
+	l.Strain += weight * (strain - l.Strain)
+	n := float64(inFlight + 1)
 	switch {
-	case l.Strain > HighStrain && now-l.cutAt >= cutEvery:
-		l.MaxInFlight = max(floorAll/float64(l.proxies), min(l.MaxInFlight, n)*(1-weight))
+	case l.Strain > HighStrain && now-l.cutAt >= cutInterval:
+		l.MaxInFlight = max(minTotal/float64(l.proxies), min(l.MaxInFlight, n)*(1-weight))
 		l.cutAt = now
-	case l.Strain <= HighStrain && (l.turned || n >= l.MaxInFlight/2):
+	case l.Strain <= HighStrain && (l.reached || n >= l.MaxInFlight/2):
 		l.MaxInFlight += min(2/max(l.MaxInFlight, 1), l.MaxInFlight)
-		l.turned = false
+		l.reached = false
 	}
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -7,36 +7,36 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is sent and when, a cold database gets no more than its fill over any time, and one piece of work beyond.
-func TestAnAccountBoundsTheWork(t *testing.T) {
+// A cold database gets no more work than its rate allows, plus one request, whatever is sent and when.
+func TestColdBudgetBoundsWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, fill := NewColdBudget(), rapid.Float64Range(0.01, 3).Draw(t, "fill")
-		now, from := time.Hour, time.Hour
+		budget, rate := NewColdBudget(), rapid.Float64Range(0.01, 3).Draw(t, "fill")
+		now, startedAt := time.Hour, time.Hour
 		sent, largest := 0.0, 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond
 			work := rapid.Float64Range(0.001, 0.5).Draw(t, "work")
-			if a.Allows(now, from, func() float64 { return 0.1 }, fill) {
-				a.Spend(work)
+			if budget.Allows(now, startedAt, func() float64 { return 0.1 }, rate) {
+				budget.Spend(work)
 				sent, largest = sent+work, max(largest, work)
 			}
-			if sent > fill*(now-from).Seconds()+largest+1e-9 {
-				t.Fatalf("%v sent in %v at %v a second", sent, now-from, fill)
+			if sent > rate*(now-startedAt).Seconds()+largest+1e-9 {
+				t.Fatalf("%v s of work sent in %v, at a rate of %v", sent, now-startedAt, rate)
 			}
 		}
 	})
 }
 
-func TestCallsAreSpacedOutWhereTheyFail(t *testing.T) {
+func TestFailedCallsAreDelayed(t *testing.T) {
 	var c CallSchedule
 	now := time.Hour
 	c.NoteCall(now)
 	if c.Due(now+time.Hour) || c.TimedOut(now+2900*time.Millisecond) || !c.TimedOut(now+3100*time.Millisecond) {
-		t.Fatal("a second call goes out beside the first, or its end is waited for without end")
+		t.Fatal("a second call is due beside the first, or the first has no timeout")
 	}
-	for _, draw := range []float64{0, 0.5, 0.999} {
+	for _, random := range []float64{0, 0.5, 0.999} {
 		c.NoteCall(now)
-		c.NoteEnd(now, true, draw)
+		c.NoteEnd(now, true, random)
 		if c.Healthy() || c.Due(now+500*time.Millisecond-1) || !c.Due(now+2*time.Second) {
 			t.Fatalf("%+v", c)
 		}
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestALimitFallsWithLateAnswersAndComesBack(t *testing.T) {
+func TestLimitFallsWithLateAnswersAndRecovers(t *testing.T) {
 	l := New(4, DefaultInitialLimit)
 	if l.MaxInFlight != 9 {
 		t.Fatal(l.MaxInFlight)
@@ -67,29 +67,29 @@
 		l.RecordAnswer(now, 100*time.Millisecond, 0.1, 3)
 	}
 	if l.MaxInFlight < 3 || l.Strain > HighStrain {
-		t.Fatalf("%+v after two hundred good ones", l)
+		t.Fatalf("%+v after two hundred answers in time", l)
 	}
 }
 
-// The estimate finds the quantile that it is asked for.
-func TestQuantile(t *testing.T) {
+// The estimate converges to the quantile.
+func TestUpdateQuantile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		part := rapid.SampledFrom([]float64{0.3, 0.5, 0.95}).Draw(t, "part")
-		est := time.Duration(rapid.IntRange(1, 1000).Draw(t, "from")) * time.Millisecond
+		quantile := rapid.SampledFrom([]float64{0.3, 0.5, 0.95}).Draw(t, "part")
+		estimate := time.Duration(rapid.IntRange(1, 1000).Draw(t, "from")) * time.Millisecond
 		for i := range 4000 {
-			UpdateQuantile(&est, time.Duration(1+(i*7919)%1000)*time.Millisecond, part)
+			UpdateQuantile(&estimate, time.Duration(1+(i*7919)%1000)*time.Millisecond, quantile)
 		}
-		if want := time.Duration(part*1000) * time.Millisecond; (est - want).Abs() > 250*time.Millisecond {
-			t.Fatalf("%v of 1 to 1,000 ms: %v", part, est)
+		if want := time.Duration(quantile*1000) * time.Millisecond; (estimate - want).Abs() > 250*time.Millisecond {
+			t.Fatalf("quantile %v of 1 to 1,000 ms: %v", quantile, estimate)
 		}
 	})
 }
 
-// What cold databases bear goes to the worthiest class while that is turned away there, and to all again when it isn't.
-func TestPriorityFollowsWhatRunsShort(t *testing.T) {
+// The capacity of cold databases is reserved for the class of the highest worth while its requests are turned away there, and no longer.
+func TestColdPriorityFollowsScarcity(t *testing.T) {
 	var p ColdPriority
 	if !p.Admits(0.5, 0) {
-		t.Fatal("the lesser classes are kept off before anything runs short")
+		t.Fatal("other classes are rejected before capacity is scarce")
 	}
 	for range 40 {
 		p.Record(false)
--- a/internal/limit/quantile.go
+++ b/internal/limit/quantile.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-const step = 0.05 // how fast an estimate moves, as a part of itself
+const quantileStep = 0.05 // of an estimate per sample, relative to the estimate
 
-// UpdateQuantile moves an estimate of the quantile at part, from 0 to 1, by one sample (stochastic approximation, as in Ma,
-// Muthukrishnan and Sandler, "Frugal Streaming for Estimating Quantiles", 2013, with steps in proportion).
-func UpdateQuantile(to *time.Duration, sample time.Duration, part float64) {
-	if sample <= *to {
-		part--
+// UpdateQuantile moves an estimate of a quantile, from 0 to 1, by one sample. It uses stochastic approximation, as in Ma, Muthukrishnan and
+// Sandler, "Frugal Streaming for Estimating Quantiles", 2013, with steps in proportion to the estimate.
+func UpdateQuantile(estimate *time.Duration, sample time.Duration, quantile float64) {
+	if sample <= *estimate {
+		quantile--
 	}
-	*to += time.Duration(part * step * float64(*to))
+	*estimate += time.Duration(quantile * quantileStep * float64(*estimate))
 }
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -54,7 +54,7 @@
 // logic.Config.ListMaxDelay has it.
 func NewDiscovery(loop *Loop, clock state.Clock, front *state.Front, address string, generation int64, bound time.Duration) *Discovery {
 	return &Discovery{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front, address: address,
-		generation: generation, times: limit.CallSchedule{PropagationBound: bound},
+		generation: generation, times: limit.CallSchedule{MaxDelay: bound},
 		dial: func(address string, then func(netpoll.Connection, error)) { connect(loop, address, dialTimeout, then) }}
 }
 
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -256,7 +256,7 @@
 // could be reached. Its calls never follow each other faster than the least period.
 func TestAChangeIsKnownWithinTheBound(t *testing.T) {
 	quiet(t)
-	for _, bound := range []time.Duration{limit.DefaultPropagationBound, time.Second} {
+	for _, bound := range []time.Duration{limit.DefaultMaxDelay, time.Second} {
 		for seed := range uint64(1500) {
 			s := newService(seed, bound)
 			start := s.clock.now
--- a/internal/net/reload_test.go
+++ b/internal/net/reload_test.go
@@ -41,7 +41,7 @@
 // its bound, and so is a drain that begins soon after.
 func TestADrainBehindAReloadIsKnown(t *testing.T) {
 	quiet(t)
-	for _, bound := range []time.Duration{limit.DefaultPropagationBound, time.Second} {
+	for _, bound := range []time.Duration{limit.DefaultMaxDelay, time.Second} {
 		for seed := range uint64(1500) {
 			s := newService(seed, bound)
 			start := s.clock.now
@@ -87,7 +87,7 @@
 				s.open = nil
 				s.change("m")
 			})
-			s.run(start + silent + limit.DefaultPropagationBound)
+			s.run(start + silent + limit.DefaultMaxDelay)
 			if how := s.listedAs("m"); how != "draining" {
 				t.Fatalf("silent at %v (half an answer: %v): the drain of that moment is %s", silent, half, how)
 			}
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -152,7 +152,7 @@
 // long behind one that failed, and never more than the platform's bound. An agent on the own machine has told what it has got, so there
 // the time in which a drain has to be heeded runs from that moment, and asking it costs nothing.
 func listBound(asked bool, askWithin, drain time.Duration) time.Duration {
-	bound := limit.DefaultPropagationBound
+	bound := limit.DefaultMaxDelay
 	if asked && askWithin > 0 {
 		bound = min(bound, askAgain*askWithin)
 	} else if !asked && drain > 0 {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -68,7 +68,7 @@
 		members: map[MemberID]*member{}, groups: map[GroupID]*group{}, requests: map[RequestID]*request{},
 		cost: make([]time.Duration, len(cfg.Classes)), slow: make([]time.Duration, len(cfg.Classes)),
 		retries: retryReserve, lead: handover.New(cfg.Handover),
-		pings: ping.Schedule{Proxies: cfg.Proxies, ClockResolution: cfg.Tick, MaxConnections: cfg.MaxConnections}, calls: limit.CallSchedule{PropagationBound: cfg.ListMaxDelay}}
+		pings: ping.Schedule{Proxies: cfg.Proxies, ClockResolution: cfg.Tick, MaxConnections: cfg.MaxConnections}, calls: limit.CallSchedule{MaxDelay: cfg.ListMaxDelay}}
 	r.nobody = r.newGroup(-1)
 	r.pins.init(keepEntries)
 	r.commits.init(keepEntries)
