--- a/internal/ping/ping_test.go
+++ b/internal/ping/ping_test.go
@@ -8,110 +8,110 @@
 )
 
 const (
-	ms = time.Millisecond
-	s  = time.Second
+	ms  = time.Millisecond
+	sec = time.Second
 )
 
-// at gives how long behind the last ping and the last news of its position a member is pinged.
-func at(p *Schedule, m Member) time.Duration {
-	m.LastPing, m.LastPosition = 100*s, 100*s
-	for now := 100 * s; now < 200*s; now += ms {
-		if due, _ := p.Due(now, &m); due {
-			return now - 100*s
+// firstDue returns how long after its last ping and position a member is due to be pinged; 0 also if that is not within 100 s.
+func firstDue(schedule *Schedule, m Member) time.Duration {
+	m.LastPing, m.LastPosition = 100*sec, 100*sec
+	for now := 100 * sec; now < 200*sec; now += ms {
+		if due, _ := schedule.Due(now, &m); due {
+			return now - 100*sec
 		}
 	}
 	return 0
 }
 
 func TestPeriods(t *testing.T) {
-	busy := Member{GroupSize: 3, RequestRate: 1000, LastRequest: 99 * s}
+	base := Member{GroupSize: 3, RequestRate: 1000, LastRequest: 99 * sec}
 	with := func(change func(*Member)) Member {
-		m := busy
+		m := base
 		change(&m)
 		return m
 	}
 	bounded := &Schedule{Proxies: 1, ClockResolution: 5 * ms, TightestMaxAge: 400 * ms}
-	for i, x := range []struct {
-		p    *Schedule
-		m    Member
-		want time.Duration
+	for i, c := range []struct {
+		schedule *Schedule
+		member   Member
+		want     time.Duration
 	}{
-		{&Schedule{Proxies: 1, ClockResolution: 5 * ms}, busy, s},
-		{bounded, busy, 100 * ms},                                                                                // a quarter of the bound
-		{bounded, with(func(m *Member) { m.Primary = true }), s},                                                 // it stands at the present
-		{bounded, with(func(m *Member) { m.AnswerOverdue = true }), 0},                                           // at once
-		{bounded, with(func(m *Member) { m.SearchInterval = 20 * ms }), 20 * ms},                                 // a primary is looked for
-		{&Schedule{Proxies: 1}, with(func(m *Member) { m.NoPrimary = true }), OverdueAfter},                      // and not, but there is none
-		{&Schedule{Proxies: 100, TightestMaxAge: 400 * ms}, with(func(m *Member) { m.RequestRate = 1 }), 60 * s}, // thin: 3 members / (0.05 * 1)
+		{&Schedule{Proxies: 1, ClockResolution: 5 * ms}, base, sec},
+		{bounded, base, 100 * ms},                                                                                  // a quarter of the staleness bound
+		{bounded, with(func(m *Member) { m.Primary = true }), sec},                                                 // its position is always up to date
+		{bounded, with(func(m *Member) { m.AnswerOverdue = true }), 0},                                             // an overdue answer makes it due at once
+		{bounded, with(func(m *Member) { m.SearchInterval = 20 * ms }), 20 * ms},                                   // a primary is awaited
+		{&Schedule{Proxies: 1}, with(func(m *Member) { m.NoPrimary = true }), OverdueAfter},                        // none is awaited, but there is none
+		{&Schedule{Proxies: 100, TightestMaxAge: 400 * ms}, with(func(m *Member) { m.RequestRate = 1 }), 60 * sec}, // thin traffic: 3 members / (0.05 * 1)
 	} {
-		if x.p.TightestMaxAge > 0 {
-			x.p.NoteBoundedRead(100 * s)
+		if c.schedule.TightestMaxAge > 0 {
+			c.schedule.NoteBoundedRead(100 * sec)
 		}
-		if got := at(x.p, x.m); got != x.want {
-			t.Errorf("%d: pinged after %v, want %v", i, got, x.want)
+		if got := firstDue(c.schedule, c.member); got != c.want {
+			t.Errorf("%d: pinged after %v, want %v", i, got, c.want)
 		}
 	}
 }
 
-// A silent member of a thin group is tried again only while requests come.
-func TestSilentAndThin(t *testing.T) {
-	p := &Schedule{Proxies: 100, TightestMaxAge: 400 * ms}
-	p.NoteBoundedRead(100 * s)
-	m := Member{GroupSize: 3, RequestRate: 1, Silent: true, LastPing: 100 * s, LastRequest: 101 * s}
-	if due, _ := p.Due(103*s, &m); due {
-		t.Error("too early")
+// A silent member of a group with thin traffic is pinged again only while requests arrive.
+func TestSilentMemberOfThinGroup(t *testing.T) {
+	schedule := &Schedule{Proxies: 100, TightestMaxAge: 400 * ms}
+	schedule.NoteBoundedRead(100 * sec)
+	m := Member{GroupSize: 3, RequestRate: 1, Silent: true, LastPing: 100 * sec, LastRequest: 101 * sec}
+	if due, _ := schedule.Due(103*sec, &m); due {
+		t.Error("pinged before the retry interval has passed")
 	}
-	if due, _ := p.Due(104*s, &m); !due {
-		t.Error("requests come, and nobody asks")
+	if due, _ := schedule.Due(104*sec, &m); !due {
+		t.Error("not pinged although requests arrive")
 	}
-	m.LastRequest = 99 * s
-	if due, _ := p.Due(110*s, &m); due {
-		t.Error("nobody needs to know")
+	m.LastRequest = 99 * sec
+	if due, _ := schedule.Due(110*sec, &m); due {
+		t.Error("pinged although no requests arrive")
 	}
 }
 
-// Whoever rests until the time that it was told misses no ping: up to then none is due, whatever the member.
-func TestRestsAreSafe(t *testing.T) {
+// Whatever the member, no ping becomes due by time alone before the time at which Due asks to be called again.
+func TestNothingIsDueBeforeUntil(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &Schedule{Proxies: rapid.IntRange(1, 200).Draw(t, "proxies"), ClockResolution: 5 * ms, TightestMaxAge: time.Duration(rapid.IntRange(0, 900).Draw(t, "bound")) * ms}
-		p.NoteBoundedRead(time.Duration(rapid.IntRange(95_000, 100_000).Draw(t, "bounded")) * ms)
+		schedule := &Schedule{Proxies: rapid.IntRange(1, 200).Draw(t, "proxies"), ClockResolution: 5 * ms, TightestMaxAge: time.Duration(rapid.IntRange(0, 900).Draw(t, "bound")) * ms}
+		schedule.NoteBoundedRead(time.Duration(rapid.IntRange(95_000, 100_000).Draw(t, "bounded")) * ms)
 		m := Member{LastPing: time.Duration(rapid.IntRange(90_000, 100_000).Draw(t, "probed")) * ms, LastPosition: time.Duration(rapid.IntRange(90_000, 100_000).Draw(t, "placed")) * ms,
 			Primary: rapid.Bool().Draw(t, "primary"), Silent: rapid.Bool().Draw(t, "silent"), NoPrimary: rapid.Bool().Draw(t, "headless"),
-			GroupSize: rapid.IntRange(1, 9).Draw(t, "members"), RequestRate: rapid.Float64Range(0.01, 5000).Draw(t, "rate"), LastRequest: 99 * s}
-		now := 100 * s
-		due, until := p.Due(now, &m)
+			GroupSize: rapid.IntRange(1, 9).Draw(t, "members"), RequestRate: rapid.Float64Range(0.01, 5000).Draw(t, "rate"), LastRequest: 99 * sec}
+		now := 100 * sec
+		due, until := schedule.Due(now, &m)
 		if due {
 			return
 		}
-		if until > now+MaxDueDelay {
-			t.Fatalf("rests for %v", until-now)
+		if until > now+RecheckInterval {
+			t.Fatalf("Due is to be called again only after %v", until-now)
 		}
 		for now += ms; now < until; now += ms {
-			if due, _ := p.Due(now, &m); due {
-				t.Fatalf("due at %v, to rest until %v", now, until)
+			if due, _ := schedule.Due(now, &m); due {
+				t.Fatalf("due at %v, before %v", now, until)
 			}
 		}
 	})
 }
 
-// The same where the tier shares health checks: nothing becomes due by time alone before a member is looked at again.
-func TestRestsAreSafeWhereChecksAreShared(t *testing.T) {
+// The same where the tier shares health checks.
+func TestNothingIsDueBeforeUntilWithSharedChecks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &Schedule{Proxies: 200, ClockResolution: 5 * ms, SharedChecks: true}
+		schedule := &Schedule{Proxies: 200, ClockResolution: 5 * ms, SharedChecks: true}
 		m := Member{LastPing: time.Duration(rapid.IntRange(0, 100_000).Draw(t, "probed")) * ms, Known: rapid.Bool().Draw(t, "known"),
 			Silent: rapid.Bool().Draw(t, "silent"), Ejected: rapid.Bool().Draw(t, "ejected"), NoPrimary: rapid.Bool().Draw(t, "headless"),
 			LastRequest: time.Duration(rapid.IntRange(0, 100_000).Draw(t, "asked")) * ms, GroupSize: 4, RequestRate: 1}
-		now := 100 * s
-		due, until := p.Due(now, &m)
+		now := 100 * sec
+		due, until := schedule.Due(now, &m)
 		if due {
 			return
 		}
-		if until > now+restShared {
-			t.Fatalf("rests for %v", until-now)
+		if until > now+sharedRecheckInterval {
+			t.Fatalf("Due is to be called again only after %v", until-now)
 		}
 		for now += ms; now < until; now += ms {
-			if due, _ := p.Due(now, &m); due {
-				t.Fatalf("due at %v, to rest until %v", now, until)
+			if due, _ := schedule.Due(now, &m); due {
+				t.Fatalf("due at %v, before %v", now, until)
 			}
 		}
 	})
--- a/internal/ping/shared.go
+++ b/internal/ping/shared.go
@@ -2,38 +2,41 @@
 
 import "time"
 
-// inUse is how long a group counts as in use behind a request to it.
-const inUse = 10 * time.Second
+// inUseFor is how long a group counts as in use after a request to it.
+const inUseFor = 10 * time.Second
 
-// InUse tells whether a group whose last request came at a time is in use; 0 = none came.
-func InUse(now, asked time.Duration) bool { return asked > 0 && now-asked <= inUse }
+// InUse reports whether a group whose last request arrived at lastRequest is in use; 0 = none has arrived.
+func InUse(now, lastRequest time.Duration) bool {
+	return lastRequest > 0 && now-lastRequest <= inUseFor
+}
 
-// restShared is how long a member may go without a look where the tier shares health checks and it lacks nothing: what makes a check of it
-// due then is an event, and has it looked at.
-const restShared = time.Second
+// sharedRecheckInterval replaces RecheckInterval where the tier shares health checks and nothing is wrong with a member: its next ping then
+// becomes due only by an event, after which Due is called anyway.
+const sharedRecheckInterval = time.Second
 
-// dueShared is Due where the tier shares health checks. Steady checks are its checkers' then. Left are those for an answer that is owed,
-// and in a group that is in use the first one, those while it has no primary, and those of a member that is silent here and not ejected.
+// dueShared is Due where the proxies of a tier share health checks, so that the steady pings are sent by each member's checkers. This proxy
+// pings a member only if an answer is overdue, or if its group is in use and it has never been pinged, the group has no primary, or the
+// member is silent here and not ejected.
 func (s *Schedule) dueShared(now time.Duration, m *Member) (due bool, until time.Duration) {
-	since := now - m.LastPing
-	headless := m.NoPrimary && since >= every || m.SearchInterval > 0 && since >= m.SearchInterval
+	elapsed := now - m.LastPing
+	primaryAwaited := m.NoPrimary && elapsed >= steadyPeriod || m.SearchInterval > 0 && elapsed >= m.SearchInterval
 	switch {
 	case m.AnswerOverdue:
 		return true, 0
 	case !InUse(now, m.LastRequest):
-		return false, now + MaxDueDelay // the first request to its group makes a first check due
+		return false, now + RecheckInterval // the first request to its group makes a first check due
 	case m.LastPing == 0:
 		due = !m.Known
 	case m.Silent:
-		due = !m.Ejected && since >= silentAsk && m.LastRequest > m.LastPing
+		due = !m.Ejected && elapsed >= silentRetryInterval && m.LastRequest > m.LastPing
 	default:
-		due = headless
+		due = primaryAwaited
 	}
 	if due || m.Silent || m.NoPrimary || m.SearchInterval > 0 {
 		return due, 0
 	}
 	if m.LastPing > 0 {
-		return false, now + restShared
+		return false, now + sharedRecheckInterval
 	}
-	return false, now + MaxDueDelay
+	return false, now + RecheckInterval
 }
--- a/logic/rounds.go
+++ b/logic/rounds.go
@@ -26,7 +26,7 @@
 func (r *Router) lookAround(now time.Duration) {
 	inRound := now >= r.rounds.nextAt
 	if inRound {
-		r.rounds.nextAt = now + ping.MaxDueDelay
+		r.rounds.nextAt = now + ping.RecheckInterval
 	}
 	awake := r.rounds.awake
 	r.rounds.awake, r.rounds.spare = r.rounds.spare[:0], awake
