--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -401,7 +401,7 @@
 			tracker.durations.add(c, rapid.IntRange(0, 3).Draw(t, "group"), time.Duration(rapid.IntRange(1, 20000).Draw(t, "ms"))*ms, now)
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "gap")) * sec
 		}
-		c, g := Cause(rapid.IntRange(0, int(causeCount)-1).Draw(t, "of")), rapid.IntRange(0, 4).Draw(t, "for")
+		c, g := Cause(rapid.IntRange(0, int(causeCount)-1).Draw(t, "estimated cause")), rapid.IntRange(0, 4).Draw(t, "estimated group")
 		elapsed := time.Duration(rapid.IntRange(0, 30000).Draw(t, "elapsed")) * ms
 		last := 0.0
 		for d := time.Duration(0); d < 40*sec; d += 500 * ms {
@@ -561,10 +561,10 @@
 		if rapid.Bool().Draw(t, "refused") {
 			m.NoteRefusedDial()
 		}
-		g.NoteResponse(20*sec+time.Duration(rapid.IntRange(0, 9000).Draw(t, "long"))*ms, m)
+		g.NoteResponse(20*sec+time.Duration(rapid.IntRange(0, 9000).Draw(t, "silence"))*ms, m)
 		now, last := 30*sec, m.RestartProbability()
 		for range 30 {
-			if now += 300 * ms; rapid.Bool().Draw(t, "placed") {
+			if now += 300 * ms; rapid.Bool().Draw(t, "position reported") {
 				m.NotePosition(now, now-50*ms)
 			}
 			m.NoteNoListedStart(now)
--- a/internal/ping/ping_test.go
+++ b/internal/ping/ping_test.go
@@ -75,8 +75,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		schedule := &Schedule{Proxies: rapid.IntRange(1, 200).Draw(t, "proxies"), ClockResolution: 5 * ms, TightestMaxAge: time.Duration(rapid.IntRange(0, 900).Draw(t, "bound")) * ms}
 		schedule.NoteBoundedRead(time.Duration(rapid.IntRange(95_000, 100_000).Draw(t, "bounded")) * ms)
-		m := Member{LastPing: time.Duration(rapid.IntRange(90_000, 100_000).Draw(t, "probed")) * ms, LastPosition: time.Duration(rapid.IntRange(90_000, 100_000).Draw(t, "placed")) * ms,
-			Primary: rapid.Bool().Draw(t, "primary"), Silent: rapid.Bool().Draw(t, "silent"), NoPrimary: rapid.Bool().Draw(t, "headless"),
+		m := Member{LastPing: time.Duration(rapid.IntRange(90_000, 100_000).Draw(t, "last ping")) * ms, LastPosition: time.Duration(rapid.IntRange(90_000, 100_000).Draw(t, "last position")) * ms,
+			Primary: rapid.Bool().Draw(t, "primary"), Silent: rapid.Bool().Draw(t, "silent"), NoPrimary: rapid.Bool().Draw(t, "no primary"),
 			GroupSize: rapid.IntRange(1, 9).Draw(t, "members"), RequestRate: rapid.Float64Range(0.01, 5000).Draw(t, "rate"), LastRequest: 99 * sec}
 		now := 100 * sec
 		due, until := schedule.Due(now, &m)
@@ -98,9 +98,9 @@
 func TestNothingIsDueBeforeUntilWithSharedChecks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		schedule := &Schedule{Proxies: 200, ClockResolution: 5 * ms, SharedChecks: true}
-		m := Member{LastPing: time.Duration(rapid.IntRange(0, 100_000).Draw(t, "probed")) * ms, Known: rapid.Bool().Draw(t, "known"),
-			Silent: rapid.Bool().Draw(t, "silent"), Ejected: rapid.Bool().Draw(t, "ejected"), NoPrimary: rapid.Bool().Draw(t, "headless"),
-			LastRequest: time.Duration(rapid.IntRange(0, 100_000).Draw(t, "asked")) * ms, GroupSize: 4, RequestRate: 1}
+		m := Member{LastPing: time.Duration(rapid.IntRange(0, 100_000).Draw(t, "last ping")) * ms, Known: rapid.Bool().Draw(t, "known"),
+			Silent: rapid.Bool().Draw(t, "silent"), Ejected: rapid.Bool().Draw(t, "ejected"), NoPrimary: rapid.Bool().Draw(t, "no primary"),
+			LastRequest: time.Duration(rapid.IntRange(0, 100_000).Draw(t, "last request")) * ms, GroupSize: 4, RequestRate: 1}
 		now := 100 * sec
 		due, until := schedule.Due(now, &m)
 		if due {
