--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -12,23 +12,23 @@
 	rareAims        = 4.0
 	minRecovered    = 3.0 // a lower limit recovers to this without answers, by one in each recoverEvery
 	recoverEvery    = 10 * time.Second
-	minTotal        = 2.0                    // all proxies together keep at least so many in flight at a strained database, to see its recovery
+	minTotal        = 2.0                    // all proxies together keep at least so many in flight at an overloaded database, to see its recovery
 	cutInterval     = 100 * time.Millisecond // least time between two reductions, so that one takes effect before the next
 )
 
 const (
-	// HighStrain is the strain above which many answers miss their aims, with answer times that are about exponentially distributed.
-	HighStrain = 0.5
-	// LateStrain is the strain that counts for an attempt that ended without an answer in time.
-	LateStrain = 2.0
+	// HighLatencyRatio is the latency ratio above which many answers miss their aims, with answer times that are about exponentially distributed.
+	HighLatencyRatio = 0.5
+	// TimeoutLatencyRatio is the latency ratio that counts for an attempt that ended without an answer in time.
+	TimeoutLatencyRatio = 2.0
 )
 
 // Limit is one proxy's limit for one database.
 type Limit struct {
-	Strain      float64       // ratio of answer time to aim, moving average
-	MaxInFlight float64       // how many attempts may be in flight
-	LastAnswer  time.Duration // when RecordAnswer was last called
-	LastRaised  time.Duration // when a low limit was last raised without an answer
+	LatencyRatio float64       // ratio of answer time to aim, moving average
+	MaxInFlight  float64       // how many attempts may be in flight
+	LastAnswer   time.Duration // when RecordAnswer was last called
+	LastRaised   time.Duration // when a low limit was last raised without an answer
 
 	proxies int
 	initial float64 // in-flight attempts of all proxies together at an unknown database
@@ -48,7 +48,7 @@
 }
 
 // Reset restores the initial limit, as the database may have been replaced.
-func (l *Limit) Reset() { l.MaxInFlight, l.Strain = l.initial/float64(l.proxies), 0 }
+func (l *Limit) Reset() { l.MaxInFlight, l.LatencyRatio = l.initial/float64(l.proxies), 0 }
 
 // Reached reports whether the limit allows no further request beside the inFlight ones. share is the part of the limit that the request may
 // use. A fraction of the limit is used with that probability, as random, uniform from 0 to 1, decides.
@@ -63,18 +63,18 @@
 	return reached
 }
 
-// RecordAnswer adjusts the limit to an answer. strain is the ratio of its time to the aim, LateStrain at most. inFlight counts the attempts
+// RecordAnswer adjusts the limit to an answer. latencyRatio is its time over the aim, TimeoutLatencyRatio at most. inFlight counts the attempts
 // that are still in flight.
-func (l *Limit) RecordAnswer(now, aim time.Duration, strain float64, inFlight int) {
+func (l *Limit) RecordAnswer(now, aim time.Duration, latencyRatio float64, inFlight int) {
 	weight := min(max(float64(now-l.LastAnswer)/(rareAims*float64(aim)), minAnswerWeight), maxAnswerWeight)
 	l.LastAnswer = now
-	l.Strain += weight * (strain - l.Strain)
+	l.LatencyRatio += weight * (latencyRatio - l.LatencyRatio)
 	n := float64(inFlight + 1)
 	switch {
-	case l.Strain > HighStrain && now-l.cutAt >= cutInterval:
+	case l.LatencyRatio > HighLatencyRatio && now-l.cutAt >= cutInterval:
 		l.MaxInFlight = max(minTotal/float64(l.proxies), min(l.MaxInFlight, n)*(1-weight))
 		l.cutAt = now
-	case l.Strain <= HighStrain && (l.reached || n >= l.MaxInFlight/2):
+	case l.LatencyRatio <= HighLatencyRatio && (l.reached || n >= l.MaxInFlight/2):
 		l.MaxInFlight += min(2/max(l.MaxInFlight, 1), l.MaxInFlight)
 		l.reached = false
 	}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -56,9 +56,9 @@
 	now := time.Hour
 	for range 40 {
 		now += 50 * time.Millisecond
-		l.RecordAnswer(now, 100*time.Millisecond, LateStrain, 5)
+		l.RecordAnswer(now, 100*time.Millisecond, TimeoutLatencyRatio, 5)
 	}
-	if l.MaxInFlight > 1 || l.Strain < HighStrain {
+	if l.MaxInFlight > 1 || l.LatencyRatio < HighLatencyRatio {
 		t.Fatalf("%+v after forty late answers", l)
 	}
 	for range 200 {
@@ -66,7 +66,7 @@
 		l.Reached(now, 3, 1, 0)
 		l.RecordAnswer(now, 100*time.Millisecond, 0.1, 3)
 	}
-	if l.MaxInFlight < 3 || l.Strain > HighStrain {
+	if l.MaxInFlight < 3 || l.LatencyRatio > HighLatencyRatio {
 		t.Fatalf("%+v after two hundred answers in time", l)
 	}
 }
--- a/logic/facts.go
+++ b/logic/facts.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		out.UsableMembers++
-		out.LatencyRatio += m.Strain
+		out.LatencyRatio += m.LatencyRatio
 		out.WarmCapacity += r.warmth(now, m)
 	}
 	out.LatencyRatio /= float64(max(out.UsableMembers, 1))
@@ -136,5 +136,5 @@
 	}
 	return MemberStats{Group: m.Group, Role: m.role(), Silent: m.seat.Silent, Failing: r.failures.IsOutlier(&m.bench), Cold: r.warmth(now, m) < 1,
 		RestartDoubt: m.seat.RestartProbability(),
-		InFlight:     len(m.out), Limit: m.MaxInFlight, LatencyRatio: m.Strain, Ping: m.ping, Position: m.position}, true
+		InFlight:     len(m.out), Limit: m.MaxInFlight, LatencyRatio: m.LatencyRatio, Ping: m.ping, Position: m.position}, true
 }
--- a/logic/hold_test.go
+++ b/logic/hold_test.go
@@ -143,7 +143,7 @@
 		t.Errorf("%v at ease", p)
 	}
 	for _, m := range g.members {
-		m.Strain = 1
+		m.LatencyRatio = 1
 	}
 	if p, want := g.price(), g.worth/g.work; p != want || p <= 0 {
 		t.Errorf("%v when all are full, want %v", p, want)
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -240,7 +240,7 @@
 		if !a.overdue && age > max(2*r.slow[q.Class], q.class.Aim) {
 			a.overdue, m.stuck = true, true
 			r.failures.Record(now, &m.bench, 1)
-			if m.Strain < limit.HighStrain && !m.seat.Silent {
+			if m.LatencyRatio < limit.HighLatencyRatio && !m.seat.Silent {
 				r.missing += missWeight * (1 - r.missing)
 			}
 		}
@@ -251,7 +251,9 @@
 	}
 }
 
-func (r *Router) loses(m *member) bool { return r.missing > missLimit && m.Strain < limit.HighStrain }
+func (r *Router) loses(m *member) bool {
+	return r.missing > missLimit && m.LatencyRatio < limit.HighLatencyRatio
+}
 
 // ---- Requests, attempts and outcomes ----
 
@@ -459,7 +461,7 @@
 		q.tallyOf().Late++
 		for _, a := range q.tries {
 			if a.open {
-				r.strain(now, a.to, q.class.Aim, limit.LateStrain)
+				r.strain(now, a.to, q.class.Aim, limit.TimeoutLatencyRatio)
 			}
 		}
 		r.drop(q)
@@ -541,7 +543,7 @@
 		took := now - a.sentAt
 		limit.UpdateQuantile(&r.cost[q.Class], took, costPart)
 		limit.UpdateQuantile(&r.slow[q.Class], took, slowPart)
-		r.strain(now, m, q.class.Aim, min(float64(took)/float64(q.class.Aim), limit.LateStrain))
+		r.strain(now, m, q.class.Aim, min(float64(took)/float64(q.class.Aim), limit.TimeoutLatencyRatio))
 		r.failures.Record(now, &m.bench, 0)
 		r.missing -= missWeight * r.missing
 		if q.class.Read != Write && q.Session != 0 && m.role() == RoleReplica {
@@ -549,11 +551,11 @@
 		}
 	case TimedOut:
 		if !r.loses(m) {
-			r.strain(now, m, q.class.Aim, limit.LateStrain)
+			r.strain(now, m, q.class.Aim, limit.TimeoutLatencyRatio)
 		}
 	case Failed, Rejected, ConnectFailed, Reset:
 		if r.failed(now, m); o.Result == Rejected {
-			r.strain(now, m, q.class.Aim, limit.LateStrain)
+			r.strain(now, m, q.class.Aim, limit.TimeoutLatencyRatio)
 		}
 		if o.Result == ConnectFailed {
 			r.probe(now, m)
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -43,7 +43,7 @@
 // that wait, the one sign of what other fronts send. Answers in time since then outrank a report.
 func (r *Router) crowded(now time.Duration, m *member, part float64) bool {
 	waits := m.queue >= queueLong && now-m.queueAt < reportLife
-	return waits && (m.LastAnswer <= m.queueAt || m.Strain >= limit.HighStrain) || m.Reached(now, len(m.out), part, r.luck)
+	return waits && (m.LastAnswer <= m.queueAt || m.LatencyRatio >= limit.HighLatencyRatio) || m.Reached(now, len(m.out), part, r.luck)
 }
 
 // merit gives the part of a member's limit that the request may fill.
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -350,12 +350,12 @@
 	f.end(f.mustSend(ids[0]), OK)
 	f.r.Timer(f.now, tickTimer)
 	f.end(f.mustSend(ids[1]), OK)
-	if m := f.r.members[1]; m.MaxInFlight != before || m.Strain != 0 {
-		t.Errorf("limit %v of %v and strain %v after answers that waited with this front", m.MaxInFlight, before, m.Strain)
+	if m := f.r.members[1]; m.MaxInFlight != before || m.LatencyRatio != 0 {
+		t.Errorf("limit %v of %v and strain %v after answers that waited with this front", m.MaxInFlight, before, m.LatencyRatio)
 	}
 	f.pass(600 * ms)
 	f.end(f.mustSend(ids[2]), OK)
-	if f.r.members[1].Strain == 0 {
+	if f.r.members[1].LatencyRatio == 0 {
 		t.Error("a late answer no longer counts")
 	}
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -206,7 +206,7 @@
 }
 
 // Between these strains of its members a group's work gets its price: the lower is that of members at ease.
-const strainFree, strainFull = 0.3, limit.HighStrain
+const strainFree, strainFull = 0.3, limit.HighLatencyRatio
 
 // price is what a second of the group's work earns, as far as there is none to spare: what a held request takes there,
 // others don't get.
@@ -214,7 +214,7 @@
 	sum, n := 0.0, 0
 	for _, m := range g.members {
 		if m.State == Ready && !m.seat.Silent {
-			sum += min(max((m.Strain-strainFree)/(strainFull-strainFree), 0), 1)
+			sum += min(max((m.LatencyRatio-strainFree)/(strainFull-strainFree), 0), 1)
 			n++
 		}
 	}
