--- a/logic/facts.go
+++ b/logic/facts.go
@@ -56,7 +56,7 @@
 			continue
 		}
 		stats.UsableMembers++
-		stats.Strain += m.Strain
+		stats.Strain += m.LatencyRatio
 		stats.WarmCapacity += r.warmCapacity(now, m)
 	}
 	stats.Strain /= float64(max(stats.UsableMembers, 1))
@@ -140,5 +140,5 @@
 	}
 	return MemberStats{Group: m.Group, Role: m.role(), Silent: m.handover.Silent, Failing: r.failures.IsOutlier(&m.breaker), Cold: r.warmCapacity(now, m) < 1,
 		RestartDoubt: m.handover.RestartProbability(),
-		InFlight:     len(m.inFlight), Limit: m.MaxInFlight, Strain: m.Strain, Ping: m.pingTime, Position: m.position}, true
+		InFlight:     len(m.inFlight), Limit: m.MaxInFlight, Strain: m.LatencyRatio, Ping: m.pingTime, Position: m.position}, true
 }
--- a/logic/hold_test.go
+++ b/logic/hold_test.go
@@ -145,7 +145,7 @@
 		t.Errorf("price %v at light load", price)
 	}
 	for _, m := range g.members {
-		m.Strain = 1
+		m.LatencyRatio = 1
 	}
 	if price, want := g.workPrice(), g.meanWorth/g.meanWork; price != want || price <= 0 {
 		t.Errorf("price %v when all members are full, want %v", price, want)
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -70,7 +70,7 @@
 		members: map[MemberID]*member{}, groups: map[GroupID]*group{}, requests: map[RequestID]*request{},
 		serviceTime: make([]time.Duration, len(cfg.Classes)), slowTime: make([]time.Duration, len(cfg.Classes)),
 		retryTokens: retryReserve, handover: handover.New(cfg.Handover),
-		pingSchedule: ping.Schedule{Proxies: cfg.Proxies, ClockResolution: cfg.Tick, MaxConnections: cfg.MaxConnections}, listCalls: limit.CallSchedule{PropagationBound: cfg.ListMaxDelay}}
+		pingSchedule: ping.Schedule{Proxies: cfg.Proxies, ClockResolution: cfg.Tick, MaxConnections: cfg.MaxConnections}, listCalls: limit.CallSchedule{MaxDelay: cfg.ListMaxDelay}}
 	r.unlistedGroup = r.newGroup(-1)
 	r.pins.init(maxSessionEntries)
 	r.sessionCommits.init(maxSessionEntries)
@@ -247,7 +247,7 @@
 		if !a.overdue && age > max(2*r.slowTime[q.Class], q.class.Aim) {
 			a.overdue, m.unresponsive = true, true
 			r.failures.Record(now, &m.breaker, 1)
-			if m.Strain < limit.HighStrain && !m.handover.Silent {
+			if m.LatencyRatio < limit.HighLatencyRatio && !m.handover.Silent {
 				r.loss += lossWeight * (1 - r.loss)
 			}
 		}
@@ -258,7 +258,9 @@
 	}
 }
 
-func (r *Router) lossy(m *member) bool { return r.loss > maxLoss && m.Strain < limit.HighStrain }
+func (r *Router) lossy(m *member) bool {
+	return r.loss > maxLoss && m.LatencyRatio < limit.HighLatencyRatio
+}
 
 // ---- Requests, attempts and outcomes ----
 
@@ -473,7 +475,7 @@
 		q.classCounts().Late++
 		for _, a := range q.attempts {
 			if a.open {
-				r.recordLatency(now, a.member, q.class.Aim, limit.LateStrain)
+				r.recordLatency(now, a.member, q.class.Aim, limit.TimeoutLatencyRatio)
 			}
 		}
 		r.forget(q)
@@ -558,7 +560,7 @@
 		elapsed := now - a.sentAt
 		limit.UpdateQuantile(&r.serviceTime[q.Class], elapsed, serviceTimeQuantile)
 		limit.UpdateQuantile(&r.slowTime[q.Class], elapsed, slowTimeQuantile)
-		r.recordLatency(now, m, q.class.Aim, min(float64(elapsed)/float64(q.class.Aim), limit.LateStrain))
+		r.recordLatency(now, m, q.class.Aim, min(float64(elapsed)/float64(q.class.Aim), limit.TimeoutLatencyRatio))
 		r.failures.Record(now, &m.breaker, 0)
 		r.loss -= lossWeight * r.loss
 		if q.class.Read != Write && q.Session != 0 && m.role() == RoleReplica {
@@ -566,11 +568,11 @@
 		}
 	case TimedOut:
 		if !r.lossy(m) {
-			r.recordLatency(now, m, q.class.Aim, limit.LateStrain)
+			r.recordLatency(now, m, q.class.Aim, limit.TimeoutLatencyRatio)
 		}
 	case Failed, Rejected, ConnectFailed, Reset:
 		if r.recordFailure(now, m); o.Result == Rejected {
-			r.recordLatency(now, m, q.class.Aim, limit.LateStrain)
+			r.recordLatency(now, m, q.class.Aim, limit.TimeoutLatencyRatio)
 		}
 		if o.Result == ConnectFailed {
 			r.probe(now, m)
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -46,7 +46,7 @@
 // report.
 func (r *Router) overloaded(now time.Duration, m *member, share float64) bool {
 	queued := m.queueLength >= longQueue && now-m.queueReportedAt < reportMaxAge
-	return queued && (m.LastAnswer <= m.queueReportedAt || m.Strain >= limit.HighStrain) || m.Reached(now, len(m.inFlight), share, r.requestDraw)
+	return queued && (m.LastAnswer <= m.queueReportedAt || m.LatencyRatio >= limit.HighLatencyRatio) || m.Reached(now, len(m.inFlight), share, r.requestDraw)
 }
 
 // limitShare returns the fraction of a member's limit that the request may fill.
--- a/logic/size_test.go
+++ b/logic/size_test.go
@@ -354,12 +354,12 @@
 	p.finishAttempt(p.mustSend(ids[0]), OK)
 	p.router.Timer(p.now, tickTimer)
 	p.finishAttempt(p.mustSend(ids[1]), OK)
-	if m := p.router.members[1]; m.MaxInFlight != before || m.Strain != 0 {
-		t.Errorf("limit %v, initially %v, and strain %v after answers that waited at this proxy", m.MaxInFlight, before, m.Strain)
+	if m := p.router.members[1]; m.MaxInFlight != before || m.LatencyRatio != 0 {
+		t.Errorf("limit %v, initially %v, and strain %v after answers that waited at this proxy", m.MaxInFlight, before, m.LatencyRatio)
 	}
 	p.advance(600 * ms)
 	p.finishAttempt(p.mustSend(ids[2]), OK)
-	if p.router.members[1].Strain == 0 {
+	if p.router.members[1].LatencyRatio == 0 {
 		t.Error("a late answer no longer counts")
 	}
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -207,7 +207,7 @@
 }
 
 // The price of a group's work rises from zero to its full value between these mean strains of its members.
-const idleStrain, fullStrain = 0.3, limit.HighStrain
+const idleStrain, fullStrain = 0.3, limit.HighLatencyRatio
 
 // workPrice returns the worth that a second of the group's work earns, in proportion to how loaded its members
 // are. A held request takes that much away from other requests.
@@ -215,7 +215,7 @@
 	load, members := 0.0, 0
 	for _, m := range g.members {
 		if m.State == Ready && !m.handover.Silent {
-			load += min(max((m.Strain-idleStrain)/(fullStrain-idleStrain), 0), 1)
+			load += min(max((m.LatencyRatio-idleStrain)/(fullStrain-idleStrain), 0), 1)
 			members++
 		}
 	}
