--- a/internal/lab/command/consul_test.go
+++ b/internal/lab/command/consul_test.go
@@ -114,7 +114,7 @@
 	if strings.Contains(text, "a-secret-token") {
 		t.Error("the token stands in the log")
 	}
-	holds(t, text, "No cluster leader", "Consul is watched")
+	holds(t, text, "No cluster leader", "watching Consul")
 }
 
 // SIGHUP moves the program from the platform's list to Consul and back, under load: nobody is left without an answer, and at no
@@ -158,12 +158,12 @@
 			time.Sleep(300 * time.Millisecond)
 		}
 		own := fmt.Sprintf("consul(agents = ['http://%s'], services = {'db': 0}, alone = True)\n", c.Address)
-		reload(own, "Consul is watched")
+		reload(own, "watching Consul")
 		reload(own+"consul()\n", "can't reload")
 		reload(fmt.Sprintf("trace(file = '%s')\nconsul(agents = ['http://%s'], services = {'db': 0}, token_file = '/no/such/token')\n", traced, c.Address), "can't reload")
 		reload(own+"members(lost = '2s')\n", "msg=reloaded")
 		reload("", "msg=reloaded")
-		reload(own, "Consul is watched")
+		reload(own, "watching Consul")
 	}()
 	r, err := load.Run(context.Background(), load.Config{Address: p.Address, Seed: 1, Classes: classes, Groups: 1, Rate: func(time.Duration) float64 { return 60 }, For: 3 * time.Second})
 	<-moved
--- a/internal/run/consul.go
+++ b/internal/run/consul.go
@@ -15,15 +15,15 @@
 	"havenproxy/internal/operator"
 )
 
-// watching reads what the operator's file names for Consul; the function that it gives puts that into effect, on the loop, and what
-// is watched then is to become p.watched. Members that the old catalogue listed stay as lost ones do until the new one has answered,
-// so nobody is without a list between.
-func (p *proxy) watching(own *operator.File) (watched *net.ConsulConfig, apply func(), err error) {
+// prepareConsul reads what the operator's file refers to for Consul. It returns the new value of p.consulConfig and a function that puts the
+// settings into effect on the loop. Members of the previous catalogue are kept like those of a lost one until the new catalogue has
+// answered, so that the list is never empty in between.
+func (p *proxy) prepareConsul(own *operator.File) (watched *net.ConsulConfig, apply func(), err error) {
 	members := own.Members
 	k := own.Consul
 	if k == nil {
 		return nil, func() {
-			p.unwatch()
+			p.stopConsul()
 			p.front.Merge(nil, false)
 		}, nil
 	}
@@ -45,8 +45,8 @@
 	if cfg.TLS, err = consulTLS(k); err != nil {
 		return nil, nil, fmt.Errorf("consul: %w", err)
 	}
-	if p.watched != nil && same(p.watched, &cfg) {
-		return p.watched, func() { p.front.Merge(&members, k.Exclusive) }, nil
+	if p.consulConfig != nil && sameConsulConfig(p.consulConfig, &cfg) {
+		return p.consulConfig, func() { p.front.Merge(&members, k.Exclusive) }, nil
 	}
 	return &cfg, func() {
 		p.front.Merge(&members, k.Exclusive)
@@ -54,8 +54,8 @@
 		for _, s := range sources {
 			p.front.Source(s)
 		}
-		old, before := p.consul, p.sources
-		p.consul, p.sources = net.NewConsul(p.loop, p.front, cfg), sources
+		old, before := p.consul, p.consulSources
+		p.consul, p.consulSources = net.NewConsul(p.loop, p.front, cfg), sources
 		for _, s := range before {
 			if !slices.Contains(sources, s) {
 				p.front.DropSource(s)
@@ -64,27 +64,28 @@
 		if old != nil {
 			go old.Stop()
 		}
-		slog.Info("Consul is watched", "agents", cfg.Agents, "sources", sources, "alone", k.Exclusive)
+		slog.Info("watching Consul", "agents", cfg.Agents, "sources", sources, "alone", k.Exclusive)
 	}, nil
 }
 
-// same tells whether nothing has changed for the watch; certificates are read anew whenever there are any.
-func same(a, b *net.ConsulConfig) bool {
+// sameConsulConfig reports whether two configurations are equal. Configurations with TLS never are, so that certificates are read again.
+func sameConsulConfig(a, b *net.ConsulConfig) bool {
 	return a.TLS == nil && b.TLS == nil && reflect.DeepEqual(a, b)
 }
 
-func (p *proxy) unwatch() {
+// stopConsul ends the watch of Consul, if there is one, and removes its sources.
+func (p *proxy) stopConsul() {
 	if p.consul == nil {
 		return
 	}
 	go p.consul.Stop()
-	for _, s := range p.sources {
+	for _, s := range p.consulSources {
 		p.front.DropSource(s)
 	}
-	p.consul, p.sources = nil, nil
+	p.consul, p.consulSources = nil, nil
 }
 
-// consulTLS reads the files for agents that speak TLS; nil = the system's authorities, and no certificate of one's own.
+// consulTLS loads the TLS configuration for the agents; nil = the system's certificate authorities and no client certificate.
 func consulTLS(k *operator.Consul) (*tls.Config, error) {
 	if k.CAFile == "" && k.CertFile == "" {
 		return nil, nil
--- a/internal/run/endpoints.go
+++ b/internal/run/endpoints.go
@@ -7,8 +7,7 @@
 	"havenproxy/internal/wire/settings"
 )
 
-// reportStart logs that the proxy has started and on which addresses it listens, and reports these to a parent process that asked for them.
-// All listeners are open by then.
+// reportStart logs the start of the proxy and the addresses it listens on, and reports these to a parent process that requested them. All listeners must be open.
 func (p *proxy) reportStart(cfg settings.Config, operatorFile string) error {
 	addresses := p.endpoints(cfg)
 	attributes := []any{"name", cfg.Name, "listen", addresses.PostgreSQL}
@@ -26,11 +25,11 @@
 	return addresses.Report()
 }
 
-// endpoints gives the addresses that were bound. An inherited socket (EDGE_ACCEPT_FD) was bound by another process: for it, the configured
-// address stands.
+// endpoints returns the bound addresses. For an inherited socket (EDGE_ACCEPT_FD), which another process has bound, it returns the configured
+// address.
 func (p *proxy) endpoints(cfg settings.Config) endpoints.Endpoints {
 	addresses := endpoints.Endpoints{PostgreSQL: cfg.Listen, MySQL: p.server.MySQLAddress()}
-	if p.accept == 0 {
+	if p.acceptFD == 0 {
 		addresses.PostgreSQL = p.server.Address()
 	}
 	if p.admin != nil {
--- a/internal/run/endpoints_test.go
+++ b/internal/run/endpoints_test.go
@@ -14,8 +14,8 @@
 	"havenproxy/internal/wire/settings"
 )
 
-// listeningEverywhere is a proxy with all its listeners, each on a port that it chose itself.
-func listeningEverywhere(t *testing.T) (*proxy, settings.Config) {
+// startWithAllListeners starts a proxy with all of its listeners, each on a port chosen by the system.
+func startWithAllListeners(t *testing.T) (*proxy, settings.Config) {
 	t.Helper()
 	cfg, err := settings.ParseConfig(fmt.Appendf(nil, config, 1024, "127.0.0.1:1"))
 	if err != nil {
@@ -42,15 +42,15 @@
 	return p, cfg
 }
 
-// The parent process and the log are told the ports that were bound, not the configured ones.
-func TestTheAddressesThatWereBoundAreReported(t *testing.T) {
-	p, cfg := listeningEverywhere(t)
+// The parent process and the log must receive the bound ports, not the configured ones.
+func TestBoundAddressesAreReported(t *testing.T) {
+	p, cfg := startWithAllListeners(t)
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	descriptor, err := syscall.Dup(int(w.Fd())) // the report closes it
+	descriptor, err := syscall.Dup(int(w.Fd())) // closed by Report
 	w.Close()
 	if err != nil {
 		t.Fatal(err)
@@ -86,10 +86,10 @@
 	}
 }
 
-// With an inherited socket for PostgreSQL's clients, the MySQL listener is the first that this process opens.
-func TestTheMySQLAddressIsToldBesideAnInheritedSocket(t *testing.T) {
+// With an inherited socket for PostgreSQL clients, the MySQL listener is the first one that this process opens.
+func TestMySQLAddressWithInheritedSocket(t *testing.T) {
 	t.Setenv("EDGE_ACCEPT_FD", "9")
-	p, cfg := listeningEverywhere(t)
+	p, cfg := startWithAllListeners(t)
 	addresses := p.endpoints(cfg)
 	if addresses.PostgreSQL != cfg.Listen {
 		t.Errorf("PostgreSQL: %q, want the configured %q", addresses.PostgreSQL, cfg.Listen)
--- a/internal/run/main_test.go
+++ b/internal/run/main_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// What runs to the process's end: netpoll's pollers and servers, and the tests' own stand-ins.
+// These goroutines run until the process ends: netpoll's pollers and servers, and the tests' own servers.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*defaultPoll).Wait"),
 		goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*eventLoop).waitQuit"),
--- a/internal/run/mysql.go
+++ b/internal/run/mysql.go
@@ -11,7 +11,7 @@
 	"havenproxy/internal/wire/mysql"
 )
 
-// mysqlUsers reads the secrets of MySQL's users.
+// mysqlUsers parses the secrets of the MySQL users.
 func mysqlUsers(m *operator.MySQL) (map[string]mysql.Secret, error) {
 	users := map[string]mysql.Secret{}
 	for name, text := range m.Users {
@@ -24,7 +24,7 @@
 	return users, nil
 }
 
-// listenMySQL starts the second front, if there is one; nothing runs before the loop does.
+// listenMySQL opens the MySQL listener if m is not nil.
 func (p *proxy) listenMySQL(m *operator.MySQL) error {
 	if m == nil {
 		return nil
@@ -34,10 +34,10 @@
 		return err
 	}
 	p.mysql = &net.MySQLOptions{Users: users}
-	go func() { // it takes tenths of a second, in which nobody is to wait; users may come to need it at a SIGHUP
+	go func() { // generating the key takes tenths of a second, which must not delay the start; it is always needed, since a reload may add users
 		key, err := mysql.NewKey()
 		if err != nil {
-			slog.Error("no key for MySQL's full logins", "error", err)
+			slog.Error("can't generate the key for MySQL full authentication", "error", err)
 			return
 		}
 		p.loop.Post(func() { p.mysql.Key = key })
@@ -54,6 +54,6 @@
 	if err := p.server.ListenMySQL(m.Listen, p.mysql); err != nil {
 		return err
 	}
-	slog.Info("MySQL is spoken", "listen", p.server.MySQLAddress(), "users", len(users))
+	slog.Info("listening for MySQL clients", "listen", p.server.MySQLAddress(), "users", len(users))
 	return nil
 }
--- a/internal/run/reload.go
+++ b/internal/run/reload.go
@@ -10,13 +10,11 @@
 	"havenproxy/internal/wire/settings"
 )
 
-// Reading the files anew on SIGHUP.
-
-// readPause is the pause between parts of a long configuration, in which the loop has its turn: a proxy may have a small share of one core.
+// readPause is the pause between parts of a long configuration, which lets the loop run: the proxy may have only a small share of one core.
 const readPause = 200 * time.Microsecond
 
-// signals hands signals to the loop; path is that of the configuration, file the operator's.
-func (p *proxy) signals(caught <-chan os.Signal, path, file string) {
+// handleSignals processes signals until caught is closed. path is the configuration file, file the operator's file.
+func (p *proxy) handleSignals(caught <-chan os.Signal, path, file string) {
 	for s := range caught {
 		switch s {
 		case syscall.SIGUSR1:
@@ -31,63 +29,62 @@
 	}
 }
 
-// reload reads both files again. It asks the discovery that the configuration names now, and puts the operator's file
-// into effect; all else stays as it was at the start: requests, pins and connections are kept. If either can't be used,
-// nothing is changed.
+// reload reads both files again after SIGHUP. It switches to the configured discovery address and applies the operator's file; everything
+// else stays as it was at the start, and requests, pins and connections are kept. If either file is invalid, nothing changes.
 func (p *proxy) reload(path, file string) {
 	fail := func(err error) {
 		slog.Error("can't reload", "error", err)
 		p.loop.Post(func() { p.front.Counters.LoadErrors++ })
 	}
 	begun := p.clock.Now()
-	text, document, err := readDocument(path, func() { time.Sleep(readPause) })
+	size, document, err := readDocument(path, func() { time.Sleep(readPause) })
 	if err == nil {
-		err = settings.Whole(p.text, document.Rest)
+		err = settings.Whole(p.initialConfig, document.Rest)
 	}
 	if err != nil {
 		fail(err)
 		return
 	}
-	cfg, own, err := readAll(document, file)
+	cfg, operatorFile, err := parseFiles(document, file)
 	if err != nil {
 		fail(err)
 		return
 	}
-	effect, err := p.ready(own)
+	effect, err := p.prepare(operatorFile)
 	if err != nil {
 		fail(err)
 		return
 	}
 	p.loop.Post(func() {
-		slog.Info("reloaded", "discovery", cfg.Discovery, "classes", len(cfg.Settings.Config.Classes), "bytes", text, "took", p.clock.Now()-begun)
+		slog.Info("reloaded", "discovery", cfg.Discovery, "classes", len(cfg.Settings.Config.Classes), "bytes", size, "took", p.clock.Now()-begun)
 		p.front.Counters.Loads++
 		if p.tier == nil {
 			p.front.Reload(cfg.Settings.Config)
 		} else {
-			slog.Info("classes, levels, handover and routing stay as the tier's policy has them", "number", p.tier.Number())
+			slog.Info("classes, levels, handover and routing remain those of the tier's policy", "number", p.tier.Number())
 		}
-		for _, c := range cfg.Settings.Config.Classes { // never less: what is open keeps its time
-			p.patience = min(max(p.patience, c.Limit), longestPatience)
+		for _, c := range cfg.Settings.Config.Classes { // only ever raised: open requests keep their deadlines
+			p.maxRequestTime = min(max(p.maxRequestTime, c.Limit), maxRequestTimeLimit)
 		}
 		p.discovery.Move(cfg.Discovery)
 		effect()
 	})
 }
 
-// ready reads all that an operator's file names, and gives what puts it into effect, on the loop. Nothing is changed where any of it
-// can't be used: the trace's file, the one thing that is made here, comes last.
-func (p *proxy) ready(own *operator.File) (effect func(), err error) {
-	watched, watch, err := p.watching(own)
+// prepare reads everything that an operator's file refers to, and returns a function that puts it into effect and must be called on the
+// loop. If any of it is invalid, nothing changes. The trace file is created last, because that is the only side effect.
+func (p *proxy) prepare(file *operator.File) (effect func(), err error) {
+	watched, watch, err := p.prepareConsul(file)
 	if err != nil {
 		return nil, err
 	}
-	trace, err := p.tracing(own.Trace)
+	trace, err := p.prepareTrace(file.Trace)
 	if err != nil {
 		return nil, err
 	}
-	p.watched = watched
+	p.consulConfig = watched
 	return func() {
-		p.apply(own)
+		p.applyOperatorFile(file)
 		trace()
 		watch()
 	}, nil
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -23,35 +23,35 @@
 )
 
 const (
-	// Descriptors: some for the process itself, the rest for both sides.
-	spareSockets = 24
-	excessPart   = 16 // one in so many is for clients that are turned away with an answer
-	linkPart     = 4  // and one in four is for databases: a few dozen serve hundreds of clients
+	// File descriptors: reservedSockets are for the process itself, the rest are divided between clients and databases.
+	reservedSockets = 24
+	excessDivisor   = 16 // one in 16 is for clients that are refused with an error message
+	linkDivisor     = 4  // one in 4 is for databases: a few dozen connections serve hundreds of clients
 
-	bufferPart  = 8        // one in so many bytes is for what clients have sent of their queries; netpoll may hold as much
-	mostBuffers = 32 << 20 // where there is room for more, too
-	memoryPart  = 0.7      // of the limit: the heap's share; stacks, buffers in the kernel and netpoll's pools take more
+	bufferDivisor  = 8        // one in 8 bytes of the memory limit is for partially received queries; netpoll may hold as much again
+	maxBufferBytes = 32 << 20 // upper limit even if there is more memory
+	heapShare      = 0.7      // of the memory limit; the rest is for stacks, kernel buffers and netpoll's pools
 
-	lastClients = 500 * time.Millisecond // after SIGTERM clients still come for 0.4 s
-	drainStep   = 5 * time.Millisecond   // then it looks so often whether all have their answers
-	// SIGKILL comes 0.7 s behind the longest deadline, which counts as 3 s where it is longer.
-	longestPatience = 3 * time.Second
-	// What is owed then is answered at once, and what is taken before has until then: a request that came late on a connection
-	// kept open may have all its time yet. The last answers have a little time to go out.
+	acceptGrace       = 500 * time.Millisecond // new clients may still arrive for 0.4 s after SIGTERM
+	drainPollInterval = 5 * time.Millisecond   // how often the proxy then checks whether all requests have been answered
+	// SIGKILL follows 0.7 s after the longest request deadline, of which at most 3 s count.
+	maxRequestTimeLimit = 3 * time.Second
+	// After answerMargin, pending requests are answered with an error; until then they may still complete, since a request that
+	// arrived late on an open connection may have its full deadline ahead. exitMargin leaves time to send the last answers.
 	answerMargin = 400 * time.Millisecond
-	stopMargin   = 500 * time.Millisecond
+	exitMargin   = 500 * time.Millisecond
 
 	defaultSockets        = 1024
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
-// Options are what the command line says.
+// Options holds the settings of the command line.
 type Options struct {
-	Operator string // the operator's file; empty = none
-	Trace    string // where to keep what clients ask, whatever the operator's file says of it; empty = as that says
+	Operator string // path of the operator's file; empty = none
+	Trace    string // path of the request trace, overriding the operator's file; empty = as in the operator's file
 }
 
-// Main runs the proxy until it is told to stop.
+// Main runs the proxy until a signal or a fatal error stops it.
 func Main(o Options) error {
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
@@ -61,17 +61,17 @@
 	if err != nil {
 		return err
 	}
-	cfg, own, err := readAll(document, o.Operator)
+	cfg, operatorFile, err := parseFiles(document, o.Operator)
 	if err != nil {
 		return err
 	}
 	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(cfg.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapShare * float64(cfg.MemoryMB) * (1 << 20)))
 	}
 	signal.Ignore(syscall.SIGPIPE) // a log reader that goes away must not end the proxy
 	caught := make(chan os.Signal, 4)
 	signal.Notify(caught, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
-	defer func() { // what has ended hears no more signals
+	defer func() { // stops handleSignals
 		signal.Stop(caught)
 		close(caught)
 	}()
@@ -79,30 +79,30 @@
 	if err != nil {
 		return err
 	}
-	p.text = document.Rest
-	if err := p.listenMySQL(own.MySQL); err != nil {
+	p.initialConfig = document.Rest
+	if err := p.listenMySQL(operatorFile.MySQL); err != nil {
 		return err
 	}
 	if o.Trace != "" {
 		p.traceFile = o.Trace
 	}
-	effect, err := p.ready(own)
+	effect, err := p.prepare(operatorFile)
 	if err != nil {
 		return err
 	}
 	p.loop.Post(effect)
-	if own.Tier != nil {
-		p.join(own, cfg)
+	if operatorFile.Tier != nil {
+		p.joinTier(operatorFile, cfg)
 	}
 	if err := p.reportStart(cfg, o.Operator); err != nil {
 		return err
 	}
-	go p.signals(caught, path, o.Operator)
+	go p.handleSignals(caught, path, o.Operator)
 	p.loop.Run()
-	if p.failed != nil {
-		return p.failed
+	if p.fatalErr != nil {
+		return p.fatalErr
 	}
-	p.untrace(p.front.Trace(nil))
+	p.closeTrace(p.front.Trace(nil))
 	if p.consul != nil {
 		p.consul.Stop()
 	}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// readDocument reads the configuration's file, and tells how many bytes it has. Between the parts of a long one it calls pause.
+// readDocument reads the configuration file and returns its size in bytes as well. Between the parts of a long file it calls pause.
 func readDocument(path string, pause func()) (size int, d settings.Document, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -120,32 +120,33 @@
 	return len(text), d, err
 }
 
-// readAll gives what a configuration says, and the operator's file, which is checked against the former's classes. Its errors are told in one
-// line.
-func readAll(d settings.Document, file string) (settings.Config, *operator.File, error) {
+// parseFiles returns the settings of a configuration and of the operator's file, which is checked against the configuration's classes. Errors
+// take one line.
+func parseFiles(d settings.Document, file string) (settings.Config, *operator.File, error) {
 	cfg, err := d.Config()
 	if err != nil {
 		return cfg, nil, err
 	}
-	own, err := readOperator(file, cfg)
+	operatorFile, err := readOperatorFile(file, cfg)
 	if err != nil {
 		return cfg, nil, fmt.Errorf("operator's file: %s", strings.ReplaceAll(err.Error(), "\n", "; "))
 	}
-	return cfg, own, nil
+	return cfg, operatorFile, nil
 }
 
-func readOperator(file string, cfg settings.Config) (*operator.File, error) {
+// readOperatorFile reads and checks the operator's file. Without a file it returns the zero value.
+func readOperatorFile(file string, cfg settings.Config) (*operator.File, error) {
 	if file == "" {
 		return &operator.File{}, nil
 	}
-	own, err := operator.Read(file, state.LevelClasses(cfg.Settings.Config))
-	if err == nil && own.MySQL != nil {
-		_, err = mysqlUsers(own.MySQL)
+	operatorFile, err := operator.Read(file, state.LevelClasses(cfg.Settings.Config))
+	if err == nil && operatorFile.MySQL != nil {
+		_, err = mysqlUsers(operatorFile.MySQL)
 	}
-	return own, err
+	return operatorFile, err
 }
 
-// Validate tells what is wrong with a configuration and with an operator's file, if one is named; a line for each error.
+// Validate checks a configuration and, if file is not empty, an operator's file. The error has one line for each problem.
 func Validate(path, file string) error {
 	_, document, err := readDocument(path, func() {})
 	if err != nil {
@@ -155,32 +156,32 @@
 	if err != nil {
 		return err
 	}
-	_, err = readOperator(file, cfg)
+	_, err = readOperatorFile(file, cfg)
 	return err
 }
 
-// apply puts the operator's file into effect; it is called on the loop.
-func (p *proxy) apply(own *operator.File) {
-	if p.tier == nil { // the tier's policy has one way in
-		p.front.Reduce(own.Levels)
-		p.front.Handover(own.Handover)
-		p.front.Tune(own.Tuning)
-		p.front.Revise(own.Revision.Number)
-		p.server.TellPolicy(own.Revision.TellClients)
+// applyOperatorFile puts the operator's file into effect. It must be called on the loop.
+func (p *proxy) applyOperatorFile(file *operator.File) {
+	if p.tier == nil { // in a tier, only the tier's policy sets these
+		p.front.Reduce(file.Levels)
+		p.front.Handover(file.Handover)
+		p.front.Tune(file.Tuning)
+		p.front.Revise(file.Revision.Number)
+		p.server.TellPolicy(file.Revision.TellClients)
 	}
-	p.server.Console(own.Console.Enabled)
-	if p.mysql != nil && own.MySQL != nil { // its address and groups stay as they were at the start
-		p.mysql.Users, _ = mysqlUsers(own.MySQL)
+	p.server.Console(file.Console.Enabled)
+	if p.mysql != nil && file.MySQL != nil { // its address and groups change only with a restart
+		p.mysql.Users, _ = mysqlUsers(file.MySQL)
 	}
 }
 
-// leastSalt is the least length of the secret of a trace's hashes, in bytes.
-const leastSalt = 16
+// minSaltLen is the minimum length of the salt of a trace's hashes, in bytes.
+const minSaltLen = 16
 
 // proxy is the running program.
 type proxy struct {
 	databases *net.Databases
-	mysql     *net.MySQLOptions // nil = it has no such front
+	mysql     *net.MySQLOptions // nil = MySQL is not served
 
 	loop      *net.Loop
 	clock     state.Clock
@@ -188,42 +189,42 @@
 	server    *net.Server
 	discovery *net.Discovery
 
-	text      []byte // the configuration at the start, without the list of databases
-	admin     *net.Admin
-	peers     *net.Peers // nil = it doesn't talk with peers
-	accept    int        // the descriptor of a socket that listens already; 0 = there is none
-	failed    error      // why it could not go on
-	serving   bool       // it can serve, and has been able to
-	startedAt time.Duration
-	settling  state.Deadline
+	initialConfig []byte // the configuration at the start, without the list of databases
+	admin         *net.Admin
+	peers         *net.Peers // nil = no messages are exchanged with peers
+	acceptFD      int        // descriptor of an inherited listening socket; 0 = none
+	fatalErr      error      // the error that stopped the loop
+	canServe      bool       // set once the proxy has become able to serve
+	startedAt     time.Duration
+	readyTimer    state.Deadline
 
-	patience time.Duration // the longest that a request may take
-	stopping bool
-	timer    state.Deadline
-	answerBy time.Duration
-	killAt   time.Duration
+	maxRequestTime time.Duration // the longest deadline of a request, at most maxRequestTimeLimit
+	stopping       bool
+	stopTimer      state.Deadline
+	answerDeadline time.Duration
+	exitDeadline   time.Duration
 
-	tier      *net.Tier // nil = the proxy goes by its own files
-	enforced  rollout.Number
-	log       *slog.Logger // without the policy's number
-	traceFile string       // of the command line
-	traced    *trace.Config
-	watched   *net.ConsulConfig // as of the last file
-	consul    *net.Consul       // the loop's alone
-	sources   []string
+	tier          *net.Tier // nil = the proxy's policy comes from its own files
+	policyNumber  rollout.Number
+	baseLog       *slog.Logger // the logger without the policy number
+	traceFile     string       // from the command line
+	traceConfig   *trace.Config
+	consulConfig  *net.ConsulConfig // of the operator's file last read
+	consul        *net.Consul       // used on the loop only
+	consulSources []string
 }
 
-// start puts the parts together and begins to listen; nothing runs before the loop does.
-func start(cfg settings.Config) (*proxy, error) { return startOn(cfg, state.NewClock()) }
+// start builds the proxy and opens its listeners. Nothing runs before the loop does.
+func start(cfg settings.Config) (*proxy, error) { return startWithClock(cfg, state.NewClock()) }
 
-// startOn does so on a clock of the caller's.
-func startOn(cfg settings.Config, clock state.Clock) (*proxy, error) {
+// startWithClock is start with a clock of the caller.
+func startWithClock(cfg settings.Config, clock state.Clock) (*proxy, error) {
 	sockets := cfg.Sockets
 	if sockets <= 0 {
 		sockets = defaultSockets
 	}
-	sockets -= spareSockets
-	links, excess := sockets/linkPart, sockets/excessPart
+	sockets -= reservedSockets
+	links, excess := sockets/linkDivisor, sockets/excessDivisor
 	clients := sockets - links - excess
 	if clients <= 0 || links <= 0 {
 		return nil, fmt.Errorf("configuration: limits.sockets: %d are too few", cfg.Sockets)
@@ -232,8 +233,8 @@
 	if s.ConnectTimeout <= 0 {
 		s.ConnectTimeout = defaultConnectTimeout
 	}
-	// A list that is pushed comes as far as the agent on the own machine, which has to be asked for it like any other service. Without
-	// this, nobody asked at all: the router asks only where it is told so.
+	// A pushed list only reaches the agent on this machine, which has to be polled like any other discovery service. The router polls
+	// only if Pull is set, so without this nothing would fetch a pushed list.
 	s.Config.ListOnRequest, s.Config.ListFromAgent = true, !s.Config.ListOnRequest
 	p := &proxy{clock: clock}
 	databases := &net.Databases{ConnectTimeout: s.ConnectTimeout}
@@ -244,18 +245,18 @@
 		return nil, err
 	}
 	for _, c := range s.Config.Classes {
-		p.patience = min(max(p.patience, c.Limit), longestPatience)
+		p.maxRequestTime = min(max(p.maxRequestTime, c.Limit), maxRequestTimeLimit)
 	}
 	p.loop = net.NewLoop(p.clock, &p.front.Deadlines)
 	p.loop.Measure(&p.front.Counters, &p.front.Delays)
 	databases.Loop, databases.Counters, p.databases = p.loop, &p.front.Counters, databases
-	buffers := mostBuffers
+	buffers := maxBufferBytes
 	if cfg.MemoryMB > 0 {
-		buffers = min(cfg.MemoryMB<<20/bufferPart, mostBuffers)
+		buffers = min(cfg.MemoryMB<<20/bufferDivisor, maxBufferBytes)
 	}
 	p.server = net.NewServer(p.loop, p.clock, p.front, clients, excess, buffers)
 	if fd := os.Getenv("EDGE_ACCEPT_FD"); fd != "" {
-		if p.accept, err = strconv.Atoi(fd); err != nil || p.accept <= 2 {
+		if p.acceptFD, err = strconv.Atoi(fd); err != nil || p.acceptFD <= 2 {
 			return nil, fmt.Errorf("EDGE_ACCEPT_FD: %q is no descriptor", fd)
 		}
 	} else if err := p.server.Listen(cfg.Listen); err != nil {
@@ -271,7 +272,7 @@
 		if errors.Is(err, net.ErrPeers) {
 			return nil, err
 		}
-		if err != nil { // the address is taken: all works without, if with more pings
+		if err != nil { // for example, the address is in use: the proxy works without peers, with more pings
 			slog.Warn("no talk with peers", "error", err)
 		} else {
 			p.peers = peers
@@ -282,7 +283,7 @@
 	p.loop.Post(func() {
 		p.startedAt = p.clock.Now()
 		p.front.Start(p.discovery, net.ListOf(cfg.Known))
-		p.settle()
+		p.pollReady()
 	})
 	return p, nil
 }
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -32,7 +32,7 @@
 	return start(cfg)
 }
 
-// A database that answers its first query when it is told to.
+// slowDatabase starts a database that answers its first query once answer is closed. It closes asked when the query has arrived.
 func slowDatabase(t *testing.T, asked, answer chan struct{}) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,9 +62,9 @@
 	return ln.Addr().String()
 }
 
-// After the signal the proxy goes on taking clients for a while, answers all that it has taken, closes idle
-// clients, and ends by itself.
-func TestStopAnswersWhatIsTaken(t *testing.T) {
+// After the signal the proxy must accept clients for a while, answer every request that it has accepted, close idle clients, and exit by
+// itself.
+func TestStopAnswersAcceptedRequests(t *testing.T) {
 	asked, answer := make(chan struct{}), make(chan struct{})
 	p, err := startAt(t, slowDatabase(t, asked, answer), 1024)
 	if err != nil {
@@ -97,7 +97,7 @@
 			t.Errorf("the %s client got %q, error %v", name, got, err)
 		}
 	}
-	close(answer) // the idle ones are closed, this one still waits
+	close(answer) // the idle clients have been closed, this one is still waiting
 	if got, err := io.ReadAll(busy); err != nil || !bytes.Contains(got, []byte("\x00\x00\x00\x01vC")) {
 		t.Errorf("the busy client got %q, error %v", got, err)
 	}
@@ -129,7 +129,7 @@
 	}
 }
 
-// discovery is a service that knows no databases; it tells the first line of each call.
+// discovery starts a discovery service without databases. It sends the URL of each call on calls.
 func discovery(t *testing.T) (address string, calls chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -138,7 +138,7 @@
 	calls = make(chan string, 99)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.String()
-		if r.URL.Query().Has("after") { // a watch without news, until the proxy gives it up
+		if r.URL.Query().Has("after") { // a watch without changes, until the proxy cancels it
 			<-r.Context().Done()
 			return
 		}
@@ -149,7 +149,7 @@
 	return ln.Addr().String(), calls
 }
 
-// lines are the log lines told so far, one at a time.
+// lines receives log lines one by one.
 type lines chan string
 
 func (l lines) Write(b []byte) (int, error) { l <- string(b); return len(b), nil }
@@ -161,15 +161,15 @@
 			if strings.Contains(line, text) {
 				return line
 			}
-		case <-time.After(20 * time.Second): // only there to end a test that hangs
+		case <-time.After(20 * time.Second): // only ends a test that hangs
 			t.Fatalf("no line with %q", text)
 		}
 	}
 }
 
-// SIGHUP used to end the proxy. It moves discovery to the address that the file names now, at once and with the
-// whole list; requests in hand go on. A file that can't be used is told in one line and changes nothing.
-func TestHangUpMovesDiscoveryAndKeepsRequests(t *testing.T) {
+// SIGHUP once ended the proxy. It must switch discovery to the address now in the file, at once and with the whole list, while open requests
+// continue. An invalid file is reported in one line and changes nothing.
+func TestReloadMovesDiscoveryAndKeepsRequests(t *testing.T) {
 	log := make(lines, 999)
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
@@ -203,13 +203,13 @@
 	write("{")
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	if line := log.until(t, "can't reload"); strings.Count(line, "\n") != 1 {
-		t.Errorf("a bad file is told as %q", line)
+		t.Errorf("an invalid file is logged as %q", line)
 	}
 	write(strings.Replace(text, "127.0.0.1:1", after, 1))
 	os.WriteFile(own, []byte("levels(dwel = '5s')\nlevel('a', admit = {'anny': 0})\n"), 0o600)
-	syscall.Kill(os.Getpid(), syscall.SIGHUP) // a bad operator's file: nothing of either file is taken over
+	syscall.Kill(os.Getpid(), syscall.SIGHUP) // an invalid operator's file: nothing of either file is applied
 	if line := log.until(t, "can't reload"); strings.Count(line, "\n") != 1 || !strings.Contains(line, "dwell") || !strings.Contains(line, "anny") {
-		t.Errorf("a bad operator's file is told as %q", line)
+		t.Errorf("an invalid operator's file is logged as %q", line)
 	}
 	os.WriteFile(own, []byte("levels()\npin('normal')\nconsole()\n"), 0o600)
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
--- a/internal/run/stop.go
+++ b/internal/run/stop.go
@@ -4,10 +4,8 @@
 	"log/slog"
 )
 
-// The end: what is owed is answered, and the process ends.
-
-// stop ends the proxy in good order: it goes on as before while clients still come, then closes what is idle
-// and ends with its last answer.
+// stop shuts the proxy down gracefully: it serves as before while new clients may still arrive, then closes idle connections, and ends once
+// all requests have been answered.
 func (p *proxy) stop() {
 	if p.stopping {
 		return
@@ -15,40 +13,41 @@
 	p.stopping = true
 	slog.Info("stopping", "pending", p.front.Pending())
 	now := p.clock.Now()
-	p.answerBy, p.killAt = now+p.patience+answerMargin, now+p.patience+stopMargin
-	p.front.EndBy(p.answerBy)
-	p.front.Deadlines.Clear(&p.settling)
-	if p.accept > 0 && p.serving {
+	p.answerDeadline, p.exitDeadline = now+p.maxRequestTime+answerMargin, now+p.maxRequestTime+exitMargin
+	p.front.EndBy(p.answerDeadline)
+	p.front.Deadlines.Clear(&p.readyTimer)
+	if p.acceptFD > 0 && p.canServe {
 		p.server.Leave()
 	}
-	p.front.Deadlines.Set(&p.timer, now+lastClients, func() {
+	p.front.Deadlines.Set(&p.stopTimer, now+acceptGrace, func() {
 		p.server.Drain()
-		p.front.Deadlines.Set(&p.timer, p.clock.Now()+drainStep, p.drained) // connections just accepted show up until then
+		p.front.Deadlines.Set(&p.stopTimer, p.clock.Now()+drainPollInterval, p.pollDrained) // lets the loop see connections that were just accepted
 	})
 }
 
-func (p *proxy) drained() {
+// pollDrained ends the process once no answers are outstanding, or at exitDeadline. Otherwise it calls itself again after drainPollInterval.
+func (p *proxy) pollDrained() {
 	now := p.clock.Now()
-	if now >= p.answerBy {
+	if now >= p.answerDeadline {
 		p.front.EndAll()
 	}
-	if p.nothingOwed() || now >= p.killAt {
-		// A connection may have been accepted, and a query read, that the loop has yet to hear of: whatever the poller has begun by now
-		// stands before this in the loop's queue.
+	if p.drainComplete() || now >= p.exitDeadline {
+		// The poller may have accepted a connection and read a query that the loop has not seen yet. Running behind the poller ensures
+		// that everything it has started by now precedes the second check in the loop's queue.
 		p.loop.BehindPoller(func() {
-			if p.nothingOwed() || p.clock.Now() >= p.killAt {
+			if p.drainComplete() || p.clock.Now() >= p.exitDeadline {
 				if p.tier != nil {
 					p.tier.Leave()
 				}
 				p.loop.Stop()
 				return
 			}
-			p.front.Deadlines.Set(&p.timer, p.clock.Now()+drainStep, p.drained)
+			p.front.Deadlines.Set(&p.stopTimer, p.clock.Now()+drainPollInterval, p.pollDrained)
 		})
 		return
 	}
-	p.front.Deadlines.Set(&p.timer, now+drainStep, p.drained)
+	p.front.Deadlines.Set(&p.stopTimer, now+drainPollInterval, p.pollDrained)
 }
 
-// nothingOwed closes the clients that are owed nothing, and tells whether none is left.
-func (p *proxy) nothingOwed() bool { return p.server.Drained() && p.front.Owed() == 0 }
+// drainComplete closes the clients without outstanding answers, and reports whether none is left.
+func (p *proxy) drainComplete() bool { return p.server.Drained() && p.front.Owed() == 0 }
--- a/internal/run/ending_test.go
+++ b/internal/run/stop_test.go
@@ -20,7 +20,7 @@
 	"havenproxy/internal/wire/settings"
 )
 
-// skipClock is the system's clock, which a test may put forward.
+// skipClock is the system's clock, which a test can advance.
 type skipClock struct {
 	*state.SystemClock
 	skipped atomic.Int64
@@ -30,45 +30,45 @@
 	return c.SystemClock.Now() + time.Duration(c.skipped.Load())
 }
 
-// skip lets time pass, and the loop see what that brings about.
-func (p *proxy) skip(d time.Duration) {
+// advance advances the clock and lets the loop process the timers that are due.
+func (p *proxy) advance(d time.Duration) {
 	p.clock.(*skipClock).skipped.Add(int64(d))
 	p.loop.Post(func() {})
 }
 
-// begin starts a proxy on a clock of the test's; ended tells that its loop has stopped.
+// begin starts a proxy on a skipClock. ended is closed when its loop has stopped.
 func begin(t *testing.T, text string) (p *proxy, ended chan struct{}) {
 	t.Helper()
 	cfg, err := settings.ParseConfig([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p, err = startOn(cfg, &skipClock{SystemClock: state.NewClock()}); err != nil {
+	if p, err = startWithClock(cfg, &skipClock{SystemClock: state.NewClock()}); err != nil {
 		t.Fatal(err)
 	}
 	ended = make(chan struct{})
 	go func() { p.loop.Run(); close(ended) }()
 	t.Cleanup(func() {
-		p.loop.Post(p.loop.Stop) // of no matter where the test has ended it
+		p.loop.Post(p.loop.Stop) // has no effect if the test has already stopped it
 		<-ended
 	})
 	return p, ended
 }
 
-// beginSlow starts one whose requests have an aim of 1 s and a limit of 20 s.
+// beginSlow starts a proxy whose requests have an aim of 1 s and a limit of 20 s.
 func beginSlow(t *testing.T, database string) (p *proxy, ended chan struct{}) {
 	t.Helper()
 	return begin(t, strings.Replace(fmt.Sprintf(config, 1024, database), `"aim": 10000000`, `"aim": 1000000`, 1))
 }
 
-// onLoop runs a function on the loop, and waits for its end.
+// onLoop runs a function on the loop and waits for it to return.
 func (p *proxy) onLoop(f func()) {
 	done := make(chan struct{})
 	p.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// connect makes a client that begins with some queries.
+// connect opens a client connection and sends the startup message and some queries.
 func (p *proxy) connect(t *testing.T, queries ...[]byte) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", p.server.Address())
@@ -81,10 +81,10 @@
 	return conn
 }
 
-// patience is only there to end a test that hangs; no verdict depends on it.
+// patience only ends a test that hangs; no result depends on it.
 const patience = 20 * time.Second
 
-// hung is a database that takes queries and never answers; of each it tells how long it may take.
+// hung starts a database that accepts queries and never answers. It sends the time limit of each query on asked.
 func hung(t *testing.T) (address string, asked chan time.Duration) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,33 +123,34 @@
 	return ln.Addr().String(), asked
 }
 
-// wait waits for what a stand-in tells.
-func wait[T any](t *testing.T, told chan T) (what T) {
+// wait waits for the next value that a test server reports.
+func wait[T any](t *testing.T, reports chan T) (value T) {
 	t.Helper()
 	select {
-	case what = <-told:
+	case value = <-reports:
 	case <-time.After(patience):
-		t.Fatal("nobody was asked")
+		t.Fatal("no request arrived")
 	}
-	return what
+	return value
 }
 
+// ask returns a query with the given request ID.
 func ask(id string) []byte {
 	return pg.AppendQuery(nil, "SELECT val FROM state WHERE uid = 'a' /* id="+id+",c=any,d=20000,cluster=0 */")
 }
 
-// Requests that come late in a stop, on a connection kept open by an earlier one, to a database that hangs, have deadlines behind the moment
-// at which the process has to end. They are answered before it, not taken along.
-func TestTheEndAnswersWhatWouldOutlastIt(t *testing.T) {
+// Requests that arrive late during a stop, on a connection with an open request to a database that hangs, have deadlines after the time at
+// which the process must exit. They must be answered before the exit instead of being lost.
+func TestStopAnswersRequestsBeforeTheirDeadlines(t *testing.T) {
 	address, asked := hung(t)
 	p, ended := beginSlow(t, address)
 	conn := p.connect(t, ask("1"))
 	wait(t, asked)
 	p.onLoop(p.stop)
-	p.skip(lastClients + time.Second) // clients are told no more of it; this one has a request open
+	p.advance(acceptGrace + time.Second) // no new clients arrive any more; this one has a request open
 	conn.Write(ask("2"))
 	wait(t, asked)
-	p.skip(p.patience + answerMargin)
+	p.advance(p.maxRequestTime + answerMargin)
 	got, err := io.ReadAll(conn)
 	if err != nil || bytes.Count(got, []byte("SERROR\x00")) != 2 {
 		t.Errorf("before its connection ended the client got %q, error %v", got, err)
@@ -160,8 +161,8 @@
 	}
 }
 
-// Many commands of one client stand in its buffer at the end, more than may be under way, to a database that hangs: each has its answer.
-func TestTheEndAnswersCommandsSentAtOnce(t *testing.T) {
+// At the stop, a client's buffer holds more commands than may be in flight, to a database that hangs. Each command must be answered.
+func TestStopAnswersAllBufferedCommands(t *testing.T) {
 	const commands = 100
 	address, asked := hung(t)
 	p, ended := beginSlow(t, address)
@@ -172,8 +173,8 @@
 	conn := p.connect(t, all...)
 	wait(t, asked)
 	p.onLoop(p.stop)
-	p.skip(lastClients)
-	p.skip(p.patience + answerMargin)
+	p.advance(acceptGrace)
+	p.advance(p.maxRequestTime + answerMargin)
 	got, err := io.ReadAll(conn)
 	if n := bytes.Count(got, []byte("SERROR\x00")); err != nil || n != commands {
 		t.Errorf("%d of %d commands were answered, error %v", n, commands, err)
@@ -181,51 +182,51 @@
 	<-ended
 }
 
-// What is taken behind the signal has no more time than the process has, so that no attempt waits past its end.
-func TestNoRequestOutlastsTheEnd(t *testing.T) {
+// A request accepted after the signal must not get more time than the process has left, so that no attempt runs past the exit.
+func TestStopLimitsDeadlinesOfNewRequests(t *testing.T) {
 	address, asked := hung(t)
 	p, ended := beginSlow(t, address)
 	p.onLoop(p.stop)
 	conn := p.connect(t, ask("1"))
-	told := wait(t, asked)
-	if most := p.patience + answerMargin; told > most {
-		t.Errorf("a database may take %v, all is to be answered within %v", told, most)
+	limit := wait(t, asked)
+	if most := p.maxRequestTime + answerMargin; limit > most {
+		t.Errorf("a database may take %v, but all requests must be answered within %v", limit, most)
 	}
-	p.skip(p.patience + answerMargin)
+	p.advance(p.maxRequestTime + answerMargin)
 	io.Copy(io.Discard, conn)
 	<-ended
 }
 
-// At the end of a stop, where no client is left as far as the loop knows, the poller has just accepted a connection that the loop has yet to
-// hear of, and its client has asked. The process does not end over it: the request is answered.
-func TestTheEndWaitsForWhatThePollerHasAccepted(t *testing.T) {
+// At the end of a stop no client is left as far as the loop knows, but the poller has just accepted a connection that the loop has not seen
+// yet, and its client has sent a request. The process must answer the request before it exits.
+func TestStopWaitsForConnectionsAcceptedByPoller(t *testing.T) {
 	asked, answer := make(chan struct{}), make(chan struct{})
 	close(answer)
 	p, ended := begin(t, fmt.Sprintf(config, 1024, slowDatabase(t, asked, answer)))
-	there, on := make(chan struct{}), make(chan struct{})
+	accepted, proceed := make(chan struct{}), make(chan struct{})
 	first := true
-	held := func(_ context.Context, f func()) { // the poller calls it
+	runner := func(_ context.Context, f func()) { // called by the poller
 		if first {
 			first = false
-			close(there)
-			<-on
+			close(accepted)
+			<-proceed
 		}
 		p.loop.Post(f)
 	}
-	if err := netpoll.Configure(netpoll.Config{Runner: held}); err != nil {
+	if err := netpoll.Configure(netpoll.Config{Runner: runner}); err != nil {
 		t.Fatal(err)
 	}
 	conn := p.connect(t, ask("1"))
-	<-there
+	<-accepted
 	atEnd := make(chan struct{})
 	p.loop.Post(func() {
 		p.stop()
 		p.server.Drain()
-		close(atEnd) // what the poller posts from here on stands behind this in the loop's queue
-		p.drained()
+		close(atEnd) // what the poller posts XX behind this in the loop's queue
+		p.pollDrained()
 	})
 	<-atEnd
-	close(on)
+	close(proceed)
 	got, err := io.ReadAll(conn)
 	if err != nil || !bytes.Contains(got, []byte("\x00\x00\x00\x01vC")) {
 		t.Errorf("the client got %q, error %v", got, err)
@@ -236,23 +237,23 @@
 	}
 }
 
-// Lists that are pushed come as far as the agent on the own machine: it is asked, and watched, like any other service.
-func TestAPushedListIsWatched(t *testing.T) {
+// A pushed list only reaches the agent on this machine, so the proxy must poll and watch the agent like any other discovery service.
+func TestPushedListIsPolledFromAgent(t *testing.T) {
 	address, calls := discovery(t)
 	text := strings.Replace(fmt.Sprintf(config, 1024, "127.0.0.1:1"), `"tick"`, `"discovery": "pushed", "safety": {"stop_sending_within": 1000000}, "tick"`, 1)
 	begin(t, strings.Replace(text, `"discovery": "127.0.0.1:1"`, fmt.Sprintf(`"discovery": %q`, address), 1))
-	if got, want := wait(t, calls), "/v1/endpoints?after=1&wait_ms=50"; got != want { // the stand-in keeps it waiting
+	if got, want := wait(t, calls), "/v1/endpoints?after=1&wait_ms=50"; got != want { // the test server leaves the call unanswered
 		t.Errorf("a call is %s, want %s", got, want)
 	}
 }
 
-// A restarted process is ready within its few seconds, and serves what it can from the list that it was started with, however discovery fails.
-func TestReadyHoweverDiscoveryFails(t *testing.T) {
+// A restarted process must become ready within a few seconds and serve from its configured list, no matter how discovery fails.
+func TestReadyDespiteDiscoveryFailure(t *testing.T) {
 	mute, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close() // connections come up, and nobody reads
+	defer mute.Close() // connections are established, but nobody reads from them
 	busy := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) })}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -268,11 +269,11 @@
 			p, _ := begin(t, strings.Replace(text, `"discovery": "127.0.0.1:1"`, fmt.Sprintf(`"discovery": %q`, address), 1))
 			conn := p.connect(t, pg.AppendQuery(nil, ""))
 			if _, err := io.ReadFull(conn, make([]byte, len(pg.AppendEmpty(pg.AppendWelcome(nil))))); err != nil {
-				t.Fatalf("the empty query, by which the platform asks, is not answered: %v", err)
+				t.Fatalf("the empty query, which the platform uses as a probe, is not answered: %v", err)
 			}
 			conn.Write(ask("1"))
-			wait(t, asked) // the list in hand is used
-			p.skip(settleAnyway)
+			wait(t, asked) // the request is routed by the configured list
+			p.advance(readyTimeout)
 			for ready := false; !ready; {
 				p.onLoop(func() { ready = p.Ready() })
 			}
@@ -280,9 +281,10 @@
 	}
 }
 
-// Idle clients fill all the places that there are while discovery is down. What is kept for databases is not theirs: one that asks is served by the
-// list in hand, once the idle may be let go for it, and no more descriptors are held than the limit allows.
-func TestIdleClientsFillTheDescriptorsWhileDiscoveryIsDown(t *testing.T) {
+// While discovery is down, idle clients take all descriptors reserved for clients. They must not take those reserved for databases: a client
+// that sends a request is served from the configured list once idle connections may be closed for it, and no more descriptors are open
+// than the limit allows.
+func TestIdleClientsLeaveDescriptorsForDatabases(t *testing.T) {
 	const limit = 128
 	asked, answer := make(chan struct{}), make(chan struct{})
 	close(answer)
@@ -293,11 +295,11 @@
 		p.connect(t, pg.AppendQuery(nil, ""))
 		own++
 	}
-	if n := descriptors(t) - before - own - 2; n > limit { // the stand-in has two
-		t.Errorf("%d descriptors are held, %d are allowed", n, limit)
+	if n := descriptors(t) - before - own - 2; n > limit { // the test database has two
+		t.Errorf("%d descriptors are open, %d are allowed", n, limit)
 	}
-	p.skip(3 * time.Second)         // idle ones may be closed for others behind two
-	for served := false; !served; { // a place may have to be made first: who finds none is told so, or closed, and comes again
+	p.advance(3 * time.Second)      // idle connections may be closed for others after two seconds
+	for served := false; !served; { // idle connections may have to be closed first: until then a client is refused or disconnected, and retries
 		conn := p.connect(t, ask("1"))
 		got, in := []byte(nil), make([]byte, 4096)
 		for {
@@ -311,7 +313,7 @@
 	}
 }
 
-// descriptors counts those of this process.
+// descriptors returns the number of open file descriptors of this process.
 func descriptors(t *testing.T) int {
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
--- a/internal/run/tier.go
+++ b/internal/run/tier.go
@@ -12,21 +12,21 @@
 	"havenproxy/internal/wire/settings"
 )
 
-// join lets the proxy go by its tier's policy. It is called before the loop runs, so that no request is taken before. What the files say of
-// levels, handover, routing and classes holds until the tier has a policy of its own.
-func (p *proxy) join(own *operator.File, cfg settings.Config) {
+// joinTier makes the proxy follow its tier's policy. It is called before the loop runs, so that no request is accepted earlier. The levels,
+// handover, routing and classes of the files apply until the tier has a policy of its own.
+func (p *proxy) joinTier(own *operator.File, cfg settings.Config) {
 	p.front.Reduce(own.Levels)
 	p.front.Handover(own.Handover)
 	p.front.Tune(own.Tuning)
 	p.server.TellPolicy(own.Tier.TellClients)
-	p.log = slog.Default()
+	p.baseLog = slog.Default()
 	p.tier = net.JoinTier(p.loop, p.clock, p.front, net.TierConfig{Name: cmp.Or(own.Tier.Name, cfg.Name), Planners: own.Tier.Planners,
-		Rollout: own.Tier.Rollout, Seed: cfg.Settings.Config.Seed, Nonce: rand.Uint64(), Check: p.agrees, Into: p.enforce,
+		Rollout: own.Tier.Rollout, Seed: cfg.Settings.Config.Seed, Nonce: rand.Uint64(), Check: p.checkPolicy, Into: p.applyPolicy,
 		Health: net.HealthConfig{Zone: zoneName(cfg), ChecksPerSecond: own.Tier.ChecksPerSecond, BytesPerSecond: own.Tier.ReportBytesPerSecond}})
 	p.server.Belongs(p.tier)
 }
 
-// zoneName gives the name of the zone that this proxy runs in; empty = the configuration names none.
+// zoneName returns the name of the zone that this proxy runs in; empty = the configuration names none.
 func zoneName(cfg settings.Config) string {
 	if zone := cfg.Settings.Config.Zone; zone < len(cfg.Settings.Zones) {
 		return cfg.Settings.Zones[zone]
@@ -34,11 +34,11 @@
 	return ""
 }
 
-// agrees tells why this proxy can't serve under a policy; empty = it can.
-func (p *proxy) agrees(_ rollout.Number, text []byte) string {
+// checkPolicy returns why this proxy cannot serve under a policy; empty = it can.
+func (p *proxy) checkPolicy(_ rollout.Number, text []byte) string {
 	next, err := policy.Decode(text)
 	if err == nil {
-		here := policy.LocalState{InUse: func(name string) bool {
+		running := policy.LocalState{InUse: func(name string) bool {
 			for _, c := range p.front.Classes() {
 				if c.Name == name {
 					return c.Taken > 0
@@ -53,9 +53,9 @@
 			return groups
 		}}
 		for _, c := range p.front.Classes() {
-			here.Classes = append(here.Classes, c.Name)
+			running.Classes = append(running.Classes, c.Name)
 		}
-		err = next.Check(here)
+		err = next.Check(running)
 	}
 	if err != nil {
 		return err.Error()
@@ -63,17 +63,17 @@
 	return ""
 }
 
-// enforce puts a policy into effect, by the ways that a reload takes. Number 0 is what the files say.
-func (p *proxy) enforce(n rollout.Number, text []byte) {
-	if n == 0 || n == p.enforced { // who joins again under the policy that it has keeps what its levels have learned
+// applyPolicy puts a policy into effect in the same way as a reload. Number 0 stands for the settings of the files.
+func (p *proxy) applyPolicy(n rollout.Number, text []byte) {
+	if n == 0 || n == p.policyNumber { // rejoining under the same policy keeps the state of the levels
 		return
 	}
-	p.enforced = n
-	slog.SetDefault(p.log.With("policy", uint64(n))) // what is refused and counted from now on hangs on it, and so each line says so
+	p.policyNumber = n
+	slog.SetDefault(p.baseLog.With("policy", uint64(n))) // every later log line names the policy in force
 	next, err := policy.Decode(text)
-	if err != nil { // it was agreed to here, or comes from planners of a later version: serving on under another one would break the promise
-		slog.Error("the tier's policy can't be put into effect, so this proxy ends", "number", uint64(n), "error", err)
-		p.failed = err
+	if err != nil { // this proxy may have accepted it, or the planners run a later version: serving under another policy would break the tier's agreement
+		slog.Error("can't apply the tier's policy; stopping", "number", uint64(n), "error", err)
+		p.fatalErr = err
 		p.loop.Stop()
 		return
 	}
@@ -81,20 +81,20 @@
 	c.Classes, c.MaxAttempts, c.EnableRetryAfter, c.MaxRetryAfter = next.Classes, next.MaxAttempts, next.MayComeBack, next.MaxComeBack
 	p.front.Reload(c)
 	for _, k := range next.Classes {
-		p.patience = min(max(p.patience, k.Limit), longestPatience)
+		p.maxRequestTime = min(max(p.maxRequestTime, k.Limit), maxRequestTimeLimit)
 	}
 	p.front.Reduce(next.Levels)
 	p.front.Handover(next.Handover)
 	p.front.Tune(next.Tuning)
 }
 
-// LoadPolicy makes a tier's policy of an operator's file and the classes of a configuration.
+// LoadPolicy builds a tier's policy from an operator's file and the classes of a configuration.
 func LoadPolicy(config, file string) (*policy.Policy, error) {
 	_, document, err := readDocument(config, func() {})
 	if err != nil {
 		return nil, err
 	}
-	cfg, own, err := readAll(document, file)
+	cfg, own, err := parseFiles(document, file)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/run/trace.go
+++ b/internal/run/trace.go
@@ -10,9 +10,9 @@
 	"havenproxy/internal/trace"
 )
 
-// tracing opens the file in which what clients ask is to be kept, if any; the function that it gives puts that into effect, on
-// the loop. A file that goes on as it was goes on.
-func (p *proxy) tracing(t *operator.Trace) (func(), error) {
+// prepareTrace opens the trace file for client requests, if one is configured, and returns a function that puts it into effect on the loop. A
+// trace whose settings have not changed continues in its file.
+func (p *proxy) prepareTrace(t *operator.Trace) (func(), error) {
 	var cfg trace.Config
 	if t != nil {
 		cfg = trace.Config{File: t.File, Sample: t.SampleRate, Most: t.MaxBytes}
@@ -21,20 +21,20 @@
 		cfg.File = p.traceFile
 	}
 	if cfg.File == "" {
-		p.traced = nil
-		return func() { go p.untrace(p.front.Trace(nil)) }, nil
+		p.traceConfig = nil
+		return func() { go p.closeTrace(p.front.Trace(nil)) }, nil
 	}
 	if t != nil && t.SaltFile != "" {
 		salt, err := os.ReadFile(t.SaltFile)
 		if err != nil {
 			return nil, fmt.Errorf("trace: %w", err)
 		}
-		if len(salt) < leastSalt {
-			return nil, fmt.Errorf("trace: %s holds %d bytes, at least %d were expected", t.SaltFile, len(salt), leastSalt)
+		if len(salt) < minSaltLen {
+			return nil, fmt.Errorf("trace: %s holds %d bytes, at least %d were expected", t.SaltFile, len(salt), minSaltLen)
 		}
 		cfg.Salt = salt
 	}
-	if p.traced != nil && reflect.DeepEqual(*p.traced, cfg) {
+	if p.traceConfig != nil && reflect.DeepEqual(*p.traceConfig, cfg) {
 		return func() {}, nil
 	}
 	var classes []string
@@ -45,13 +45,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	p.traced = &cfg
-	slog.Info("what clients ask is kept", "file", cfg.File, "sample", w.Sample(), "most_bytes", w.Most())
-	return func() { go p.untrace(p.front.Trace(w)) }, nil
+	p.traceConfig = &cfg
+	slog.Info("recording client requests", "file", cfg.File, "sample", w.Sample(), "most_bytes", w.Most())
+	return func() { go p.closeTrace(p.front.Trace(w)) }, nil
 }
 
-// untrace ends a trace; it waits for the disk, so it has no place on the loop.
-func (p *proxy) untrace(w *trace.Writer) {
+// closeTrace closes a trace. It waits for the disk, so it must not run on the loop.
+func (p *proxy) closeTrace(w *trace.Writer) {
 	if w == nil {
 		return
 	}
