--- a/internal/run/stop_test.go
+++ b/internal/run/stop_test.go
@@ -222,7 +222,7 @@
 	p.loop.Post(func() {
 		p.stop()
 		p.server.Drain()
-		close(atEnd) // what the poller posts XX behind this in the loop's queue
+		close(atEnd) // what the poller posts from now on is queued behind this function
 		p.pollDrained()
 	})
 	<-atEnd
