--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -42,7 +42,7 @@
 type service struct {
 	clock *handClock
 	rng   *rand.Rand
-	front *state.Front
+	front *state.Engine
 	loop  *Loop
 	todo  state.Deadlines
 	mood  mood
@@ -233,7 +233,7 @@
 	cfg := settings
 	cfg.Seed, cfg.ListOnRequest, cfg.ListMaxDelay, cfg.Tick = seed, true, bound, 50*time.Millisecond
 	var err error
-	if s.front, err = state.New(state.Config{Logic: cfg, MaxLinks: 4}, s.clock, &Databases{}); err != nil {
+	if s.front, err = state.New(state.Config{Logic: cfg, MaxConnections: 4}, s.clock, &Databases{}); err != nil {
 		panic(err)
 	}
 	s.loop = &Loop{clock: s.clock, deadlines: &s.front.Deadlines, wake: make(chan struct{}, 1)}
@@ -256,7 +256,7 @@
 // could be reached. Its calls never follow each other faster than the least period.
 func TestAChangeIsKnownWithinTheBound(t *testing.T) {
 	quiet(t)
-	for _, bound := range []time.Duration{limit.DefaultBound, time.Second} {
+	for _, bound := range []time.Duration{limit.DefaultPropagationBound, time.Second} {
 		for seed := range uint64(1500) {
 			s := newService(seed, bound)
 			start := s.clock.now
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -116,27 +116,27 @@
 	}
 	if err := star.Exec(name, src, map[string]star.Func{
 		"console": p.console, "levels": p.levels, "level": p.level, "mysql": p.mysql, "handover": p.handover, "routing": p.routing, "trace": p.trace, "consul": p.consul, "members": p.members, "tier": p.tier, "revision": p.revision,
-		"pin": func(c *star.Call) starlark.Value { return p.hold(c, p.pins) },
-		"cap": func(c *star.Call) starlark.Value { return p.hold(c, p.caps) },
-	}, p.names); err != nil {
+		"pin": func(c *star.Call) starlark.Value { return p.pinOrCap(c, p.pins) },
+		"cap": func(c *star.Call) starlark.Value { return p.pinOrCap(c, p.caps) },
+	}, p.checkAcrossCalls); err != nil {
 		return nil, err
 	}
 	return &p.file, p.finish()
 }
 
 type parser struct {
-	file       File
-	classes    []levels.Class
-	classNames []string
-	enabled    bool
-	called     bool
-	handed     bool
-	routed     bool
-	cfg        levels.Config
-	ladder     []levels.Level
-	pins, caps map[logic.GroupID]string
-	holds      []*star.Call
-	revised    *star.Call
+	file           File
+	classes        []levels.Class
+	classNames     []string
+	levelsEnabled  bool
+	levelsCalled   bool
+	handoverCalled bool
+	routingCalled  bool
+	levelsConfig   levels.Config
+	ladder         []levels.Level
+	pins, caps     map[logic.GroupID]string
+	pinCalls       []*star.Call
+	revisionCall   *star.Call
 }
 
 func (p *parser) console(c *star.Call) starlark.Value {
@@ -146,10 +146,10 @@
 
 // routing reads what is routed otherwise than by default.
 func (p *parser) routing(c *star.Call) starlark.Value {
-	if p.routed {
+	if p.routingCalled {
 		c.Errorf("", "routing() is called a second time")
 	}
-	p.routed = true
+	p.routingCalled = true
 	p.file.Tuning.PingWindow = c.Duration("ping_window", 0, 100*time.Microsecond, time.Second)
 	p.file.Tuning.FirstLimit = c.Float("first_limit", 0, 1, 1e4)
 	return nil
@@ -161,7 +161,7 @@
 		c.Errorf("", "revision() is called a second time")
 	}
 	p.file.Revision = Revision{Number: uint64(c.Int("number", 0, 1, 1<<31-1)), TellClients: c.Bool("tell_clients", false)}
-	if p.revised = c; p.file.Revision.Number == 0 && !c.Has("number") {
+	if p.revisionCall = c; p.file.Revision.Number == 0 && !c.Has("number") {
 		c.Errorf("", "number is missing: the number of this file, 1 or more")
 	}
 	return nil
@@ -288,10 +288,10 @@
 
 // handover reads what is held while a group has no primary.
 func (p *parser) handover(c *star.Call) starlark.Value {
-	if p.handed {
+	if p.handoverCalled {
 		c.Errorf("", "handover() is called a second time")
 	}
-	p.handed = true
+	p.handoverCalled = true
 	minute := time.Minute
 	h := handover.Config{Hold: c.Bool("hold", true)}
 	h.Likely = c.Float("likely", 0, 0.01, 1)
@@ -310,7 +310,7 @@
 	h.Search = c.Duration("search", 0, 5*time.Millisecond, 10*time.Second)
 	h.Margin = c.Duration("margin", 0, time.Millisecond, 10*time.Second)
 	h = h.WithDefaults()
-	if err := h.Check(); err != nil {
+	if err := h.Validate(); err != nil {
 		c.Errorf("", "%v", err)
 	}
 	p.file.Handover = h
@@ -350,11 +350,11 @@
 }
 
 func (p *parser) levels(c *star.Call) starlark.Value {
-	if p.called {
+	if p.levelsCalled {
 		c.Errorf("", "levels() is called a second time")
 	}
-	p.called, p.enabled = true, c.Bool("enabled", true)
-	g, minute := &p.cfg, time.Minute
+	p.levelsCalled, p.levelsEnabled = true, c.Bool("enabled", true)
+	g, minute := &p.levelsConfig, time.Minute
 	g.Enter = c.Float("enter", 0, 0.001, 1)
 	g.EnterAfter = c.Duration("enter_after", 0, 100*time.Millisecond, minute)
 	g.Leave = c.Float("leave", 0, 0.001, 1)
@@ -433,7 +433,7 @@
 }
 
 // hold notes a pin or a cap.
-func (p *parser) hold(c *star.Call, in map[logic.GroupID]string) starlark.Value {
+func (p *parser) pinOrCap(c *star.Call, in map[logic.GroupID]string) starlark.Value {
 	name := c.PositionalString("level")
 	group := levels.AllGroups
 	if c.Has("group") {
@@ -444,29 +444,29 @@
 	}
 	in[group] = name
 	if name != "" {
-		p.holds = append(p.holds, c)
+		p.pinCalls = append(p.pinCalls, c)
 	}
 	return nil
 }
 
 // names checks the levels that pins and caps name; they may be described further down.
-func (p *parser) names() {
+func (p *parser) checkAcrossCalls() {
 	var names []string
-	for _, l := range p.full() {
+	for _, l := range p.allLevels() {
 		names = append(names, l.Name)
 	}
-	if p.revised != nil && p.file.Tier != nil {
-		p.revised.Errorf("", "revision() beside tier(): the tier's planners number its policies")
+	if p.revisionCall != nil && p.file.Tier != nil {
+		p.revisionCall.Errorf("", "revision() beside tier(): the tier's planners number its policies")
 	}
-	for _, c := range p.holds {
+	for _, c := range p.pinCalls {
 		c.RewindPositional()
 		c.CheckOneOf("level", c.PositionalString("level"), names)
 	}
 }
 
 // full is the whole ladder: the file's own, or the one that ships.
-func (p *parser) full() []levels.Level {
-	ladder := levels.Default(p.classes)
+func (p *parser) allLevels() []levels.Level {
+	ladder := levels.DefaultLadder(p.classes)
 	if len(p.ladder) == 0 {
 		return ladder
 	}
@@ -474,12 +474,12 @@
 }
 
 func (p *parser) finish() error {
-	if !p.enabled {
+	if !p.levelsEnabled {
 		return nil
 	}
-	cfg := p.cfg
-	cfg.Classes, cfg.Ladder, cfg.Pin, cfg.Cap = p.classes, p.full(), p.pins, p.caps
+	cfg := p.levelsConfig
+	cfg.Classes, cfg.Ladder, cfg.Pin, cfg.Cap = p.classes, p.allLevels(), p.pins, p.caps
 	cfg = cfg.WithDefaults()
 	p.file.Levels = &cfg
-	return cfg.Check()
+	return cfg.Validate()
 }
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -102,7 +102,7 @@
 	if p.fatalErr != nil {
 		return p.fatalErr
 	}
-	p.closeTrace(p.front.Trace(nil))
+	p.closeTrace(p.front.SetTrace(nil))
 	if p.consul != nil {
 		p.consul.Stop()
 	}
@@ -163,10 +163,10 @@
 // applyOperatorFile puts the operator's file into effect. It must be called on the loop.
 func (p *proxy) applyOperatorFile(file *operator.File) {
 	if p.tier == nil { // in a tier, only the tier's policy sets these
-		p.front.Reduce(file.Levels)
-		p.front.Handover(file.Handover)
-		p.front.Tune(file.Tuning)
-		p.front.Revise(file.Revision.Number)
+		p.front.ConfigureLevels(file.Levels)
+		p.front.SetHandover(file.Handover)
+		p.front.SetTuning(file.Tuning)
+		p.front.SetRevision(file.Revision.Number)
 		p.server.TellPolicy(file.Revision.TellClients)
 	}
 	p.server.Console(file.Console.Enabled)
@@ -185,7 +185,7 @@
 
 	loop      *net.Loop
 	clock     state.Clock
-	front     *state.Front
+	front     *state.Engine
 	server    *net.Server
 	discovery *net.Discovery
 
@@ -240,7 +240,7 @@
 	databases := &net.Databases{ConnectTimeout: s.ConnectTimeout}
 	var err error
 	p.front, err = state.New(state.Config{Logic: s.Config, Zones: s.Zones, IdleClose: s.IdleClose,
-		ConnectTimeout: s.ConnectTimeout, MaxLinks: links}, p.clock, databases)
+		ConnectTimeout: s.ConnectTimeout, MaxConnections: links}, p.clock, databases)
 	if err != nil {
 		return nil, err
 	}
@@ -276,7 +276,7 @@
 			slog.Warn("no talk with peers", "error", err)
 		} else {
 			p.peers = peers
-			p.front.Peers(peers)
+			p.front.SetPeerSender(peers)
 		}
 	}
 	p.discovery = net.NewDiscovery(p.loop, p.clock, p.front, cfg.Discovery, cfg.Known.Generation, s.Config.ListMaxDelay)
--- a/internal/run/stop.go
+++ b/internal/run/stop.go
@@ -14,7 +14,7 @@
 	slog.Info("stopping", "pending", p.front.Pending())
 	now := p.clock.Now()
 	p.answerDeadline, p.exitDeadline = now+p.maxRequestTime+answerMargin, now+p.maxRequestTime+exitMargin
-	p.front.EndBy(p.answerDeadline)
+	p.front.SetFinalDeadline(p.answerDeadline)
 	p.front.Deadlines.Clear(&p.readyTimer)
 	if p.acceptFD > 0 && p.canServe {
 		p.server.Leave()
@@ -29,7 +29,7 @@
 func (p *proxy) pollDrained() {
 	now := p.clock.Now()
 	if now >= p.answerDeadline {
-		p.front.EndAll()
+		p.front.EndAllRequests()
 	}
 	if p.drainComplete() || now >= p.exitDeadline {
 		// The poller may have accepted a connection and read a query that the loop has not seen yet. Running behind the poller ensures
@@ -50,4 +50,4 @@
 }
 
 // drainComplete closes the clients without outstanding answers, and reports whether none is left.
-func (p *proxy) drainComplete() bool { return p.server.Drained() && p.front.Owed() == 0 }
+func (p *proxy) drainComplete() bool { return p.server.Drained() && p.front.OutstandingAnswers() == 0 }
--- a/internal/run/tier.go
+++ b/internal/run/tier.go
@@ -15,9 +15,9 @@
 // joinTier makes the proxy follow its tier's policy. It is called before the loop runs, so that no request is accepted earlier. The levels,
 // handover, routing and classes of the files apply until the tier has a policy of its own.
 func (p *proxy) joinTier(own *operator.File, cfg settings.Config) {
-	p.front.Reduce(own.Levels)
-	p.front.Handover(own.Handover)
-	p.front.Tune(own.Tuning)
+	p.front.ConfigureLevels(own.Levels)
+	p.front.SetHandover(own.Handover)
+	p.front.SetTuning(own.Tuning)
 	p.server.TellPolicy(own.Tier.TellClients)
 	p.baseLog = slog.Default()
 	p.tier = net.JoinTier(p.loop, p.clock, p.front, net.TierConfig{Name: cmp.Or(own.Tier.Name, cfg.Name), Planners: own.Tier.Planners,
@@ -41,7 +41,7 @@
 		running := policy.LocalState{InUse: func(name string) bool {
 			for _, c := range p.front.Classes() {
 				if c.Name == name {
-					return c.Taken > 0
+					return c.Received > 0
 				}
 			}
 			return false
@@ -83,9 +83,9 @@
 	for _, k := range next.Classes {
 		p.maxRequestTime = min(max(p.maxRequestTime, k.Limit), maxRequestTimeLimit)
 	}
-	p.front.Reduce(next.Levels)
-	p.front.Handover(next.Handover)
-	p.front.Tune(next.Tuning)
+	p.front.ConfigureLevels(next.Levels)
+	p.front.SetHandover(next.Handover)
+	p.front.SetTuning(next.Tuning)
 }
 
 // LoadPolicy builds a tier's policy from an operator's file and the classes of a configuration.
--- a/internal/run/trace.go
+++ b/internal/run/trace.go
@@ -15,14 +15,14 @@
 func (p *proxy) prepareTrace(t *operator.Trace) (func(), error) {
 	var cfg trace.Config
 	if t != nil {
-		cfg = trace.Config{File: t.File, Sample: t.SampleRate, Most: t.MaxBytes}
+		cfg = trace.Config{File: t.File, Sample: t.SampleRate, MaxBytes: t.MaxBytes}
 	}
 	if p.traceFile != "" {
 		cfg.File = p.traceFile
 	}
 	if cfg.File == "" {
 		p.traceConfig = nil
-		return func() { go p.closeTrace(p.front.Trace(nil)) }, nil
+		return func() { go p.closeTrace(p.front.SetTrace(nil)) }, nil
 	}
 	if t != nil && t.SaltFile != "" {
 		salt, err := os.ReadFile(t.SaltFile)
@@ -46,8 +46,8 @@
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	p.traceConfig = &cfg
-	slog.Info("recording client requests", "file", cfg.File, "sample", w.Sample(), "most_bytes", w.Most())
-	return func() { go p.closeTrace(p.front.Trace(w)) }, nil
+	slog.Info("recording client requests", "file", cfg.File, "sample", w.Sample(), "most_bytes", w.MaxBytes())
+	return func() { go p.closeTrace(p.front.SetTrace(w)) }, nil
 }
 
 // closeTrace closes a trace. It waits for the disk, so it must not run on the loop.
@@ -56,5 +56,5 @@
 		return
 	}
 	err := w.Close()
-	slog.Info("trace closed", "records", w.Kept, "dropped", w.Dropped, "full", w.Full(), "error", err)
+	slog.Info("trace closed", "records", w.Recorded, "dropped", w.Dropped, "full", w.Full(), "error", err)
 }
