--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -57,7 +57,7 @@
 		`bad.star:1:7: fleet has no setting "gruops" (did you mean "groups"?)`,
 		`bad.star:2:9: demand is "much", a number`,
 		`bad.star:2:26: shape is int, one of steady(), sine()`,
-		`bad.star:2:37: length is 20, a length of time with its unit was expected`,
+		`bad.star:2:37: length is 20, a duration with a unit was expected`,
 		`bad.star:3:1: no fault "crush"`, `(did you mean "crash"?)`,
 		`bad.star:4:16: group is 9, a whole number from 0 to 2`,
 		`bad.star:5:1: no class "katalok" (did you mean "katalog"?)`,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's file: settings that the platform doesn't give, in Starlark, as one typed and
-// checked value. A file is read against the deployment's classes, so that a name that doesn't exist is found at once.
-// It does no more than read: who puts the value into effect is package run.
+// Package operator reads the operator's file, which holds the settings that the platform does not provide, as Starlark. It returns one typed
+// and validated value. A file is checked against the deployment's classes, so that unknown names are reported at once. The package only
+// reads; package run puts the settings into effect.
 //
 //	console(enabled = True)
 //	levels(enabled = True, dwell = "5s")
@@ -27,79 +27,80 @@
 	"havenproxy/logic"
 )
 
-// File is the operator's file. Its zero value is what holds without one.
+// File holds the settings of an operator's file. Its zero value applies if there is no file.
 type File struct {
 	Console Console
-	// Levels of reduced service; nil = off.
+	// Levels configures the levels of reduced service; nil = off.
 	Levels *levels.Config
 	MySQL  *MySQL // nil = off
-	// Handover says what is held while a group has no primary; the zero value holds nothing.
+	// Handover determines which requests are held while a group has no primary; the zero value holds none.
 	Handover handover.Config
-	// Tuning is what is routed otherwise than by default.
+	// Tuning overrides routing defaults.
 	Tuning logic.Tuning
-	Trace  *Trace  // nil = none is kept
-	Consul *Consul // nil = none is watched
-	Tier   *Tier   // nil = the proxy goes by its own files
-	// Revision is the number that the operator gives this file, where no tier numbers policies.
+	Trace  *Trace  // nil = no trace is recorded
+	Consul *Consul // nil = Consul is not used
+	Tier   *Tier   // nil = the proxy's policy comes from its own files
+	// Revision is the number that the operator gives the file. It is not allowed beside Tier, whose planners number the policies.
 	Revision Revision
-	// Members says how catalogues are merged, where there are several.
+	// Members configures how several catalogues are merged.
 	Members membership.Config
 }
 
-// Tier is one policy for all proxies, kept by planners.
+// Tier configures a tier: proxies with one common policy that planners keep.
 type Tier struct {
-	Name        string // of this proxy; empty = as in the configuration
+	Name        string // this proxy's name; empty = as in the configuration
 	Planners    []string
 	Rollout     rollout.Config
-	TellClients bool // answers tell clients the policy's number
-	// ChecksPerSecond is how many health checks a second this proxy may send, and ReportBytesPerSecond how many bytes for reports on them: where it would
-	// need more, the tier's proxies check on behalf of one another. 0 = there is no budget, and each proxy checks all.
+	TellClients bool // send the policy's number to clients in answers
+	// ChecksPerSecond limits the health checks that this proxy sends, and ReportBytesPerSecond the bytes of its reports about them. If
+	// checking every database would exceed the limit, the proxies of the tier share the checks. ChecksPerSecond 0 = no limit, and each
+	// proxy checks every database.
 	ChecksPerSecond, ReportBytesPerSecond float64
 }
 
-// Revision tells which file a proxy runs.
+// Revision identifies the file that a proxy runs with.
 type Revision struct {
-	Number      uint64 // 0 = none was given
-	TellClients bool   // answers tell clients
+	Number      uint64 // 0 = not set
+	TellClients bool   // send the number to clients in answers
 }
 
-// Consul is a catalogue beside the platform's list, or in its place.
+// Consul configures a Consul catalogue that complements or replaces the platform's list.
 type Consul struct {
 	Agents                    []string       // base URLs
-	Services                  map[string]int // with the group of each, where its instances don't tell
+	Services                  map[string]int // group by service name, for instances that do not declare one
 	TokenFile                 string
 	Datacenters               []string
 	Filter                    string
 	Consistency               consul.Consistency
 	WaitTime                  time.Duration
 	CAFile, CertFile, KeyFile string
-	Exclusive                 bool // the platform's list has no word
+	Exclusive                 bool // the platform's list is ignored
 	Mapping                   consul.Mapping
 }
 
-// Trace is a file of what clients ask.
+// Trace configures the recording of client requests.
 type Trace struct {
 	File       string
 	SampleRate float64
-	MaxBytes   int64  // bytes
-	SaltFile   string // that holds the secret of the hashes; empty = a new one at each start
+	MaxBytes   int64
+	SaltFile   string // file with the salt of the hashes; empty = a random salt at each start
 }
 
-// MySQL is a second front, for clients and databases that speak MySQL.
+// MySQL configures a second listener for clients, and connections to databases, that use the MySQL protocol.
 type MySQL struct {
 	Listen       string
-	Groups       map[int]bool      // whose databases speak MySQL; nil = all
-	Users        map[string]string // clients' users with their passwords' hashes; none = anyone, without a password
-	ServerUser   string            // by which databases are entered
-	PasswordFile string            // that holds this user's password; empty = it has none
+	Groups       map[int]bool      // groups whose databases use the MySQL protocol; nil = all
+	Users        map[string]string // password hashes by user name; empty = any user without a password
+	ServerUser   string            // user name for connections to databases
+	PasswordFile string            // file with the password of ServerUser; empty = no password
 }
 
-// Console is the administrators' console.
+// Console configures the administrators' console.
 type Console struct {
-	Enabled bool // for clients on loopback that connect to the database "havenproxy"
+	Enabled bool // for clients on loopback addresses that connect to the database "havenproxy"
 }
 
-// Read reads a file for a deployment with these classes. The error names all that is wrong, a line each.
+// Read reads an operator's file for a deployment with the given classes. The error lists all problems, one per line.
 func Read(path string, classes []levels.Class) (*File, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -108,7 +109,7 @@
 	return Parse(path, src, classes)
 }
 
-// Parse reads a file's text.
+// Parse parses the text of an operator's file, like Read. name is the file's name in errors.
 func Parse(name string, src []byte, classes []levels.Class) (*File, error) {
 	p := &parser{classes: classes, pins: map[logic.GroupID]string{}, caps: map[logic.GroupID]string{}}
 	for _, c := range classes {
@@ -124,6 +125,7 @@
 	return &p.file, p.finish()
 }
 
+// parser collects the settings while a file is executed.
 type parser struct {
 	file           File
 	classes        []levels.Class
@@ -135,16 +137,17 @@
 	levelsConfig   levels.Config
 	ladder         []levels.Level
 	pins, caps     map[logic.GroupID]string
-	pinCalls       []*star.Call
-	revisionCall   *star.Call
+	pinCalls       []*star.Call // the calls of pin and cap that name a level
+	revisionCall   *star.Call   // nil = revision was not called
 }
 
+// console implements console(), which enables the administrators' console.
 func (p *parser) console(c *star.Call) starlark.Value {
 	p.file.Console.Enabled = c.Bool("enabled", true)
 	return nil
 }
 
-// routing reads what is routed otherwise than by default.
+// routing implements routing(), which overrides routing defaults.
 func (p *parser) routing(c *star.Call) starlark.Value {
 	if p.routingCalled {
 		c.Errorf("", "routing() is called a second time")
@@ -155,7 +158,7 @@
 	return nil
 }
 
-// revision reads the file's number.
+// revision implements revision(), which sets the file's number.
 func (p *parser) revision(c *star.Call) starlark.Value {
 	if p.file.Revision.Number > 0 {
 		c.Errorf("", "revision() is called a second time")
@@ -167,15 +170,15 @@
 	return nil
 }
 
-// tier reads who the planners are.
+// tier implements tier(), which names the planners and configures the tier.
 func (p *parser) tier(c *star.Call) starlark.Value {
 	if p.file.Tier != nil {
 		c.Errorf("", "tier() is called a second time")
 	}
-	t := &Tier{Name: c.String("name", ""), TellClients: c.Bool("tell_clients", false)}
-	t.ChecksPerSecond, t.ReportBytesPerSecond = c.Float("checks", 0, 0, 1000), c.Float("report_bytes", 1600, 200, 1e6)
-	if c.Has("report_bytes") && t.ChecksPerSecond == 0 {
-		c.Errorf("report_bytes", "report_bytes goes with checks: without a budget of checks nothing is reported")
+	config := &Tier{Name: c.String("name", ""), TellClients: c.Bool("tell_clients", false)}
+	config.ChecksPerSecond, config.ReportBytesPerSecond = c.Float("checks", 0, 0, 1000), c.Float("report_bytes", 1600, 200, 1e6)
+	if c.Has("report_bytes") && config.ChecksPerSecond == 0 {
+		c.Errorf("report_bytes", "report_bytes requires checks: without a limit on checks nothing is reported")
 	}
 	c.List("planners", func(v starlark.Value) {
 		address, ok := starlark.AsString(v)
@@ -183,65 +186,65 @@
 			c.Errorf("planners", "planners holds %s, addresses such as \"10.0.0.21:7400\" were expected", v)
 			return
 		}
-		t.Planners = append(t.Planners, address)
+		config.Planners = append(config.Planners, address)
 	})
-	if len(t.Planners) == 0 {
+	if len(config.Planners) == 0 {
 		c.Errorf("planners", "no planners are named")
 	}
 	switch c.Choice("cut_off", "stop", "stop", "go on") {
 	case "stop":
-		t.Rollout.Lease = c.Duration("lease", 2*time.Second, 200*time.Millisecond, time.Minute)
+		config.Rollout.Lease = c.Duration("lease", 2*time.Second, 200*time.Millisecond, time.Minute)
 	case "go on":
 		if c.Has("lease") {
-			c.Errorf("lease", "lease goes with cut_off = \"stop\": without leases a proxy that is cut off goes on")
+			c.Errorf("lease", "lease requires cut_off = \"stop\": without leases a proxy that is cut off keeps serving")
 		}
 	}
-	p.file.Tier = t
+	p.file.Tier = config
 	return nil
 }
 
-// trace reads what is kept of what clients ask.
+// trace implements trace(), which configures the recording of client requests.
 func (p *parser) trace(c *star.Call) starlark.Value {
 	if p.file.Trace != nil {
 		c.Errorf("", "trace() is called a second time")
 	}
-	t := &Trace{File: c.String("file", ""), SampleRate: c.Float("sample", 1, 1e-6, 1), SaltFile: c.String("salt_file", "")}
-	t.MaxBytes = int64(c.Int("most_mb", 64, 1, 1<<20)) << 20
-	if t.File == "" {
+	config := &Trace{File: c.String("file", ""), SampleRate: c.Float("sample", 1, 1e-6, 1), SaltFile: c.String("salt_file", "")}
+	config.MaxBytes = int64(c.Int("most_mb", 64, 1, 1<<20)) << 20
+	if config.File == "" {
 		c.Errorf("file", "trace: file is missing, a file's name was expected")
 	}
-	p.file.Trace = t
+	p.file.Trace = config
 	return nil
 }
 
-// consul reads what is watched in Consul.
+// consul implements consul(), which configures the Consul catalogue.
 func (p *parser) consul(c *star.Call) starlark.Value {
 	if p.file.Consul != nil {
 		c.Errorf("", "consul() is called a second time")
 	}
-	k := &Consul{Services: map[string]int{}, TokenFile: c.String("token_file", ""), Filter: c.String("filter", ""),
+	config := &Consul{Services: map[string]int{}, TokenFile: c.String("token_file", ""), Filter: c.String("filter", ""),
 		WaitTime: c.Duration("wait", 30*time.Second, 100*time.Millisecond, 10*time.Minute),
 		CAFile:   c.String("ca_file", ""), CertFile: c.String("cert_file", ""), KeyFile: c.String("key_file", ""), Exclusive: c.Bool("alone", false),
 		Mapping: consul.Mapping{GroupIn: c.String("group_in", ""), ZoneIn: c.String("zone_in", ""), RoleIn: c.String("role_in", ""), StartIn: c.String("started_in", "")}}
-	k.Consistency = consul.Consistency(c.Choice("mode", "default", "default", "stale", "consistent"))
-	if k.Consistency == "default" {
-		k.Consistency = consul.Default
+	config.Consistency = consul.Consistency(c.Choice("mode", "default", "default", "stale", "consistent"))
+	if config.Consistency == "default" {
+		config.Consistency = consul.Default
 	}
-	words := func(arg string) (out []string) {
+	readStrings := func(arg string) (list []string) {
 		c.List(arg, func(v starlark.Value) {
 			s, ok := starlark.AsString(v)
 			if !ok || s == "" {
 				c.Errorf(arg, "%s holds %s, strings were expected", arg, v)
 			}
-			out = append(out, s)
+			list = append(list, s)
 		})
-		return out
+		return list
 	}
-	k.Datacenters = words("datacenters")
-	if k.Agents = words("agents"); len(k.Agents) == 0 {
+	config.Datacenters = readStrings("datacenters")
+	if config.Agents = readStrings("agents"); len(config.Agents) == 0 {
 		c.Errorf("agents", "consul: agents is missing, a list such as [\"http://127.0.0.1:8500\"] was expected")
 	}
-	for _, a := range k.Agents {
+	for _, a := range config.Agents {
 		u, err := url.Parse(a)
 		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" || u.User != nil {
 			c.Errorf("agents", "agents holds %q, a URL such as \"http://127.0.0.1:8500\" was expected, without a user", a)
@@ -252,122 +255,124 @@
 		if err != nil || n < 0 {
 			c.Errorf("services", "services: %q has the group %s, a number was expected", name, v)
 		}
-		k.Services[name] = n
+		config.Services[name] = n
 	})
-	if len(k.Services) == 0 {
+	if len(config.Services) == 0 {
 		c.Errorf("services", "consul: services is missing, a table {name: group} was expected")
 	}
-	if (k.CertFile == "") != (k.KeyFile == "") {
-		c.Errorf("cert_file", "cert_file and key_file go together")
+	if (config.CertFile == "") != (config.KeyFile == "") {
+		c.Errorf("cert_file", "cert_file and key_file must be given together")
 	}
-	p.file.Consul = k
+	p.file.Consul = config
 	return nil
 }
 
-// members reads how catalogues are merged.
+// members implements members(), which configures how catalogues are merged.
 func (p *parser) members(c *star.Call) starlark.Value {
-	m, minute := &p.file.Members, time.Minute
-	m.AliveTimeout = c.Duration("answers", 0, 100*time.Millisecond, minute)
-	m.UnlistedTimeout = c.Duration("lost", 0, 100*time.Millisecond, 60*minute)
-	m.AliveUnlistedTimeout = c.Duration("keep", 0, time.Second, 24*60*minute)
-	m.CriticalTimeout = c.Duration("failing", 0, time.Second, 24*60*minute)
-	m.RenameTimeout = c.Duration("same", 0, 10*time.Millisecond, 10*time.Second)
-	m.PanicFraction = c.Float("panic", 0, 0.01, 1)
-	m.PanicDuration = c.Duration("panic_for", 0, time.Second, 60*minute)
-	m.PanicMinMembers = c.Int("panic_least", 0, 1, 1<<16)
-	m.FlapPenalty = c.Float("flap", 0, 1, 1e6)
-	m.SuppressThreshold = c.Float("suppress", 0, 1, 1e6)
-	m.ReuseThreshold = c.Float("reuse", 0, 1, 1e6)
-	m.PenaltyHalfLife = c.Duration("half", 0, time.Second, 60*minute)
-	m.WeightHalfLife = c.Duration("decay", 0, time.Second, 24*60*minute)
-	if d := m.WithDefaults(); d.Check() != nil {
+	config, minute := &p.file.Members, time.Minute
+	config.AliveTimeout = c.Duration("answers", 0, 100*time.Millisecond, minute)
+	config.UnlistedTimeout = c.Duration("lost", 0, 100*time.Millisecond, 60*minute)
+	config.AliveUnlistedTimeout = c.Duration("keep", 0, time.Second, 24*60*minute)
+	config.CriticalTimeout = c.Duration("failing", 0, time.Second, 24*60*minute)
+	config.RenameTimeout = c.Duration("same", 0, 10*time.Millisecond, 10*time.Second)
+	config.PanicFraction = c.Float("panic", 0, 0.01, 1)
+	config.PanicDuration = c.Duration("panic_for", 0, time.Second, 60*minute)
+	config.PanicMinMembers = c.Int("panic_least", 0, 1, 1<<16)
+	config.FlapPenalty = c.Float("flap", 0, 1, 1e6)
+	config.SuppressThreshold = c.Float("suppress", 0, 1, 1e6)
+	config.ReuseThreshold = c.Float("reuse", 0, 1, 1e6)
+	config.PenaltyHalfLife = c.Duration("half", 0, time.Second, 60*minute)
+	config.WeightHalfLife = c.Duration("decay", 0, time.Second, 24*60*minute)
+	if d := config.WithDefaults(); d.Check() != nil {
 		c.Errorf("", "%v", d.Check())
 	}
 	return nil
 }
 
-// handover reads what is held while a group has no primary.
+// handover implements handover(), which configures what is held while a group has no primary.
 func (p *parser) handover(c *star.Call) starlark.Value {
 	if p.handoverCalled {
 		c.Errorf("", "handover() is called a second time")
 	}
 	p.handoverCalled = true
 	minute := time.Minute
-	h := handover.Config{Hold: c.Bool("hold", true)}
-	h.Likely = c.Float("likely", 0, 0.01, 1)
-	h.Keep = c.Float("keep", 0, 0.01, 1)
-	h.LateCost = c.Float("late_cost", 0, 0.001, 1)
-	h.MostHeld = c.Int("most_held", 0, 1, 1<<16)
-	h.MostBytes = c.Int("most_bytes", 0, 1<<10, 1<<30)
-	h.MostTime = c.Duration("most_time", 0, 10*time.Millisecond, minute)
-	h.Drain.From = c.Duration("drain_from", 450*time.Millisecond, 0, minute)
-	h.Drain.To = c.Duration("drain_to", 800*time.Millisecond, time.Millisecond, minute)
-	h.Death.From = c.Duration("death_from", 2*time.Second, 0, 10*minute)
-	h.Death.To = c.Duration("death_to", 7*time.Second, time.Millisecond, 10*minute)
-	h.Fade = c.Duration("fade", 0, time.Second, 24*60*minute)
-	h.Blip = c.Duration("blip", 0, 10*time.Millisecond, minute)
-	h.Settle = c.Duration("settle", 0, 10*time.Millisecond, minute)
-	h.Search = c.Duration("search", 0, 5*time.Millisecond, 10*time.Second)
-	h.Margin = c.Duration("margin", 0, time.Millisecond, 10*time.Second)
-	h = h.WithDefaults()
-	if err := h.Validate(); err != nil {
+	config := handover.Config{Hold: c.Bool("hold", true)}
+	config.Likely = c.Float("likely", 0, 0.01, 1)
+	config.Keep = c.Float("keep", 0, 0.01, 1)
+	config.LateCost = c.Float("late_cost", 0, 0.001, 1)
+	config.MostHeld = c.Int("most_held", 0, 1, 1<<16)
+	config.MostBytes = c.Int("most_bytes", 0, 1<<10, 1<<30)
+	config.MostTime = c.Duration("most_time", 0, 10*time.Millisecond, minute)
+	config.Drain.From = c.Duration("drain_from", 450*time.Millisecond, 0, minute)
+	config.Drain.To = c.Duration("drain_to", 800*time.Millisecond, time.Millisecond, minute)
+	config.Death.From = c.Duration("death_from", 2*time.Second, 0, 10*minute)
+	config.Death.To = c.Duration("death_to", 7*time.Second, time.Millisecond, 10*minute)
+	config.Fade = c.Duration("fade", 0, time.Second, 24*60*minute)
+	config.Blip = c.Duration("blip", 0, 10*time.Millisecond, minute)
+	config.Settle = c.Duration("settle", 0, 10*time.Millisecond, minute)
+	config.Search = c.Duration("search", 0, 5*time.Millisecond, 10*time.Second)
+	config.Margin = c.Duration("margin", 0, time.Millisecond, 10*time.Second)
+	config = config.WithDefaults()
+	if err := config.Validate(); err != nil {
 		c.Errorf("", "%v", err)
 	}
-	p.file.Handover = h
+	p.file.Handover = config
 	return nil
 }
 
+// mysql implements mysql(), which configures the MySQL listener.
 func (p *parser) mysql(c *star.Call) starlark.Value {
 	if p.file.MySQL != nil {
 		c.Errorf("", "mysql() is called a second time")
 	}
-	m := &MySQL{Listen: c.String("listen", ""), ServerUser: c.String("server_user", "client"), PasswordFile: c.String("server_password_file", "")}
-	if _, port, err := net.SplitHostPort(m.Listen); err != nil || port == "" {
-		c.Errorf("listen", "listen is %q, an address with its port was expected, such as \"127.0.0.1:3306\"", m.Listen)
+	config := &MySQL{Listen: c.String("listen", ""), ServerUser: c.String("server_user", "client"), PasswordFile: c.String("server_password_file", "")}
+	if _, port, err := net.SplitHostPort(config.Listen); err != nil || port == "" {
+		c.Errorf("listen", "listen is %q, an address with its port was expected, such as \"127.0.0.1:3306\"", config.Listen)
 	}
 	c.List("groups", func(v starlark.Value) {
 		n, err := starlark.AsInt32(v)
 		if err != nil || n < 0 {
 			c.Errorf("groups", "groups holds %s, the numbers of groups were expected", v)
 		}
-		if m.Groups == nil {
-			m.Groups = map[int]bool{}
+		if config.Groups == nil {
+			config.Groups = map[int]bool{}
 		}
-		m.Groups[n] = true
+		config.Groups[n] = true
 	})
 	c.Dict("users", func(name string, v starlark.Value) {
 		hash, ok := starlark.AsString(v)
-		if !ok { // never shown: it may be a password all the same
-			c.Errorf("users", "users: the secret of %q is %s, a hash as a string was expected", name, v.Type())
+		if !ok { // not included in the error: it may be a plaintext password
+			c.Errorf("users", "users: the secret of %q is %s, a string with a hash was expected", name, v.Type())
 		}
-		if m.Users == nil {
-			m.Users = map[string]string{}
+		if config.Users == nil {
+			config.Users = map[string]string{}
 		}
-		m.Users[name] = hash
+		config.Users[name] = hash
 	})
-	p.file.MySQL = m
+	p.file.MySQL = config
 	return nil
 }
 
+// levels implements levels(), which enables and configures levels of reduced service.
 func (p *parser) levels(c *star.Call) starlark.Value {
 	if p.levelsCalled {
 		c.Errorf("", "levels() is called a second time")
 	}
 	p.levelsCalled, p.levelsEnabled = true, c.Bool("enabled", true)
-	g, minute := &p.levelsConfig, time.Minute
-	g.Enter = c.Float("enter", 0, 0.001, 1)
-	g.EnterAfter = c.Duration("enter_after", 0, 100*time.Millisecond, minute)
-	g.Leave = c.Float("leave", 0, 0.001, 1)
-	g.Fill = c.Float("fill", 0, 0.1, 10)
-	g.Margin = c.Float("margin", 0, 0.1, 1)
-	g.Dwell = c.Duration("dwell", 0, time.Second, 10*minute)
-	g.DwellMost = c.Duration("dwell_most", 0, time.Second, 60*minute)
-	g.Quick = c.Duration("quick_return", 0, time.Second, 60*minute)
-	g.Calm = c.Duration("calm", 0, time.Second, 60*minute)
-	g.Settle = c.Duration("settle", 0, 100*time.Millisecond, minute)
-	g.Blind = c.Duration("blind", 0, time.Second, 10*minute)
-	g.Fall = c.Int("changes_a_minute", 0, 1, 60)
-	if d := g.WithDefaults(); d.Leave >= d.Enter {
+	config, minute := &p.levelsConfig, time.Minute
+	config.Enter = c.Float("enter", 0, 0.001, 1)
+	config.EnterAfter = c.Duration("enter_after", 0, 100*time.Millisecond, minute)
+	config.Leave = c.Float("leave", 0, 0.001, 1)
+	config.Fill = c.Float("fill", 0, 0.1, 10)
+	config.Margin = c.Float("margin", 0, 0.1, 1)
+	config.Dwell = c.Duration("dwell", 0, time.Second, 10*minute)
+	config.DwellMost = c.Duration("dwell_most", 0, time.Second, 60*minute)
+	config.Quick = c.Duration("quick_return", 0, time.Second, 60*minute)
+	config.Calm = c.Duration("calm", 0, time.Second, 60*minute)
+	config.Settle = c.Duration("settle", 0, 100*time.Millisecond, minute)
+	config.Blind = c.Duration("blind", 0, time.Second, 10*minute)
+	config.Fall = c.Int("changes_a_minute", 0, 1, 60)
+	if d := config.WithDefaults(); d.Leave >= d.Enter {
 		c.Errorf("leave", "leave is %v, it must be below enter, which is %v", d.Leave, d.Enter)
 	} else if d.DwellMost < d.Dwell {
 		c.Errorf("dwell_most", "dwell_most is %v, it must not be below dwell, which is %v", d.DwellMost, d.Dwell)
@@ -375,12 +380,12 @@
 	return nil
 }
 
-// level adds one to the ladder: what it doesn't say of a class is as at the level below.
+// level implements level(), which adds a level to the ladder. Rules of classes that it does not mention are those of the level below.
 func (p *parser) level(c *star.Call) starlark.Value {
 	name := c.PositionalString("name")
 	for _, l := range p.ladder {
 		if l.Name == name && name != "" {
-			c.Errorf("", "level %q is there twice", name)
+			c.Errorf("", "level %q is defined twice", name)
 		}
 	}
 	if name == "normal" {
@@ -432,24 +437,25 @@
 	return nil
 }
 
-// hold notes a pin or a cap.
-func (p *parser) pinOrCap(c *star.Call, in map[logic.GroupID]string) starlark.Value {
+// pinOrCap implements pin() and cap(), which record a level for one group or for all.
+func (p *parser) pinOrCap(c *star.Call, levelByGroup map[logic.GroupID]string) starlark.Value {
 	name := c.PositionalString("level")
 	group := levels.AllGroups
 	if c.Has("group") {
 		group = logic.GroupID(c.Int("group", 0, 0, math.MaxInt32))
 	}
-	if _, twice := in[group]; twice {
+	if _, exists := levelByGroup[group]; exists {
 		c.Errorf("", "%s() is called twice for the same group", c.Function)
 	}
-	in[group] = name
+	levelByGroup[group] = name
 	if name != "" {
 		p.pinCalls = append(p.pinCalls, c)
 	}
 	return nil
 }
 
-// names checks the levels that pins and caps name; they may be described further down.
+// checkAcrossCalls runs after the file. It checks the levels that pins and caps name, since these may be defined further down, and that
+// revision() is not combined with tier().
 func (p *parser) checkAcrossCalls() {
 	var names []string
 	for _, l := range p.allLevels() {
@@ -464,7 +470,7 @@
 	}
 }
 
-// full is the whole ladder: the file's own, or the one that ships.
+// allLevels returns the whole ladder: level normal and those of the file, or the default ladder if the file defines none.
 func (p *parser) allLevels() []levels.Level {
 	ladder := levels.DefaultLadder(p.classes)
 	if len(p.ladder) == 0 {
@@ -473,13 +479,14 @@
 	return append(ladder[:1:1], p.ladder...)
 }
 
+// finish completes and checks the settings of the levels, if they are enabled.
 func (p *parser) finish() error {
 	if !p.levelsEnabled {
 		return nil
 	}
-	cfg := p.levelsConfig
-	cfg.Classes, cfg.Ladder, cfg.Pin, cfg.Cap = p.classes, p.allLevels(), p.pins, p.caps
-	cfg = cfg.WithDefaults()
-	p.file.Levels = &cfg
-	return cfg.Validate()
+	config := p.levelsConfig
+	config.Classes, config.Ladder, config.Pin, config.Cap = p.classes, p.allLevels(), p.pins, p.caps
+	config = config.WithDefaults()
+	p.file.Levels = &config
+	return config.Validate()
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -13,7 +13,7 @@
 var classes = []levels.Class{{Name: "stok-bakis", Worth: 3}, {Name: "kendi-siparis", Worth: 1}, {Name: "katalog", Worth: 1},
 	{Name: "yukleme-kontrol", Worth: 3}, {Name: "kayit-yaz", Worth: 3, Heavy: true}}
 
-func TestTheFileThatShips(t *testing.T) {
+func TestShippedFile(t *testing.T) {
 	f, err := Read("../../deploy/operator.star", classes)
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestAnEmptyFileIsLikeNone(t *testing.T) {
+func TestEmptyFileGivesDefaults(t *testing.T) {
 	f, err := Parse("empty.star", []byte("# nothing\n"), classes)
 	if err != nil || f.Levels != nil || f.Console.Enabled {
 		t.Errorf("%+v, %v", f, err)
@@ -49,12 +49,12 @@
 		t.Errorf("%+v", l)
 	}
 	if _, ok := l.Pin[logic.GroupID(1)]; ok {
-		t.Error("a pin that nobody set")
+		t.Error("a pin that was not set")
 	}
 }
 
-// All errors of a file at once, each at its place, with the nearest known word.
-func TestErrorsAreToldAllAtOnce(t *testing.T) {
+// All errors of a file must be reported at once, each with its position and the nearest known name.
+func TestAllErrorsAreReportedAtOnce(t *testing.T) {
 	_, err := Parse("bad.star", []byte(`levels(dwel = "5s", enter = 2)
 level("lean", admit = {"katalok": 0.5})
 level("spare", admit = {"katalog": "half"})
@@ -70,8 +70,8 @@
 		`bad.star:1:21: enter is 2, a number from 0.001 to 1 was expected`,
 		`bad.star:2:15: admit: no class "katalok" (did you mean "katalog"?)`,
 		`bad.star:3:16: admit is "half", a number from 0 to 1 was expected`,
-		`bad.star:4:1: level "spare" is there twice`,
-		`bad.star:5:15: come_back is "soon", a length of time with its unit was expected`,
+		`bad.star:4:1: level "spare" is defined twice`,
+		`bad.star:5:15: come_back is "soon", a duration with a unit was expected`,
 		`bad.star:6:1: level is "leen", one of normal, lean, spare, spare, more was expected (did you mean "lean"?)`,
 	} {
 		if !strings.Contains(err.Error(), want) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// A file can neither run on, nor call itself, nor reach for others.
-func TestWhatAFileMayCost(t *testing.T) {
+// Execution of a file must be bounded: no endless loops, recursion, large values, or access to other files. Invalid files are rejected.
+func TestInvalidFilesAreRejected(t *testing.T) {
 	for name, want := range map[string]struct{ text, err string }{
 		"endless":      {"def f():\n    for i in range(1000000000):\n        x = i\nf()\n", "too many steps"},
 		"recursion":    {"def f():\n    f()\nf()\n", "called recursively"},
@@ -105,7 +105,7 @@
 	}
 }
 
-// The settings of switches, their defaults and their bounds.
+// handover() must apply its defaults and check the ranges of its settings, as must trace() and routing().
 func TestHandoverSettings(t *testing.T) {
 	f, err := Parse("x.star", []byte("handover(likely = 0.7, drain_to = '1s', most_held = 20, margin_ms = 250)\n"), classes)
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestAMissingFile(t *testing.T) {
+func TestMissingFile(t *testing.T) {
 	if _, err := Read("no/such/file.star", classes); !os.IsNotExist(err) {
 		t.Error(err)
 	}
@@ -151,7 +151,7 @@
 	}
 }
 
-// Consul's settings and the merging's, their defaults and what is refused.
+// consul() and members() must apply their defaults and reject invalid settings.
 func TestConsulSettings(t *testing.T) {
 	f, err := Parse("x.star", []byte(`consul(agents = ["https://c:8501"], services = {"db": 2}, mode = "stale", datacenters = ["a", "b"], alone = True, zone_in = "hall")
 members(panic = 0.3, lost = "4s", keep = "1m")
@@ -171,7 +171,7 @@
 		`consul(agents = ["http://u:p@a:1"], services = {"db": 0})`:              "without a user",
 		`consul(agents = ["http://a:1"], services = {"db": -1})`:                 "a number was expected",
 		`consul(agents = ["http://a:1"], services = {"db": 0}, mode = "fresh")`:  "one of default, stale, consistent",
-		`consul(agents = ["http://a:1"], services = {"db": 0}, cert_file = "x")`: "go together",
+		`consul(agents = ["http://a:1"], services = {"db": 0}, cert_file = "x")`: "must be given together",
 		`members(suppress = 10, reuse = 20)`:                                     "each must be below the next",
 		`members(lost = "10m", keep = "1m")`:                                     "keep is 1m0s",
 	} {
@@ -181,8 +181,8 @@
 	}
 }
 
-// A file has a number of its own only where no tier gives numbers.
-func TestAFileHasANumber(t *testing.T) {
+// revision() must set the number of the file, and must be rejected beside tier(), whose planners number the policies.
+func TestRevision(t *testing.T) {
 	f, err := Parse("x.star", []byte("revision(number = 7, tell_clients = True)"), classes)
 	if err != nil || f.Revision != (Revision{7, true}) {
 		t.Errorf("%+v, %v", f.Revision, err)
@@ -200,8 +200,8 @@
 	}
 }
 
-// Health checks are shared only where the file sets a budget for them.
-func TestATierMayHaveABudgetOfChecks(t *testing.T) {
+// Health checks are shared only if the file limits them.
+func TestTierCheckLimits(t *testing.T) {
 	for text, want := range map[string][2]float64{
 		`tier(planners = ["10.0.0.1:7400"])`:                                   {0, 1600},
 		`tier(planners = ["10.0.0.1:7400"], checks = 10, report_bytes = 2000)`: {10, 2000},
@@ -212,7 +212,7 @@
 		}
 	}
 	for text, want := range map[string]string{
-		`tier(planners = ["10.0.0.1:7400"], report_bytes = 2000)`: "goes with checks",
+		`tier(planners = ["10.0.0.1:7400"], report_bytes = 2000)`: "requires checks",
 		`tier(planners = ["10.0.0.1:7400"], checks = -1)`:         "checks",
 	} {
 		if _, err := Parse("x.star", []byte(text), classes); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/operator/star/star.go
+++ b/internal/operator/star/star.go
@@ -50,50 +50,53 @@
 // Func implements a function that files can call. Its result is the value of the call in the file; nil stands for None.
 type Func func(*Call) starlark.Value
 
+// file is the state of the evaluation of one file.
 type file struct {
-	calls map[place]*syntax.CallExpr
-	errs  Errors
+	calls  map[position]*syntax.CallExpr
+	errors Errors
 }
 
-type place struct{ line, col int32 }
+// position identifies a call by its opening parenthesis.
+type position struct{ line, col int32 }
 
+// options are the Starlark dialect of the files: sets and top-level control flow are allowed, reassigning globals is not.
 var options = &syntax.FileOptions{Set: true, TopLevelControl: true, GlobalReassign: false}
 
-// Exec evaluates the file src, which may call the functions in words by their names; name is the file's name in errors.
+// Exec evaluates the file src, which may call the given functions by their names; name is the file's name in errors.
 // If finish isn't nil, it runs after a file that was evaluated to its end, for checks that span several calls. An error
 // that Exec returns is of type Errors.
-func Exec(name string, src []byte, words map[string]Func, finish func()) error {
+func Exec(name string, src []byte, functions map[string]Func, finish func()) error {
 	if len(src) > MaxSize {
 		return Errors{{syntax.MakePosition(&name, 1, 1), fmt.Sprintf("%d bytes, %d at most", len(src), MaxSize)}}
 	}
-	f := &file{calls: map[place]*syntax.CallExpr{}}
+	f := &file{calls: map[position]*syntax.CallExpr{}}
 	tree, err := options.Parse(name, src, 0)
 	if err != nil {
 		return f.fail(name, err)
 	}
 	syntax.Walk(tree, func(n syntax.Node) bool {
 		if c, ok := n.(*syntax.CallExpr); ok {
-			f.calls[place{c.Lparen.Line, c.Lparen.Col}] = c
+			f.calls[position{c.Lparen.Line, c.Lparen.Col}] = c
 		}
 		return true
 	})
-	known := starlark.StringDict{}
-	for word, do := range words {
-		known[word] = starlark.NewBuiltin(word, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-			c := f.call(t, word, args, kwargs)
-			out := do(c)
-			c.unknown()
-			if out == nil {
-				out = starlark.None
+	builtins := starlark.StringDict{}
+	for function, implementation := range functions {
+		builtins[function] = starlark.NewBuiltin(function, func(t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+			c := f.call(t, function, args, kwargs)
+			result := implementation(c)
+			c.reportUnread()
+			if result == nil {
+				result = starlark.None
 			}
-			return out, nil
+			return result, nil
 		})
 	}
 	thread := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(MaxSteps)
-	program, err := starlark.FileProgram(tree, known.Has)
+	program, err := starlark.FileProgram(tree, builtins.Has)
 	if err == nil {
-		_, err = program.Init(thread, known)
+		_, err = program.Init(thread, builtins)
 	}
 	if err != nil {
 		return f.fail(name, err)
@@ -101,11 +104,11 @@
 	if finish != nil {
 		finish()
 	}
-	if len(f.errs) > 0 {
-		slices.SortStableFunc(f.errs, func(a, b Error) int {
+	if len(f.errors) > 0 {
+		slices.SortStableFunc(f.errors, func(a, b Error) int {
 			return cmp.Or(cmp.Compare(a.Pos.Line, b.Pos.Line), cmp.Compare(a.Pos.Col, b.Pos.Col))
 		})
-		return f.errs
+		return f.errors
 	}
 	return nil
 }
@@ -117,42 +120,43 @@
 	var eval *starlark.EvalError
 	switch {
 	case errors.As(err, &syn):
-		f.errs = append(f.errs, Error{syn.Pos, syn.Msg})
+		f.errors = append(f.errors, Error{syn.Pos, syn.Msg})
 	case errors.As(err, &res):
 		for _, e := range res {
-			f.errs = append(f.errs, Error{e.Pos, e.Msg})
+			f.errors = append(f.errors, Error{e.Pos, e.Msg})
 		}
 	case errors.As(err, &eval):
 		pos := syntax.MakePosition(&name, 1, 1)
-		for _, fr := range eval.CallStack { // the innermost place in the file
+		for _, fr := range eval.CallStack { // the innermost frame in the file
 			if fr.Pos.Filename() == name {
 				pos = fr.Pos
 			}
 		}
-		f.errs = append(f.errs, Error{pos, eval.Msg})
+		f.errors = append(f.errors, Error{pos, eval.Msg})
 	default:
-		f.errs = append(f.errs, Error{syntax.MakePosition(&name, 1, 1), err.Error()})
+		f.errors = append(f.errors, Error{syntax.MakePosition(&name, 1, 1), err.Error()})
 	}
-	return f.errs
+	return f.errors
 }
 
-// Call is one call of a function in a file. Its methods return arguments by name, or a default where an argument is
-// absent or invalid. They record errors rather than return them, so that one evaluation finds all errors of a file.
+// Call is one call of a function in a file. Its methods return arguments by name, or a default if an argument is absent or invalid. They
+// record errors instead of returning them, so that one evaluation finds all errors of a file.
 type Call struct {
-	Function string
-	Pos      syntax.Position
-	f        *file
-	expr     *syntax.CallExpr
-	pos      starlark.Tuple
-	args     map[string]starlark.Value
-	keys     []string // in the order of the file
-	used     map[string]bool
-	next     int // positional arguments taken
+	Function       string
+	Pos            syntax.Position
+	file           *file
+	expr           *syntax.CallExpr
+	positional     starlark.Tuple
+	args           map[string]starlark.Value
+	keys           []string // in the order of the file
+	read           map[string]bool
+	nextPositional int // index of the next positional argument to read
 }
 
-func (f *file) call(t *starlark.Thread, word string, args starlark.Tuple, kwargs []starlark.Tuple) *Call {
-	c := &Call{Function: word, Pos: t.CallFrame(1).Pos, f: f, pos: args, args: map[string]starlark.Value{}, used: map[string]bool{}}
-	c.expr = f.calls[place{c.Pos.Line, c.Pos.Col}]
+// call returns the Call for an invocation of the given function.
+func (f *file) call(t *starlark.Thread, function string, args starlark.Tuple, kwargs []starlark.Tuple) *Call {
+	c := &Call{Function: function, Pos: t.CallFrame(1).Pos, file: f, positional: args, args: map[string]starlark.Value{}, read: map[string]bool{}}
+	c.expr = f.calls[position{c.Pos.Line, c.Pos.Col}]
 	for _, kv := range kwargs {
 		k := string(kv[0].(starlark.String))
 		c.args[k] = kv[1]
@@ -174,15 +178,15 @@
 			}
 		}
 	}
-	c.f.errs = append(c.f.errs, Error{pos, fmt.Sprintf(format, a...)})
+	c.file.errors = append(c.file.errors, Error{pos, fmt.Sprintf(format, a...)})
 }
 
 // PositionalString returns the next positional argument as a string, or the argument of that name. A missing or empty one is an error.
 func (c *Call) PositionalString(name string) string {
-	if c.next < len(c.pos) {
-		v := c.pos[c.next]
-		c.next++
-		c.used[name] = true
+	if c.nextPositional < len(c.positional) {
+		v := c.positional[c.nextPositional]
+		c.nextPositional++
+		c.read[name] = true
 		if s, ok := starlark.AsString(v); ok && s != "" {
 			return s
 		}
@@ -196,112 +200,113 @@
 	return s
 }
 
-// RewindPositional makes First start again at the first positional argument.
-func (c *Call) RewindPositional() { c.next = 0 }
+// RewindPositional makes PositionalString start again at the first positional argument.
+func (c *Call) RewindPositional() { c.nextPositional = 0 }
 
 // Has reports whether the call has an argument of that name.
 func (c *Call) Has(name string) bool { _, ok := c.args[name]; return ok }
 
 // Value returns an argument unconverted, or nil if it is absent.
 func (c *Call) Value(name string) starlark.Value {
-	c.used[name] = true
+	c.read[name] = true
 	return c.args[name]
 }
 
 // String returns a string argument.
-func (c *Call) String(name, otherwise string) string {
+func (c *Call) String(name, defaultValue string) string {
 	v := c.Value(name)
 	if v == nil {
-		return otherwise
+		return defaultValue
 	}
 	s, ok := starlark.AsString(v)
 	if !ok {
 		c.Errorf(name, "%s is %s, a string was expected", name, v.Type())
-		return otherwise
+		return defaultValue
 	}
 	return s
 }
 
-// Choice returns a string argument that has to be one of words.
-func (c *Call) Choice(name, otherwise string, words ...string) string {
-	s := c.String(name, otherwise)
-	if !c.CheckOneOf(name, s, words) {
-		return otherwise
+// Choice returns a string argument that must be one of choices.
+func (c *Call) Choice(name, defaultValue string, choices ...string) string {
+	s := c.String(name, defaultValue)
+	if !c.CheckOneOf(name, s, choices) {
+		return defaultValue
 	}
 	return s
 }
 
-// CheckOneOf reports whether word is one of words, and records an error at the argument name if it isn't.
-func (c *Call) CheckOneOf(name, word string, words []string) bool {
-	if slices.Contains(words, word) {
+// CheckOneOf reports whether value is one of choices, and records an error at the argument name if it isn't.
+func (c *Call) CheckOneOf(name, value string, choices []string) bool {
+	if slices.Contains(choices, value) {
 		return true
 	}
-	c.Errorf(name, "%s is %q, one of %s was expected%s", name, word, strings.Join(words, ", "), Suggestion(word, words))
+	c.Errorf(name, "%s is %q, one of %s was expected%s", name, value, strings.Join(choices, ", "), Suggestion(value, choices))
 	return false
 }
 
 // Bool returns an argument that is True or False.
-func (c *Call) Bool(name string, otherwise bool) bool {
+func (c *Call) Bool(name string, defaultValue bool) bool {
 	v := c.Value(name)
 	if v == nil {
-		return otherwise
+		return defaultValue
 	}
 	b, ok := v.(starlark.Bool)
 	if !ok {
 		c.Errorf(name, "%s is %s, True or False was expected", name, v.Type())
-		return otherwise
+		return defaultValue
 	}
 	return bool(b)
 }
 
-// Int returns an integer argument in the range from least to most.
-func (c *Call) Int(name string, otherwise, least, most int) int {
+// Int returns an integer argument in the range from minimum to maximum.
+func (c *Call) Int(name string, defaultValue, minimum, maximum int) int {
 	v := c.Value(name)
 	if v == nil {
-		return otherwise
+		return defaultValue
 	}
 	n, err := starlark.AsInt32(v)
-	if err != nil || n < least || n > most {
-		c.Errorf(name, "%s is %s, a whole number from %d to %d was expected", name, v, least, most)
-		return otherwise
+	if err != nil || n < minimum || n > maximum {
+		c.Errorf(name, "%s is %s, a whole number from %d to %d was expected", name, v, minimum, maximum)
+		return defaultValue
 	}
 	return n
 }
 
-// Float returns a number argument in the range from least to most.
-func (c *Call) Float(name string, otherwise, least, most float64) float64 {
+// Float returns a number argument in the range from minimum to maximum.
+func (c *Call) Float(name string, defaultValue, minimum, maximum float64) float64 {
 	v := c.Value(name)
 	if v == nil {
-		return otherwise
+		return defaultValue
 	}
-	n, ok := c.ToFloat(name, v, least, most)
+	n, ok := c.ToFloat(name, v, minimum, maximum)
 	if !ok {
-		return otherwise
+		return defaultValue
 	}
 	return n
 }
 
-// ToFloat converts v, a part of the argument name, to a number in the range from least to most, and reports whether it is one.
-func (c *Call) ToFloat(name string, v starlark.Value, least, most float64) (float64, bool) {
+// ToFloat converts v, a part of the argument name, to a number in the range from minimum to maximum, and reports whether it is one.
+func (c *Call) ToFloat(name string, v starlark.Value, minimum, maximum float64) (float64, bool) {
 	n, ok := starlark.AsFloat(v)
-	if _, isBool := v.(starlark.Bool); isBool || !ok || !(n >= least && n <= most) {
-		c.Errorf(name, "%s is %s, a number from %s to %s was expected", name, v, number(least), number(most))
+	if _, isBool := v.(starlark.Bool); isBool || !ok || !(n >= minimum && n <= maximum) {
+		c.Errorf(name, "%s is %s, a number from %s to %s was expected", name, v, formatBound(minimum), formatBound(maximum))
 		return 0, false
 	}
 	return n, true
 }
 
-func number(x float64) string {
+// formatBound formats a limit of a range for an error message.
+func formatBound(x float64) string {
 	if math.IsInf(x, 0) {
 		return "any"
 	}
 	return strconv.FormatFloat(x, 'g', -1, 64)
 }
 
-// Duration returns a duration in the range from least to most. The argument is a string with a unit under the name itself,
+// Duration returns a duration in the range from minimum to maximum. The argument is a string with a unit under the name itself,
 // or a number under the name with the suffix _ms or _s.
-func (c *Call) Duration(name string, otherwise, least, most time.Duration) time.Duration {
-	found, at := otherwise, ""
+func (c *Call) Duration(name string, defaultValue, minimum, maximum time.Duration) time.Duration {
+	found, at := defaultValue, ""
 	for _, form := range []struct {
 		suffix string
 		unit   time.Duration
@@ -313,26 +318,26 @@
 		}
 		if at != "" {
 			c.Errorf(key, "%s and %s are the same setting", at, key)
-			return otherwise
+			return defaultValue
 		}
 		at = key
 		if form.unit == 0 {
 			d, ok := c.ToDuration(key, v)
 			if !ok {
-				return otherwise
+				return defaultValue
 			}
 			found = d
 		} else {
 			n, ok := c.ToFloat(key, v, 0, 1e9)
 			if !ok {
-				return otherwise
+				return defaultValue
 			}
 			found = time.Duration(n * float64(form.unit))
 		}
 	}
-	if at != "" && (found < least || found > most) {
-		c.Errorf(at, "%s is %v, %v to %v was expected", at, found, least, most)
-		return otherwise
+	if at != "" && (found < minimum || found > maximum) {
+		c.Errorf(at, "%s is %v, %v to %v was expected", at, found, minimum, maximum)
+		return defaultValue
 	}
 	return found
 }
@@ -342,7 +347,7 @@
 	s, ok := starlark.AsString(v)
 	d, err := time.ParseDuration(s)
 	if !ok || err != nil {
-		c.Errorf(name, "%s is %s, a length of time with its unit was expected, such as \"300ms\" or \"5s\"", name, v)
+		c.Errorf(name, "%s is %s, a duration with a unit was expected, such as \"300ms\" or \"5s\"", name, v)
 		return 0, false
 	}
 	return d, true
@@ -385,19 +390,19 @@
 	}
 }
 
-// unknown records an error for each argument that no method has read.
-func (c *Call) unknown() {
-	if c.next < len(c.pos) {
-		c.Errorf("", "%s takes %d arguments without a name, %d are given", c.Function, c.next, len(c.pos))
+// reportUnread records an error for each argument that no method has read.
+func (c *Call) reportUnread() {
+	if c.nextPositional < len(c.positional) {
+		c.Errorf("", "%s takes %d positional arguments, %d are given", c.Function, c.nextPositional, len(c.positional))
 	}
-	var words []string
-	for w := range c.used {
-		words = append(words, w)
+	var settings []string
+	for name := range c.read {
+		settings = append(settings, name)
 	}
-	slices.Sort(words)
-	for _, k := range c.keys {
-		if !c.used[k] {
-			c.Errorf(k, "%s has no setting %q%s", c.Function, k, Suggestion(k, words))
+	slices.Sort(settings)
+	for _, key := range c.keys {
+		if !c.read[key] {
+			c.Errorf(key, "%s has no setting %q%s", c.Function, key, Suggestion(key, settings))
 		}
 	}
 }
