--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is havenproxy's command line: serve (also what the bare program does), check, status and version.
+// Package cli implements havenproxy's command line: serve, which is also the default, check, status, plan, policy, secret and version.
 package cli
 
 import (
@@ -15,7 +15,7 @@
 	"havenproxy/internal/run"
 )
 
-// errUsage marks errors that are the caller's: a bad flag, or a file that can't be used.
+// errUsage marks errors of the caller: invalid flags, or files that cannot be used.
 var errUsage = errors.New("usage")
 
 type flags struct {
@@ -24,45 +24,45 @@
 	trace         string
 }
 
-// Main runs the command line and gives the exit code: 0; 1 where it could not run; 2 for bad input.
-func Main(args []string, out, errs io.Writer) int {
+// Main runs the command line and returns the exit code: 0; 1 if the command failed; 2 for invalid input; policy sub-commands have further codes.
+func Main(args []string, out, stderr io.Writer) int {
 	var f flags
 	root := &cobra.Command{
 		Use:   "havenproxy",
 		Short: "Routes reads and writes to replicated databases",
 		Long: "havenproxy routes the reads and writes of PostgreSQL clients to groups of one primary and its replicas, by\n" +
-			"request class. Without a sub-command it serves, as EDGE_CONFIG says.",
+			"request class. Without a sub-command it serves, as configured by EDGE_CONFIG.",
 		Example: "  EDGE_CONFIG=deploy/example.json havenproxy\n" +
 			"  EDGE_CONFIG=deploy/example.json havenproxy serve --operator deploy/operator.star\n" +
 			"  havenproxy check deploy/operator.star --config deploy/example.json\n" +
 			"  havenproxy status 127.0.0.1:6432",
-		Args:          noArgs,
+		Args:          noArguments,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
-			return f.logs(errs)
+			return f.setUpLog(stderr)
 		},
 		RunE: func(*cobra.Command, []string) error { return f.serve() },
 	}
 	p := root.PersistentFlags()
-	p.StringVar(&f.format, "log-format", "text", "form of the log on standard error: text or json")
-	p.StringVar(&f.level, "log-level", "info", "least level that is logged: debug, info, warn or error")
+	p.StringVar(&f.format, "log-format", "text", "format of the log on standard error: text or json")
+	p.StringVar(&f.level, "log-level", "info", "minimum level that is logged: debug, info, warn or error")
 	operatorFlag(root, &f)
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errUsage, err) })
 	root.SetArgs(args)
 	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetErr(stderr)
 	root.AddCommand(serveCommand(&f), checkCommand(&f), statusCommand(), planCommand(), policyCommand(), secretCommand(), versionCommand())
 	err := root.Execute()
-	var exit errExit
+	var exit exitError
 	switch {
 	case errors.As(err, &exit):
-		fmt.Fprintln(errs, "havenproxy:", exit.text)
+		fmt.Fprintln(stderr, "havenproxy:", exit.text)
 		return exit.code
 	case err == nil:
 		return 0
 	case errors.Is(err, errUsage) || strings.HasPrefix(err.Error(), "unknown command"):
-		fmt.Fprintln(errs, "havenproxy:", strings.TrimPrefix(err.Error(), errUsage.Error()+": "))
+		fmt.Fprintln(stderr, "havenproxy:", strings.TrimPrefix(err.Error(), errUsage.Error()+": "))
 		return 2
 	default:
 		slog.Error("can't run", "error", err)
@@ -70,7 +70,7 @@
 	}
 }
 
-func noArgs(c *cobra.Command, args []string) error {
+func noArguments(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		hint := ""
 		c.SuggestionsMinimumDistance = 2
@@ -82,12 +82,13 @@
 	return nil
 }
 
+// operatorFlag adds the flag --operator to a command.
 func operatorFlag(c *cobra.Command, f *flags) {
-	c.Flags().StringVar(&f.operator, "operator", os.Getenv("HAVEN_OPERATOR"), "the operator's file (default: HAVEN_OPERATOR; none = as without)")
+	c.Flags().StringVar(&f.operator, "operator", os.Getenv("HAVEN_OPERATOR"), "the operator's file (default: HAVEN_OPERATOR; optional)")
 }
 
-// logs sets the log up before anything is said.
-func (f *flags) logs(errs io.Writer) error {
+// setUpLog configures the log. It must run before anything is logged.
+func (f *flags) setUpLog(stderr io.Writer) error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(f.level)); err != nil {
 		return fmt.Errorf("%w: --log-level is %q, debug, info, warn or error was expected", errUsage, f.level)
@@ -95,9 +96,9 @@
 	o := &slog.HandlerOptions{Level: level}
 	switch f.format {
 	case "text":
-		slog.SetDefault(slog.New(slog.NewTextHandler(errs, o)))
+		slog.SetDefault(slog.New(slog.NewTextHandler(stderr, o)))
 	case "json":
-		slog.SetDefault(slog.New(slog.NewJSONHandler(errs, o)))
+		slog.SetDefault(slog.New(slog.NewJSONHandler(stderr, o)))
 	default:
 		return fmt.Errorf("%w: --log-format is %q, text or json was expected", errUsage, f.format)
 	}
@@ -112,11 +113,11 @@
 		Short: "Serve in the foreground until SIGTERM; SIGHUP reads the files again, SIGUSR1 prints the counters",
 		Example: "  EDGE_CONFIG=deploy/example.json havenproxy serve --operator deploy/operator.star\n" +
 			"  EDGE_CONFIG=deploy/example.json HAVEN_OPERATOR=deploy/operator.star havenproxy serve --log-format json",
-		Args: noArgs,
+		Args: noArguments,
 		RunE: func(*cobra.Command, []string) error { return f.serve() },
 	}
 	operatorFlag(c, f)
-	c.Flags().StringVar(&f.trace, "trace", "", "keep what clients ask in this file, sessions as hashes, up to 64 MiB; trace() in the operator's file says more")
+	c.Flags().StringVar(&f.trace, "trace", "", "record client requests in this file, with sessions as hashes, up to 64 MiB; see trace() in the operator's file")
 	return c
 }
 
@@ -124,7 +125,7 @@
 	var config string
 	c := &cobra.Command{
 		Use:   "check [FILE]",
-		Short: "Tell what is wrong with an operator's file and with EDGE_CONFIG; exit 0 if nothing, 2 otherwise",
+		Short: "Check an operator's file and EDGE_CONFIG, and list all errors; exit 0 if there are none, 2 otherwise",
 		Example: "  havenproxy check deploy/operator.star --config deploy/example.json\n" +
 			"  EDGE_CONFIG=/run/config.json havenproxy check",
 		Args: func(c *cobra.Command, args []string) error {
@@ -157,7 +158,7 @@
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
-		Args:  noArgs,
+		Args:  noArguments,
 		Run: func(c *cobra.Command, _ []string) {
 			version, revision := "unknown", ""
 			if info, ok := debug.ReadBuildInfo(); ok {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -12,13 +12,13 @@
 	"havenproxy/internal/wire/pg"
 )
 
-func call(args ...string) (code int, out, errs string) {
+func call(args ...string) (code int, out, stderr string) {
 	var o, e bytes.Buffer
 	code = Main(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
-func TestExitCodesAndWords(t *testing.T) {
+func TestExitCodesAndMessages(t *testing.T) {
 	t.Setenv("EDGE_CONFIG", "")
 	bad := filepath.Join(t.TempDir(), "bad.star")
 	os.WriteFile(bad, []byte("levels(dwel = '5s')\nlevel('x', admit = {'katalok': 1})\n"), 0o600)
@@ -45,25 +45,25 @@
 		{"--help", 0, "deploy/operator.star"},
 		{"completion bash", 0, "bash completion"},
 	} {
-		code, out, errs := call(strings.Fields(c.args)...)
-		if code != c.code || !strings.Contains(out+errs, c.want) {
-			t.Errorf("%q: exit %d, want %d with %q:\n%s%s", c.args, code, c.code, c.want, out, errs)
+		code, out, stderr := call(strings.Fields(c.args)...)
+		if code != c.code || !strings.Contains(out+stderr, c.want) {
+			t.Errorf("%q: exit %d, want %d with %q:\n%s%s", c.args, code, c.code, c.want, out, stderr)
 		}
 	}
 }
 
-// A start that fails says so in one line.
-func TestABadOperatorsFileAtTheStartIsOneLine(t *testing.T) {
+// An invalid operator's file at the start must be reported in one line.
+func TestInvalidOperatorFileIsReportedInOneLine(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.star")
 	os.WriteFile(bad, []byte("levels(dwel = '5s')\nlevel('x', admit = {'katalok': 1})\n"), 0o600)
 	t.Setenv("EDGE_CONFIG", "../../deploy/example.json")
-	code, _, errs := call("serve", "--operator", bad)
-	if code != 1 || strings.Count(errs, "\n") != 1 || !strings.Contains(errs, "katalok") {
-		t.Errorf("exit %d:\n%s", code, errs)
+	code, _, stderr := call("serve", "--operator", bad)
+	if code != 1 || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, "katalok") {
+		t.Errorf("exit %d:\n%s", code, stderr)
 	}
 }
 
-func TestStatusDrawsWhatAConsoleTells(t *testing.T) {
+func TestStatusShowsConsoleTables(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -83,16 +83,16 @@
 		c.Read(chunk)
 		c.Write(pg.AppendError(nil, "42601", "the console knows SHOW LEVELS"))
 	}()
-	code, out, errs := call("status", ln.Addr().String(), "--show", "levels")
+	code, out, stderr := call("status", ln.Addr().String(), "--show", "levels")
 	if code != 0 || !strings.Contains(out, "LEVELS") || !strings.Contains(out, "0      lean") {
-		t.Errorf("exit %d:\n%s%s", code, out, errs)
+		t.Errorf("exit %d:\n%s%s", code, out, stderr)
 	}
 	if code, _, _ := call("status", "127.0.0.1:1"); code != 1 {
-		t.Errorf("nobody there: exit %d", code)
+		t.Errorf("no server: exit %d", code)
 	}
 }
 
-// What the sub-command prints is what the operator's file takes, and fits the password; the password itself isn't shown.
+// The output of secret must be accepted by the operator's file and match the password, which must not be printed.
 func TestSecrets(t *testing.T) {
 	const password = "Çam-kereste 7"
 	for _, kind := range []string{"salted", "sha2", "native"} {
@@ -102,12 +102,12 @@
 		}
 		was := os.Stdin
 		os.Stdin = in
-		code, out, errs := call("secret", "--kind", kind)
+		code, out, stderr := call("secret", "--kind", kind)
 		os.Stdin = was
 		in.Close()
 		s, err := mysql.ParseSecret(strings.TrimSpace(out))
-		if code != 0 || err != nil || strings.Contains(out+errs, password) {
-			t.Fatalf("%s: %d, %q, %q, %v", kind, code, out, errs, err)
+		if code != 0 || err != nil || strings.Contains(out+stderr, password) {
+			t.Fatalf("%s: %d, %q, %q, %v", kind, code, out, stderr, err)
 		}
 		scramble := bytes.Repeat([]byte{'s'}, mysql.ScrambleLen)
 		right, wrong := true, false
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -9,12 +9,13 @@
 	"github.com/spf13/cobra"
 )
 
-// planCommand becomes the planner's program, which lies beside this one: consensus and its log would take 6 MB of each proxy's memory.
+// planCommand returns a command that replaces the process with the planner's program, which is installed beside this one: consensus and its
+// log would take 6 MB of each proxy's memory.
 func planCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:                "plan",
 		Short:              "Keep a tier's policy: run one of its planners (1, 3 or 5) in the foreground until SIGTERM",
-		Long:               "plan becomes the program havenplan, which lies beside havenproxy; havenproxy plan --help tells its flags.",
+		Long:               "plan executes the program havenplan, which is installed beside havenproxy; havenproxy plan --help lists its flags.",
 		DisableFlagParsing: true,
 		RunE: func(_ *cobra.Command, args []string) error {
 			self, err := os.Executable()
--- a/internal/cli/plan/plan.go
+++ b/internal/cli/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan is the command line of a planner. It is a program of its own, havenplan, which `havenproxy plan` becomes: what planners need
-// would take 6 MB of each proxy's memory.
+// Package plan implements the command line of a planner. It is a separate program, havenplan, which `havenproxy plan` executes: the planner's
+// dependencies would take 6 MB of each proxy's memory.
 package plan
 
 import (
@@ -18,19 +18,19 @@
 	"havenproxy/internal/planner"
 )
 
-// ErrUsage marks errors that are the caller's.
+// ErrUsage marks errors of the caller.
 var ErrUsage = errors.New("usage")
 
-// Command gives the command.
+// Command returns the command that runs a planner.
 func Command() *cobra.Command {
 	var cfg planner.Config
 	var peers, cutOff string
 	c := &cobra.Command{
 		Use:   "plan",
 		Short: "Keep a tier's policy: run one of its planners (1, 3 or 5) in the foreground until SIGTERM",
-		Long: "A planner keeps policies, changes and the tier's members in a log that is the same at all planners. Proxies that name them\n" +
-			"with tier() in the operator's file go by the policy that is in force there. Most planners have to live for a change; without\n" +
-			"them, proxies go on under what they have for the length of a lease (--cut-off stop) or for any time (--cut-off \"go on\").",
+		Long: "A planner keeps policies, changes and the tier's members in a log replicated to all planners. Proxies that name them\n" +
+			"with tier() in the operator's file follow the policy in force there. A change needs a majority of the planners; without\n" +
+			"one, proxies continue under their policy for the length of a lease (--cut-off stop) or indefinitely (--cut-off \"go on\").",
 		Example: "  havenproxy plan --id 1 --planners 1=127.0.0.1:7401 --log /var/lib/havenproxy/plan1\n" +
 			"  havenproxy plan --id 2 --planners 1=10.0.0.21:7400,2=10.0.0.22:7400,3=10.0.0.23:7400 --log /var/lib/havenproxy/plan",
 		Args: cobra.NoArgs,
@@ -46,7 +46,7 @@
 			}
 			switch {
 			case cutOff == "go on" && c.Flags().Changed("lease"):
-				return fmt.Errorf("%w: --lease goes with --cut-off stop: without leases a proxy that is cut off goes on", ErrUsage)
+				return fmt.Errorf("%w: --lease requires --cut-off stop: without leases a proxy that is cut off keeps serving", ErrUsage)
 			case cutOff == "go on":
 				cfg.Rollout.Lease = 0
 			case cutOff != "stop":
@@ -75,25 +75,25 @@
 	f.Uint64Var(&cfg.ID, "id", 0, "this planner's number")
 	f.StringVar(&peers, "planners", "", "all planners, this one included: 1=ADDRESS,2=ADDRESS,3=ADDRESS")
 	f.StringVar(&cfg.Listen, "listen", "", "where to listen (default: this planner's address)")
-	f.StringVar(&cfg.LogFile, "log", "", "the file of the log; it is made if it isn't there")
-	f.BoolVar(&cfg.Join, "join", false, "it takes another's place (havenproxy policy replace): its log comes from the others. Of no effect once it has")
-	f.StringVar(&cutOff, "cut-off", "stop", "what a proxy does that can reach no planner: \"stop\" behind its lease, or \"go on\"; the same at all proxies and planners")
-	f.DurationVar(&cfg.Rollout.Lease, "lease", 2*time.Second, "how long a proxy serves since it last reached the planner that leads; the same at all proxies and planners")
+	f.StringVar(&cfg.LogFile, "log", "", "the file of the log; it is created if it does not exist")
+	f.BoolVar(&cfg.Join, "join", false, "this planner replaces another one (havenproxy policy replace) and gets its log from the others; ignored once it has joined")
+	f.StringVar(&cutOff, "cut-off", "stop", "what a proxy does that can reach no planner: \"stop\" when its lease expires, or \"go on\"; must be the same at all proxies and planners")
+	f.DurationVar(&cfg.Rollout.Lease, "lease", 2*time.Second, "how long a proxy serves after it last reached the leading planner; must be the same at all proxies and planners")
 	return c
 }
 
-// Main runs it and gives the exit code: 0; 1 where it could not run; 2 for bad input.
-func Main(args []string, out, errs io.Writer) int {
-	slog.SetDefault(slog.New(slog.NewTextHandler(errs, nil)))
+// Main runs the command and returns the exit code: 0; 1 if the planner failed; 2 for invalid input.
+func Main(args []string, stdout, stderr io.Writer) int {
+	slog.SetDefault(slog.New(slog.NewTextHandler(stderr, nil)))
 	c := Command()
 	c.SetArgs(args)
-	c.SetOut(out)
-	c.SetErr(errs)
+	c.SetOut(stdout)
+	c.SetErr(stderr)
 	switch err := c.Execute(); {
 	case err == nil:
 		return 0
 	case errors.Is(err, ErrUsage):
-		fmt.Fprintln(errs, "havenproxy plan:", strings.TrimPrefix(err.Error(), ErrUsage.Error()+": "))
+		fmt.Fprintln(stderr, "havenproxy plan:", strings.TrimPrefix(err.Error(), ErrUsage.Error()+": "))
 		return 2
 	default:
 		slog.Error("can't run", "error", err)
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -16,21 +16,21 @@
 	"havenproxy/internal/wire/tier"
 )
 
-// The exit codes of a change, beside 0 (in force), 1 and 2.
+// Exit codes of a change in addition to 0 (in force), 1 and 2.
 const (
-	exitGivenUp  = 3
-	exitNotKnown = 4
+	exitAborted   = 3
+	exitUndecided = 4
 )
 
-// errExit is an error with an exit code of its own.
-type errExit struct {
+// exitError is an error with its own exit code.
+type exitError struct {
 	code int
 	text string
 }
 
-func (e errExit) Error() string { return e.text }
+func (e exitError) Error() string { return e.text }
 
-// policyFlags are those of all sub-commands about the policy.
+// policyFlags are the flags of all policy sub-commands.
 type policyFlags struct {
 	planners []string
 	asJSON   bool
@@ -53,17 +53,17 @@
 func policyCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "policy",
-		Short: "Change the policy of a whole tier, and ask how that goes",
-		Long: "A policy is the operator's file and the configuration's classes. A change takes hold at all proxies of the tier at one moment, or at none.\n" +
-			"Exit codes: 0 in force, 1 no planner could be asked, 2 bad input, 3 given up, 4 not known yet.",
-		Args: noArgs,
+		Short: "Change the policy of a whole tier, and show its state",
+		Long: "A policy consists of the operator's file and the configuration's classes. A change takes effect at all proxies of the tier at the same time, or at none.\n" +
+			"Exit codes: 0 in force, 1 no planner answered, 2 bad input, 3 given up, 4 not known yet.",
+		Args: noArguments,
 	}
 	c.AddCommand(proposeCommand(), rollbackCommand(), policyStatusCommand(), historyCommand(), showPolicyCommand(), diffCommand(), abortCommand(), expelCommand(), replaceCommand())
 	return c
 }
 
-// asks makes a sub-command that asks planners. names are its arguments; those called N and M are policies' numbers.
-func asks(use, short string, run func(c *cobra.Command, f *policyFlags, cl *client.Client, args []string) error) *cobra.Command {
+// plannerCommand returns a sub-command that queries planners. Its arguments are the words after the first in use; N and M are numbers of policies.
+func plannerCommand(use, short string, run func(c *cobra.Command, f *policyFlags, cl *client.Client, args []string) error) *cobra.Command {
 	var f policyFlags
 	names := strings.Fields(use)[1:]
 	c := &cobra.Command{
@@ -92,55 +92,55 @@
 	return c
 }
 
-// number reads an argument that is known to be one.
-func number(arg string) rollout.Number {
+// parseNumber parses an argument that has already been validated as a number.
+func parseNumber(arg string) rollout.Number {
 	n, _ := strconv.ParseUint(arg, 10, 64)
 	return rollout.Number(n)
 }
 
-// text gives a policy's of the history.
-func text(ctx context.Context, cl *client.Client, n rollout.Number) (*rollout.Change, error) {
-	a, err := cl.Status(ctx, n)
+// findChange returns a change of the history whose policy text is still kept.
+func findChange(ctx context.Context, cl *client.Client, n rollout.Number) (*rollout.Change, error) {
+	answer, err := cl.Status(ctx, n)
 	if err != nil {
 		return nil, err
 	}
-	x := a.State.Change(n)
+	change := answer.State.Change(n)
 	switch {
-	case x == nil:
-		return nil, fmt.Errorf("%w: no policy %d; the last %d are kept, see havenproxy policy history", errUsage, n, len(a.State.Changes))
-	case len(x.Policy) == 0:
+	case change == nil:
+		return nil, fmt.Errorf("%w: no policy %d; the last %d are kept, see havenproxy policy history", errUsage, n, len(answer.State.Changes))
+	case len(change.Policy) == 0:
 		return nil, fmt.Errorf("%w: the text of policy %d is not kept any more", errUsage, n)
 	}
-	return x, nil
+	return change, nil
 }
 
-// find gives a policy of the history.
-func find(ctx context.Context, cl *client.Client, n rollout.Number) (*policy.Policy, error) {
-	x, err := text(ctx, cl, n)
+// findPolicy returns a policy of the history.
+func findPolicy(ctx context.Context, cl *client.Client, n rollout.Number) (*policy.Policy, error) {
+	change, err := findChange(ctx, cl, n)
 	if err != nil {
 		return nil, err
 	}
-	return policy.Decode(x.Policy)
+	return policy.Decode(change.Policy)
 }
 
 func rollbackCommand() *cobra.Command {
-	c := asks("rollback N", "Put an earlier policy into force again, as a change with a number of its own",
+	c := plannerCommand("rollback N", "Put an earlier policy into force again, as a change with a number of its own",
 		func(c *cobra.Command, f *policyFlags, cl *client.Client, args []string) error {
-			x, err := text(c.Context(), cl, number(args[0]))
+			x, err := findChange(c.Context(), cl, parseNumber(args[0]))
 			if err != nil {
 				return err
 			}
 			f.wait, _ = c.Flags().GetDuration("wait")
 			return f.propose(c, cl, x.Policy, fmt.Sprintf("back to %d: %s", x.Number, x.Comment))
 		})
-	c.Flags().Duration("wait", time.Minute, "how long to wait for the end; behind it exit 4")
+	c.Flags().Duration("wait", time.Minute, "how long to wait for the outcome; after that exit 4")
 	return c
 }
 
 func abortCommand() *cobra.Command {
-	return asks("abort N", "Give a change up that is under way; exit 0 if it is given up, 3 if it came into force first, 4 if that isn't known yet",
+	return plannerCommand("abort N", "Give up a pending change; exit 0 if it is given up, 3 if it came into force first, 4 if that is not known yet",
 		func(c *cobra.Command, _ *policyFlags, cl *client.Client, args []string) error {
-			n := number(args[0])
+			n := parseNumber(args[0])
 			for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 				a, err := cl.Do(c.Context(), tier.Ask{Do: tier.DoAbort, Number: n})
 				if err != nil || a.State == nil {
@@ -153,9 +153,9 @@
 					fmt.Fprintf(c.OutOrStdout(), "policy %d is given up: %s\n", n, x.Reason)
 					return nil
 				case x.Outcome == rollout.InForce:
-					return errExit{exitGivenUp, fmt.Sprintf("policy %d is in force; havenproxy policy rollback puts an earlier one into force", n)}
+					return exitError{exitAborted, fmt.Sprintf("policy %d is in force; havenproxy policy rollback puts an earlier one into force", n)}
 				}
 			}
-			return errExit{exitNotKnown, fmt.Sprintf("policy %d: not known yet what becomes of it", n)}
+			return exitError{exitUndecided, fmt.Sprintf("policy %d: the outcome is not known yet", n)}
 		})
 }
--- a/internal/cli/policy_members.go
+++ b/internal/cli/policy_members.go
@@ -17,7 +17,7 @@
 )
 
 func expelCommand() *cobra.Command {
-	return asks("expel NAME", "Take a proxy out of the tier that has ended for good: with leases behind its own, else at once, so be sure",
+	return plannerCommand("expel NAME", "Remove a proxy that has ended for good from the tier: once its lease has expired, or at once in a tier without leases",
 		func(c *cobra.Command, _ *policyFlags, cl *client.Client, args []string) error {
 			a, err := cl.Do(c.Context(), tier.Ask{Do: tier.DoExpel, Name: args[0]})
 			if err != nil {
@@ -26,7 +26,7 @@
 			if a.Error != "" {
 				return errors.New(a.Error)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s is being taken out of the tier\n", args[0])
+			fmt.Fprintf(c.OutOrStdout(), "%s is being removed from the tier\n", args[0])
 			return nil
 		})
 }
@@ -36,9 +36,9 @@
 	var wait time.Duration
 	c := &cobra.Command{
 		Use:   "replace OLD NEW=ADDRESS",
-		Short: "Put a new planner in the place of one whose log is lost; exit 0 once it has, 4 if that isn't known yet",
+		Short: "Replace a planner whose log is lost by a new one; exit 0 once that has happened, 4 if that is not known yet",
 		Long: "Start the new one first: havenproxy plan --join, with a number that no planner of this tier has had, and all others in --planners.\n" +
-			"Most planners have to live. Both changes, the old one out and the new one in, take hold at one moment.",
+			"A majority of the planners must be running. The removal of the old one and the addition of the new one take effect together.",
 		Example: "  havenproxy policy replace 2 4=10.0.0.24:7400",
 		Args: func(c *cobra.Command, args []string) error {
 			if err := cobra.ExactArgs(2)(c, args); err != nil {
@@ -65,7 +65,7 @@
 				a, err := cl.Status(c.Context(), 0)
 				if err == nil && a.Leader == a.Planner && a.Leader != 0 {
 					if slices.Contains(a.Planners, id) && !slices.Contains(a.Planners, old) {
-						fmt.Fprintf(c.OutOrStdout(), "planner %d has taken the place of planner %d: name it in each tier() and --planners from now on\n", id, old)
+						fmt.Fprintf(c.OutOrStdout(), "planner %d has replaced planner %d: from now on, name it in each tier() and --planners\n", id, old)
 						return nil
 					}
 					if !asked {
@@ -80,7 +80,7 @@
 					}
 				}
 			}
-			return errExit{exitNotKnown, "not known yet whether it has: havenproxy policy status tells who votes"}
+			return exitError{exitUndecided, "the outcome is not known yet: havenproxy policy status lists the voting planners"}
 		},
 	}
 	f.add(c)
--- a/internal/cli/policy_propose.go
+++ b/internal/cli/policy_propose.go
@@ -19,7 +19,7 @@
 	"havenproxy/internal/wire/tier"
 )
 
-// change is what propose and rollback print with --json.
+// change is the output of propose and rollback with --json.
 type change struct {
 	Number  uint64   `json:"number"`
 	Hash    string   `json:"hash"`
@@ -29,16 +29,16 @@
 	Diff    []string `json:"diff"`
 }
 
-// propose asks for a change and waits for its end, with a line of progress on errs where somebody looks.
+// propose proposes a change and waits for its outcome. On a terminal it shows the progress on standard error.
 func (f *policyFlags) propose(c *cobra.Command, cl *client.Client, text []byte, why string) error {
-	ctx, out, errs := c.Context(), c.OutOrStdout(), c.ErrOrStderr()
-	now, err := cl.Status(ctx, 0)
+	ctx, out, stderr := c.Context(), c.OutOrStdout(), c.ErrOrStderr()
+	current, err := cl.Status(ctx, 0)
 	if err != nil {
 		return err
 	}
 	var from *policy.Policy
-	if now.State.InForce > 0 {
-		if from, err = find(ctx, cl, now.State.InForce); err != nil {
+	if current.State.InForce > 0 {
+		if from, err = findPolicy(ctx, cl, current.State.InForce); err != nil {
 			return err
 		}
 	}
@@ -56,64 +56,65 @@
 			fmt.Fprintln(out, strings.Join(diff, "\n"))
 		}
 	}
-	began, nonce := time.Now(), rand.Uint64()|1
-	a, err := cl.Propose(ctx, tier.Ask{Do: tier.DoPropose, Policy: text, Why: why, Nonce: nonce, Hash: policy.Hash(text)}, f.wait)
+	startedAt, nonce := time.Now(), rand.Uint64()|1
+	answer, err := cl.Propose(ctx, tier.Ask{Do: tier.DoPropose, Policy: text, Why: why, Nonce: nonce, Hash: policy.Hash(text)}, f.wait)
 	if err != nil {
-		return errExit{exitNotKnown, err.Error()}
+		return exitError{exitUndecided, err.Error()}
 	}
-	if a.Error != "" {
-		return errExit{exitGivenUp, a.Error}
+	if answer.Error != "" {
+		return exitError{exitAborted, answer.Error}
 	}
 	var n rollout.Number
-	for _, x := range a.State.Changes {
-		if x.Nonce == nonce {
-			n = x.Number
+	for _, proposal := range answer.State.Changes {
+		if proposal.Nonce == nonce {
+			n = proposal.Number
 		}
 	}
-	somebody := looks(errs)
-	for until, line := began.Add(f.wait), ""; ; {
-		x := a.State.Change(n)
-		if x != nil && x.Outcome != rollout.Undecided {
+	terminal := isTerminal(stderr)
+	for until, line := startedAt.Add(f.wait), ""; ; {
+		proposal := answer.State.Change(n)
+		if proposal != nil && proposal.Outcome != rollout.Undecided {
 			if line != "" {
-				fmt.Fprintln(errs)
+				fmt.Fprintln(stderr)
 			}
-			took := time.Since(began)
+			took := time.Since(startedAt)
 			if f.asJSON {
-				json.NewEncoder(out).Encode(change{uint64(n), policy.Hash(text), x.Outcome.String(), x.Reason, took.Seconds(), diff})
-			} else if x.Outcome == rollout.InForce {
-				fmt.Fprintf(out, "policy %d is in force at %d proxies, after %v\n", n, len(a.State.Members), took.Round(time.Millisecond))
+				json.NewEncoder(out).Encode(change{uint64(n), policy.Hash(text), proposal.Outcome.String(), proposal.Reason, took.Seconds(), diff})
+			} else if proposal.Outcome == rollout.InForce {
+				fmt.Fprintf(out, "policy %d is in force at %d proxies, after %v\n", n, len(answer.State.Members), took.Round(time.Millisecond))
 			}
-			if x.Outcome == rollout.Aborted {
-				return errExit{exitGivenUp, fmt.Sprintf("policy %d was given up: %s", n, x.Reason)}
+			if proposal.Outcome == rollout.Aborted {
+				return exitError{exitAborted, fmt.Sprintf("policy %d was given up: %s", n, proposal.Reason)}
 			}
 			return nil
 		}
 		if time.Now().After(until) {
-			return errExit{exitNotKnown, fmt.Sprintf("policy %d is undecided after %v: havenproxy policy status tells more", n, f.wait)}
+			return exitError{exitUndecided, fmt.Sprintf("policy %d is undecided after %v: see havenproxy policy status", n, f.wait)}
 		}
-		if p := a.Progress; p != nil && !f.asJSON && somebody {
-			if l := progressLine(p); l != line && time.Since(began) > 300*time.Millisecond {
+		if p := answer.Progress; p != nil && !f.asJSON && terminal {
+			if l := progressLine(p); l != line && time.Since(startedAt) > 300*time.Millisecond {
 				line = l
-				fmt.Fprintf(errs, "\r\033[K%s", line)
+				fmt.Fprintf(stderr, "\r\033[K%s", line)
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
 		if next, err := cl.Status(ctx, 0); err == nil && next.State.LastNumber >= n {
-			a = next
+			answer = next
 		}
 	}
 }
 
-// looks tells whether a person looks at what is written: in a file, a line that is written over and over is noise.
-func looks(w io.Writer) bool {
+// isTerminal reports whether w is a terminal; in a file, a progress line that is overwritten repeatedly would be noise.
+func isTerminal(w io.Writer) bool {
 	file, ok := w.(*os.File)
 	return ok && term.IsTerminal(int(file.Fd()))
 }
 
+// progressLine describes the progress of a pending change in one line.
 func progressLine(p *rollout.Progress) string {
 	line := fmt.Sprintf("policy %d: agreed %d of %d", p.Number, p.Agreed, p.Members)
 	if p.Held > 0 {
-		line += fmt.Sprintf(", %d hold", p.Held)
+		line += fmt.Sprintf(", %d hold requests", p.Held)
 	}
 	for i, w := range p.PendingAnswers {
 		switch i {
@@ -137,9 +138,9 @@
 	var why, config string
 	c := &cobra.Command{
 		Use:   "propose FILE --why TEXT",
-		Short: "Let a policy take hold at all proxies of the tier, or at none",
+		Short: "Put a policy into force at all proxies of the tier, or at none",
 		Long: "propose checks FILE, an operator's file, against the classes of the configuration, shows what would change, and waits until the change is\n" +
-			"in force (exit 0) or given up (exit 3). The policy is what FILE says of levels, handover and routing, and the configuration's classes.",
+			"in force (exit 0) or given up (exit 3). The policy consists of the levels, handover and routing settings of FILE and the configuration's classes.",
 		Example: "  havenproxy policy propose deploy/operator.star --config deploy/example.json --why 'lean earlier' --planners 127.0.0.1:7401",
 		Args: func(c *cobra.Command, args []string) error {
 			if err := cobra.ExactArgs(1)(c, args); err != nil {
@@ -149,7 +150,7 @@
 		},
 		RunE: func(c *cobra.Command, args []string) error {
 			if why == "" {
-				return fmt.Errorf("%w: --why is missing: the history keeps it", errUsage)
+				return fmt.Errorf("%w: --why is missing: the history records it", errUsage)
 			}
 			if config == "" {
 				return fmt.Errorf("%w: set EDGE_CONFIG or give --config: a policy holds the deployment's classes", errUsage)
@@ -170,8 +171,8 @@
 		},
 	}
 	f.add(c)
-	c.Flags().StringVar(&why, "why", "", "what for; the history keeps it")
+	c.Flags().StringVar(&why, "why", "", "the reason for the change, kept in the history")
 	c.Flags().StringVar(&config, "config", os.Getenv("EDGE_CONFIG"), "the configuration whose classes the policy holds (default: EDGE_CONFIG)")
-	c.Flags().DurationVar(&f.wait, "wait", time.Minute, "how long to wait for the end; behind it exit 4")
+	c.Flags().DurationVar(&f.wait, "wait", time.Minute, "how long to wait for the outcome; after that exit 4")
 	return c
 }
--- a/internal/cli/policy_show.go
+++ b/internal/cli/policy_show.go
@@ -17,7 +17,7 @@
 )
 
 func policyStatusCommand() *cobra.Command {
-	return asks("status", "Tell which policy is in force, what is under way and who is waited for, and who belongs to the tier",
+	return plannerCommand("status", "Show the policy in force, a pending change and the proxies it waits for, and the members of the tier",
 		func(c *cobra.Command, f *policyFlags, cl *client.Client, _ []string) error {
 			a, err := cl.Status(c.Context(), 0)
 			if err != nil {
@@ -27,7 +27,7 @@
 			if f.asJSON {
 				return json.NewEncoder(out).Encode(map[string]any{"in_force": a.State.InForce, "leader": a.Leader, "planners": a.Planners, "progress": a.Progress, "members": a.Members})
 			}
-			fmt.Fprintf(out, "in force: %s\n", describe(a.State, a.State.InForce))
+			fmt.Fprintf(out, "in force: %s\n", describePolicy(a.State, a.State.InForce))
 			switch {
 			case a.Leader == 0:
 				fmt.Fprintln(out, "no planner leads: no change can be made, and leases run out")
@@ -55,7 +55,8 @@
 		})
 }
 
-func describe(s *rollout.State, n rollout.Number) string {
+// describePolicy describes a policy in one line.
+func describePolicy(s *rollout.State, n rollout.Number) string {
 	x := s.Change(n)
 	if x == nil {
 		return "each proxy's own files: the tier has no policy yet"
@@ -64,7 +65,7 @@
 }
 
 func historyCommand() *cobra.Command {
-	return asks("history", "Tell what was proposed and what became of it, the newest first",
+	return plannerCommand("history", "Show the proposed changes and their outcomes, newest first",
 		func(c *cobra.Command, f *policyFlags, cl *client.Client, _ []string) error {
 			a, err := cl.Status(c.Context(), 0)
 			if err != nil {
@@ -102,8 +103,8 @@
 		})
 }
 
-// lines prints what a diff tells.
-func (f *policyFlags) lines(out io.Writer, lines []string) error {
+// printLines prints lines of settings, or a JSON array of them.
+func (f *policyFlags) printLines(out io.Writer, lines []string) error {
 	if f.asJSON {
 		return json.NewEncoder(out).Encode(lines)
 	}
@@ -114,27 +115,27 @@
 }
 
 func showPolicyCommand() *cobra.Command {
-	return asks("show N", "Print all settings of a policy",
+	return plannerCommand("show N", "Print all settings of a policy",
 		func(c *cobra.Command, f *policyFlags, cl *client.Client, args []string) error {
-			p, err := find(c.Context(), cl, number(args[0]))
+			p, err := findPolicy(c.Context(), cl, parseNumber(args[0]))
 			if err != nil {
 				return err
 			}
-			return f.lines(c.OutOrStdout(), p.Lines())
+			return f.printLines(c.OutOrStdout(), p.Lines())
 		})
 }
 
 func diffCommand() *cobra.Command {
-	return asks("diff N M", "Tell what changed from one policy to another",
+	return plannerCommand("diff N M", "Show the differences between two policies",
 		func(c *cobra.Command, f *policyFlags, cl *client.Client, args []string) error {
-			from, err := find(c.Context(), cl, number(args[0]))
+			from, err := findPolicy(c.Context(), cl, parseNumber(args[0]))
 			if err != nil {
 				return err
 			}
-			to, err := find(c.Context(), cl, number(args[1]))
+			to, err := findPolicy(c.Context(), cl, parseNumber(args[1]))
 			if err != nil {
 				return err
 			}
-			return f.lines(c.OutOrStdout(), policy.Diff(from, to))
+			return f.printLines(c.OutOrStdout(), policy.Diff(from, to))
 		})
 }
--- a/internal/cli/secret.go
+++ b/internal/cli/secret.go
@@ -15,21 +15,21 @@
 	"havenproxy/internal/wire/mysql"
 )
 
-// saltLen is the length of a salt in bytes.
-const saltLen = 16
+// saltLength is the length of a salt in bytes.
+const saltLength = 16
 
 func secretCommand() *cobra.Command {
 	var kind string
 	c := &cobra.Command{
 		Use:   "secret",
 		Short: "Make the secret of a MySQL user for the operator's file; reads the password from standard input",
-		Long: "secret reads a password, one line of standard input, and prints what stands for it in mysql(users = {...}).\n" +
-			"The password itself is never shown. Kinds:\n" +
+		Long: "secret reads a password, one line of standard input, and prints the value that represents it in mysql(users = {...}).\n" +
+			"The password itself is never printed. Kinds:\n" +
 			"  salted  a slow, salted hash; a user's first login needs a full exchange, the next ones are fast\n" +
-			"  sha2    what caching_sha2_password compares; no salt: as good as the password to whoever reads the file\n" +
-			"  native  for clients that know mysql_native_password only; as sha2, and weaker",
+			"  sha2    the value that caching_sha2_password compares; without a salt, so reading the file is as good as knowing the password\n" +
+			"  native  for clients that support only mysql_native_password; like sha2, and weaker",
 		Example: "  havenproxy secret\n  printf '%s\\n' \"$PASSWORD\" | havenproxy secret --kind sha2",
-		Args:    noArgs,
+		Args:    noArguments,
 		RunE: func(c *cobra.Command, _ []string) error {
 			password, err := readPassword(c.InOrStdin(), c.ErrOrStderr())
 			if err != nil {
@@ -37,7 +37,7 @@
 			}
 			switch kind {
 			case "salted":
-				salt := make([]byte, saltLen)
+				salt := make([]byte, saltLength)
 				rand.Read(salt)
 				fmt.Fprintln(c.OutOrStdout(), mysql.HashSalted(password, salt))
 			case "sha2":
@@ -54,13 +54,13 @@
 	return c
 }
 
-// readPassword reads one line; at a terminal, without showing it.
-func readPassword(in io.Reader, errs io.Writer) (string, error) {
+// readPassword reads one line, without echo if the input is a terminal.
+func readPassword(in io.Reader, stderr io.Writer) (string, error) {
 	var line string
 	if f, ok := in.(*os.File); ok && term.IsTerminal(int(f.Fd())) {
-		fmt.Fprint(errs, "Password: ")
+		fmt.Fprint(stderr, "Password: ")
 		b, err := term.ReadPassword(int(f.Fd()))
-		fmt.Fprintln(errs)
+		fmt.Fprintln(stderr)
 		if err != nil {
 			return "", err
 		}
@@ -73,7 +73,7 @@
 		line = strings.TrimRight(line, "\r\n")
 	}
 	if line == "" {
-		return "", errors.New("no password came on standard input")
+		return "", errors.New("no password on standard input")
 	}
 	return line, nil
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -22,9 +22,9 @@
 	var show []string
 	c := &cobra.Command{
 		Use:   "status ADDRESS",
-		Short: "Show what a proxy's console tells: levels, databases, connections",
-		Long: "status asks the console of the proxy at ADDRESS, which the operator's file must allow (console(enabled = True)),\n" +
-			"and for loopback addresses only.",
+		Short: "Show tables of a proxy's console: levels, databases, connections",
+		Long: "status queries the console of the proxy at ADDRESS. The operator's file must enable it (console(enabled = True)),\n" +
+			"and it accepts clients on loopback addresses only.",
 		Example: "  havenproxy status 127.0.0.1:6432\n" +
 			"  havenproxy status --watch --every 2s 127.0.0.1:6432\n" +
 			"  havenproxy status --show counters,history 127.0.0.1:6432",
@@ -60,33 +60,33 @@
 			}
 		},
 	}
-	c.Flags().BoolVarP(&watch, "watch", "w", false, "show it again and again until Ctrl-C")
-	c.Flags().DurationVar(&every, "every", time.Second, "with --watch: how often")
-	c.Flags().StringSliceVar(&show, "show", []string{"levels", "classes", "databases", "pools"}, "what is shown: "+strings.ToLower(strings.Join(console.Commands(), ", ")))
+	c.Flags().BoolVarP(&watch, "watch", "w", false, "repeat until Ctrl-C")
+	c.Flags().DurationVar(&every, "every", time.Second, "with --watch: time between repetitions")
+	c.Flags().StringSliceVar(&show, "show", []string{"levels", "classes", "databases", "pools"}, "tables to show: "+strings.ToLower(strings.Join(console.TableNames(), ", ")))
 	return c
 }
 
-// statusPatience is how long a console may take to answer.
-const statusPatience = 5 * time.Second
+// statusTimeout limits the time that a console may take to answer all queries.
+const statusTimeout = 5 * time.Second
 
-// status asks for all tables and lays them out.
+// status queries all tables and formats them.
 func status(address string, show []string) (string, error) {
-	conn, err := net.DialTimeout("tcp", address, statusPatience)
+	conn, err := net.DialTimeout("tcp", address, statusTimeout)
 	if err != nil {
 		return "", err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(statusPatience))
-	a := &asker{conn: conn}
-	if _, err := a.ask(pg.AppendStartup(nil, "admin", console.DatabaseName)); err != nil {
+	conn.SetDeadline(time.Now().Add(statusTimeout))
+	session := &consoleConn{conn: conn}
+	if _, err := session.query(pg.AppendStartup(nil, "admin", console.DatabaseName)); err != nil {
 		return "", fmt.Errorf("no console at %s: %w", address, err)
 	}
 	var out strings.Builder
 	for i, name := range show {
-		rows, err := a.ask(pg.AppendQuery(nil, "SHOW "+name))
+		rows, err := session.query(pg.AppendQuery(nil, "SHOW "+name))
 		switch {
 		case err != nil:
-			return "", fmt.Errorf("no console at %s: the operator's file of the proxy must allow it with console(enabled = True): %w", address, err)
+			return "", fmt.Errorf("no console at %s: the proxy's operator's file must enable it with console(enabled = True): %w", address, err)
 		case rows.Err != "":
 			return "", fmt.Errorf("%w: %s", errUsage, rows.Err)
 		}
@@ -94,12 +94,13 @@
 			fmt.Fprintln(&out)
 		}
 		fmt.Fprintln(&out, strings.ToUpper(name))
-		draw(&out, rows)
+		writeTable(&out, rows)
 	}
 	return out.String(), nil
 }
 
-func draw(out io.Writer, r *pg.Rows) {
+// writeTable formats a result set.
+func writeTable(out io.Writer, r *pg.Rows) {
 	if len(r.Rows) == 0 {
 		fmt.Fprintln(out, "  (nothing)")
 		return
@@ -111,19 +112,20 @@
 	w.Flush()
 }
 
-type asker struct {
+// consoleConn is a connection to a console.
+type consoleConn struct {
 	conn net.Conn
 	buf  []byte
 }
 
-// ask writes a message and reads its answer up to ReadyForQuery.
-func (a *asker) ask(message []byte) (*pg.Rows, error) {
-	if _, err := a.conn.Write(message); err != nil {
+// query sends a message and reads the answer up to ReadyForQuery.
+func (c *consoleConn) query(message []byte) (*pg.Rows, error) {
+	if _, err := c.conn.Write(message); err != nil {
 		return nil, err
 	}
 	r := &pg.Rows{}
 	for !r.Ended {
-		m, n, err := pg.Next(a.buf)
+		m, n, err := pg.Next(c.buf)
 		if err != nil {
 			return nil, err
 		}
@@ -131,18 +133,18 @@
 			if err := r.Add(m); err != nil {
 				return nil, err
 			}
-			a.buf = append(a.buf[:0], a.buf[n:]...)
+			c.buf = append(c.buf[:0], c.buf[n:]...)
 			continue
 		}
 		chunk := make([]byte, 8192)
-		n, err = a.conn.Read(chunk)
+		n, err = c.conn.Read(chunk)
 		if err != nil {
 			if r.Err != "" {
 				return nil, fmt.Errorf("%s: %s", r.Code, r.Err)
 			}
 			return nil, err
 		}
-		a.buf = append(a.buf, chunk[:n]...)
+		c.buf = append(c.buf, chunk[:n]...)
 	}
 	return r, nil
 }
--- a/internal/net/console.go
+++ b/internal/net/console.go
@@ -26,8 +26,8 @@
 // Console lets clients on loopback use the console, or no more. Those that are at it stay.
 func (s *Server) Console(on bool) { s.console = on }
 
-// Front implements console.Source.
-func (s *Server) Front() *state.Engine { return s.front }
+// Engine implements console.Source.
+func (s *Server) Engine() *state.Engine { return s.front }
 
 // Tier implements console.Source.
 func (s *Server) Tier() (console.Tier, bool) {
--- a/internal/net/console_test.go
+++ b/internal/net/console_test.go
@@ -36,7 +36,7 @@
 	s, _, loop := proxy(t, member(t, echo), 8, 2)
 	loop.Post(func() { s.Console(true) })
 	conn := admin(t, s.Address())
-	for _, name := range console.Commands() {
+	for _, name := range console.TableNames() {
 		rows, err := conn.Query(context.Background(), "SHOW "+name)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
--- a/internal/run/consul.go
+++ b/internal/run/consul.go
@@ -24,7 +24,7 @@
 	if k == nil {
 		return nil, func() {
 			p.stopConsul()
-			p.front.ConfigureMerging(nil, false)
+			p.engine.ConfigureMerging(nil, false)
 		}, nil
 	}
 	cfg := net.ConsulConfig{Agents: k.Agents, Datacenters: k.Datacenters, Filter: k.Filter, Consistency: k.Consistency, Wait: k.WaitTime}
@@ -46,19 +46,19 @@
 		return nil, nil, fmt.Errorf("consul: %w", err)
 	}
 	if p.consulConfig != nil && sameConsulConfig(p.consulConfig, &cfg) {
-		return p.consulConfig, func() { p.front.ConfigureMerging(&members, k.Exclusive) }, nil
+		return p.consulConfig, func() { p.engine.ConfigureMerging(&members, k.Exclusive) }, nil
 	}
 	return &cfg, func() {
-		p.front.ConfigureMerging(&members, k.Exclusive)
+		p.engine.ConfigureMerging(&members, k.Exclusive)
 		sources := cfg.Sources()
 		for _, s := range sources {
-			p.front.AddCatalogue(s)
+			p.engine.AddCatalogue(s)
 		}
 		old, before := p.consul, p.consulSources
-		p.consul, p.consulSources = net.NewConsul(p.loop, p.front, cfg), sources
+		p.consul, p.consulSources = net.NewConsul(p.loop, p.engine, cfg), sources
 		for _, s := range before {
 			if !slices.Contains(sources, s) {
-				p.front.DropCatalogue(s)
+				p.engine.DropCatalogue(s)
 			}
 		}
 		if old != nil {
@@ -80,7 +80,7 @@
 	}
 	go p.consul.Stop()
 	for _, s := range p.consulSources {
-		p.front.DropCatalogue(s)
+		p.engine.DropCatalogue(s)
 	}
 	p.consul, p.consulSources = nil, nil
 }
--- a/internal/run/readiness.go
+++ b/internal/run/readiness.go
@@ -17,8 +17,8 @@
 // pollReady waits until the proxy can serve. Only then does it accept clients from an inherited socket that another process also serves.
 func (p *proxy) pollReady() {
 	now := p.clock.Now()
-	if since := now - p.startedAt; since < readyDelay || !p.front.ListReceived() && since < readyTimeout {
-		p.front.Deadlines.Set(&p.readyTimer, now+readyPollInterval, p.pollReady)
+	if since := now - p.startedAt; since < readyDelay || !p.engine.ListReceived() && since < readyTimeout {
+		p.engine.Deadlines.Set(&p.readyTimer, now+readyPollInterval, p.pollReady)
 		return
 	}
 	if p.acceptFD > 0 {
@@ -29,14 +29,14 @@
 		}
 	}
 	p.canServe = true
-	slog.Info("can serve", "list_told", p.front.ListReceived())
+	slog.Info("can serve", "list_told", p.engine.ListReceived())
 }
 
 // Ready implements net.Steward.
 func (p *proxy) Ready() bool { return p.canServe && !p.stopping && (p.tier == nil || p.tier.Ready()) }
 
 // Figures implements net.Steward.
-func (p *proxy) Figures(dst []byte) []byte { return p.front.AppendMetrics(dst) }
+func (p *proxy) Figures(dst []byte) []byte { return p.engine.AppendMetrics(dst) }
 
 // Drain implements net.Steward.
 func (p *proxy) Drain() { p.server.Away(true) }
--- a/internal/run/reload.go
+++ b/internal/run/reload.go
@@ -19,7 +19,7 @@
 		switch s {
 		case syscall.SIGUSR1:
 			p.loop.Post(func() {
-				slog.Info("counters", "pending", p.front.Pending(), "counters", &p.front.Counters, "refusals", p.front.Refusals(), "delays", &p.front.Delays)
+				slog.Info("counters", "pending", p.engine.Pending(), "counters", &p.engine.Counters, "refusals", p.engine.Refusals(), "delays", &p.engine.Delays)
 			})
 		case syscall.SIGHUP:
 			p.reload(path, file)
@@ -34,7 +34,7 @@
 func (p *proxy) reload(path, file string) {
 	fail := func(err error) {
 		slog.Error("can't reload", "error", err)
-		p.loop.Post(func() { p.front.Counters.ConfigLoadErrors++ })
+		p.loop.Post(func() { p.engine.Counters.ConfigLoadErrors++ })
 	}
 	begun := p.clock.Now()
 	size, document, err := readDocument(path, func() { time.Sleep(readPause) })
@@ -57,9 +57,9 @@
 	}
 	p.loop.Post(func() {
 		slog.Info("reloaded", "discovery", cfg.Discovery, "classes", len(cfg.Settings.Config.Classes), "bytes", size, "took", p.clock.Now()-begun)
-		p.front.Counters.ConfigLoads++
+		p.engine.Counters.ConfigLoads++
 		if p.tier == nil {
-			p.front.Reload(cfg.Settings.Config)
+			p.engine.Reload(cfg.Settings.Config)
 		} else {
 			slog.Info("classes, levels, handover and routing remain those of the tier's policy", "number", p.tier.Number())
 		}
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -102,11 +102,11 @@
 	if p.fatalErr != nil {
 		return p.fatalErr
 	}
-	p.closeTrace(p.front.SetTrace(nil))
+	p.closeTrace(p.engine.SetTrace(nil))
 	if p.consul != nil {
 		p.consul.Stop()
 	}
-	slog.Info("stopped", "unanswered", p.front.Pending(), "counters", &p.front.Counters, "refusals", p.front.Refusals(), "delays", &p.front.Delays)
+	slog.Info("stopped", "unanswered", p.engine.Pending(), "counters", &p.engine.Counters, "refusals", p.engine.Refusals(), "delays", &p.engine.Delays)
 	return nil
 }
 
@@ -163,10 +163,10 @@
 // applyOperatorFile puts the operator's file into effect. It must be called on the loop.
 func (p *proxy) applyOperatorFile(file *operator.File) {
 	if p.tier == nil { // in a tier, only the tier's policy sets these
-		p.front.ConfigureLevels(file.Levels)
-		p.front.SetHandover(file.Handover)
-		p.front.SetTuning(file.Tuning)
-		p.front.SetRevision(file.Revision.Number)
+		p.engine.ConfigureLevels(file.Levels)
+		p.engine.SetHandover(file.Handover)
+		p.engine.SetTuning(file.Tuning)
+		p.engine.SetRevision(file.Revision.Number)
 		p.server.TellPolicy(file.Revision.TellClients)
 	}
 	p.server.Console(file.Console.Enabled)
@@ -185,7 +185,7 @@
 
 	loop      *net.Loop
 	clock     state.Clock
-	front     *state.Engine
+	engine    *state.Engine
 	server    *net.Server
 	discovery *net.Discovery
 
@@ -239,7 +239,7 @@
 	p := &proxy{clock: clock}
 	databases := &net.Databases{ConnectTimeout: s.ConnectTimeout}
 	var err error
-	p.front, err = state.New(state.Config{Logic: s.Config, Zones: s.Zones, IdleClose: s.IdleClose,
+	p.engine, err = state.New(state.Config{Logic: s.Config, Zones: s.Zones, IdleClose: s.IdleClose,
 		ConnectTimeout: s.ConnectTimeout, MaxConnections: links}, p.clock, databases)
 	if err != nil {
 		return nil, err
@@ -247,14 +247,14 @@
 	for _, c := range s.Config.Classes {
 		p.maxRequestTime = min(max(p.maxRequestTime, c.Limit), maxRequestTimeLimit)
 	}
-	p.loop = net.NewLoop(p.clock, &p.front.Deadlines)
-	p.loop.Measure(&p.front.Counters, &p.front.Delays)
-	databases.Loop, databases.Counters, p.databases = p.loop, &p.front.Counters, databases
+	p.loop = net.NewLoop(p.clock, &p.engine.Deadlines)
+	p.loop.Measure(&p.engine.Counters, &p.engine.Delays)
+	databases.Loop, databases.Counters, p.databases = p.loop, &p.engine.Counters, databases
 	buffers := maxBufferBytes
 	if cfg.MemoryMB > 0 {
 		buffers = min(cfg.MemoryMB<<20/bufferDivisor, maxBufferBytes)
 	}
-	p.server = net.NewServer(p.loop, p.clock, p.front, clients, excess, buffers)
+	p.server = net.NewServer(p.loop, p.clock, p.engine, clients, excess, buffers)
 	if fd := os.Getenv("EDGE_ACCEPT_FD"); fd != "" {
 		if p.acceptFD, err = strconv.Atoi(fd); err != nil || p.acceptFD <= 2 {
 			return nil, fmt.Errorf("EDGE_ACCEPT_FD: %q is no descriptor", fd)
@@ -263,12 +263,12 @@
 		return nil, err
 	}
 	if address := cmp.Or(cfg.Admin, os.Getenv("EDGE_ADMIN")); address != "" {
-		if p.admin, err = net.ListenAdmin(p.loop, p.clock, &p.front.Deadlines, address, p); err != nil {
+		if p.admin, err = net.ListenAdmin(p.loop, p.clock, &p.engine.Deadlines, address, p); err != nil {
 			return nil, fmt.Errorf("admin: %w", err)
 		}
 	}
 	if cfg.PeerListen != "" && cfg.PeersAll != "" && s.Config.MaxPeerFacts > 0 {
-		peers, err := net.ListenPeers(p.loop, p.front, cfg.PeerListen, cfg.Peers, cfg.PeersAll)
+		peers, err := net.ListenPeers(p.loop, p.engine, cfg.PeerListen, cfg.Peers, cfg.PeersAll)
 		if errors.Is(err, net.ErrPeers) {
 			return nil, err
 		}
@@ -276,13 +276,13 @@
 			slog.Warn("no talk with peers", "error", err)
 		} else {
 			p.peers = peers
-			p.front.SetPeerSender(peers)
+			p.engine.SetPeerSender(peers)
 		}
 	}
-	p.discovery = net.NewDiscovery(p.loop, p.clock, p.front, cfg.Discovery, cfg.Known.Generation, s.Config.ListMaxDelay)
+	p.discovery = net.NewDiscovery(p.loop, p.clock, p.engine, cfg.Discovery, cfg.Known.Generation, s.Config.ListMaxDelay)
 	p.loop.Post(func() {
 		p.startedAt = p.clock.Now()
-		p.front.Start(p.discovery, net.ListOf(cfg.Known))
+		p.engine.Start(p.discovery, net.ListOf(cfg.Known))
 		p.pollReady()
 	})
 	return p, nil
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -102,8 +102,8 @@
 		t.Errorf("the busy client got %q, error %v", got, err)
 	}
 	<-ended
-	if p.front.Pending() != 0 || p.front.Counters.Served != 1 {
-		t.Errorf("%d requests pending, %d served", p.front.Pending(), p.front.Counters.Served)
+	if p.engine.Pending() != 0 || p.engine.Counters.Served != 1 {
+		t.Errorf("%d requests pending, %d served", p.engine.Pending(), p.engine.Counters.Served)
 	}
 }
 
--- a/internal/run/stop.go
+++ b/internal/run/stop.go
@@ -11,17 +11,17 @@
 		return
 	}
 	p.stopping = true
-	slog.Info("stopping", "pending", p.front.Pending())
+	slog.Info("stopping", "pending", p.engine.Pending())
 	now := p.clock.Now()
 	p.answerDeadline, p.exitDeadline = now+p.maxRequestTime+answerMargin, now+p.maxRequestTime+exitMargin
-	p.front.SetFinalDeadline(p.answerDeadline)
-	p.front.Deadlines.Clear(&p.readyTimer)
+	p.engine.SetFinalDeadline(p.answerDeadline)
+	p.engine.Deadlines.Clear(&p.readyTimer)
 	if p.acceptFD > 0 && p.canServe {
 		p.server.Leave()
 	}
-	p.front.Deadlines.Set(&p.stopTimer, now+acceptGrace, func() {
+	p.engine.Deadlines.Set(&p.stopTimer, now+acceptGrace, func() {
 		p.server.Drain()
-		p.front.Deadlines.Set(&p.stopTimer, p.clock.Now()+drainPollInterval, p.pollDrained) // lets the loop see connections that were just accepted
+		p.engine.Deadlines.Set(&p.stopTimer, p.clock.Now()+drainPollInterval, p.pollDrained) // lets the loop see connections that were just accepted
 	})
 }
 
@@ -29,7 +29,7 @@
 func (p *proxy) pollDrained() {
 	now := p.clock.Now()
 	if now >= p.answerDeadline {
-		p.front.EndAllRequests()
+		p.engine.EndAllRequests()
 	}
 	if p.drainComplete() || now >= p.exitDeadline {
 		// The poller may have accepted a connection and read a query that the loop has not seen yet. Running behind the poller ensures
@@ -42,12 +42,12 @@
 				p.loop.Stop()
 				return
 			}
-			p.front.Deadlines.Set(&p.stopTimer, p.clock.Now()+drainPollInterval, p.pollDrained)
+			p.engine.Deadlines.Set(&p.stopTimer, p.clock.Now()+drainPollInterval, p.pollDrained)
 		})
 		return
 	}
-	p.front.Deadlines.Set(&p.stopTimer, now+drainPollInterval, p.pollDrained)
+	p.engine.Deadlines.Set(&p.stopTimer, now+drainPollInterval, p.pollDrained)
 }
 
 // drainComplete closes the clients without outstanding answers, and reports whether none is left.
-func (p *proxy) drainComplete() bool { return p.server.Drained() && p.front.OutstandingAnswers() == 0 }
+func (p *proxy) drainComplete() bool { return p.server.Drained() && p.engine.OutstandingAnswers() == 0 }
--- a/internal/run/stop_test.go
+++ b/internal/run/stop_test.go
@@ -156,8 +156,8 @@
 		t.Errorf("before its connection ended the client got %q, error %v", got, err)
 	}
 	<-ended
-	if p.front.OutstandingAnswers() != 0 || p.front.Counters.Failed+p.front.Counters.Refused != 2 {
-		t.Errorf("%d answers owed; counters %+v", p.front.OutstandingAnswers(), p.front.Counters)
+	if p.engine.OutstandingAnswers() != 0 || p.engine.Counters.Failed+p.engine.Counters.Refused != 2 {
+		t.Errorf("%d answers owed; counters %+v", p.engine.OutstandingAnswers(), p.engine.Counters)
 	}
 }
 
@@ -232,7 +232,7 @@
 		t.Errorf("the client got %q, error %v", got, err)
 	}
 	<-ended
-	if c := p.front.Counters; c.Clients != 1 || c.Served != 1 {
+	if c := p.engine.Counters; c.Clients != 1 || c.Served != 1 {
 		t.Errorf("%d clients, %d requests served", c.Clients, c.Served)
 	}
 }
--- a/internal/run/tier.go
+++ b/internal/run/tier.go
@@ -15,12 +15,12 @@
 // joinTier makes the proxy follow its tier's policy. It is called before the loop runs, so that no request is accepted earlier. The levels,
 // handover, routing and classes of the files apply until the tier has a policy of its own.
 func (p *proxy) joinTier(own *operator.File, cfg settings.Config) {
-	p.front.ConfigureLevels(own.Levels)
-	p.front.SetHandover(own.Handover)
-	p.front.SetTuning(own.Tuning)
+	p.engine.ConfigureLevels(own.Levels)
+	p.engine.SetHandover(own.Handover)
+	p.engine.SetTuning(own.Tuning)
 	p.server.TellPolicy(own.Tier.TellClients)
 	p.baseLog = slog.Default()
-	p.tier = net.JoinTier(p.loop, p.clock, p.front, net.TierConfig{Name: cmp.Or(own.Tier.Name, cfg.Name), Planners: own.Tier.Planners,
+	p.tier = net.JoinTier(p.loop, p.clock, p.engine, net.TierConfig{Name: cmp.Or(own.Tier.Name, cfg.Name), Planners: own.Tier.Planners,
 		Rollout: own.Tier.Rollout, Seed: cfg.Settings.Config.Seed, Nonce: rand.Uint64(), Check: p.checkPolicy, Into: p.applyPolicy,
 		Health: net.HealthConfig{Zone: zoneName(cfg), ChecksPerSecond: own.Tier.ChecksPerSecond, BytesPerSecond: own.Tier.ReportBytesPerSecond}})
 	p.server.Belongs(p.tier)
@@ -39,7 +39,7 @@
 	next, err := policy.Decode(text)
 	if err == nil {
 		running := policy.LocalState{InUse: func(name string) bool {
-			for _, c := range p.front.Classes() {
+			for _, c := range p.engine.Classes() {
 				if c.Name == name {
 					return c.Received > 0
 				}
@@ -47,12 +47,12 @@
 			return false
 		}, Groups: func() map[int]bool {
 			groups := map[int]bool{}
-			for _, d := range p.front.Databases() {
+			for _, d := range p.engine.Databases() {
 				groups[d.Group] = true
 			}
 			return groups
 		}}
-		for _, c := range p.front.Classes() {
+		for _, c := range p.engine.Classes() {
 			running.Classes = append(running.Classes, c.Name)
 		}
 		err = next.Check(running)
@@ -77,15 +77,15 @@
 		p.loop.Stop()
 		return
 	}
-	c := p.front.Config()
+	c := p.engine.Config()
 	c.Classes, c.MaxAttempts, c.EnableRetryAfter, c.MaxRetryAfter = next.Classes, next.MaxAttempts, next.MayComeBack, next.MaxComeBack
-	p.front.Reload(c)
+	p.engine.Reload(c)
 	for _, k := range next.Classes {
 		p.maxRequestTime = min(max(p.maxRequestTime, k.Limit), maxRequestTimeLimit)
 	}
-	p.front.ConfigureLevels(next.Levels)
-	p.front.SetHandover(next.Handover)
-	p.front.SetTuning(next.Tuning)
+	p.engine.ConfigureLevels(next.Levels)
+	p.engine.SetHandover(next.Handover)
+	p.engine.SetTuning(next.Tuning)
 }
 
 // LoadPolicy builds a tier's policy from an operator's file and the classes of a configuration.
--- a/internal/run/trace.go
+++ b/internal/run/trace.go
@@ -22,7 +22,7 @@
 	}
 	if cfg.File == "" {
 		p.traceConfig = nil
-		return func() { go p.closeTrace(p.front.SetTrace(nil)) }, nil
+		return func() { go p.closeTrace(p.engine.SetTrace(nil)) }, nil
 	}
 	if t != nil && t.SaltFile != "" {
 		salt, err := os.ReadFile(t.SaltFile)
@@ -38,7 +38,7 @@
 		return func() {}, nil
 	}
 	var classes []string
-	for _, c := range p.front.Classes() {
+	for _, c := range p.engine.Classes() {
 		classes = append(classes, c.Name)
 	}
 	w, err := trace.Create(cfg, classes, p.clock.Unix())
@@ -47,7 +47,7 @@
 	}
 	p.traceConfig = &cfg
 	slog.Info("recording client requests", "file", cfg.File, "sample", w.Sample(), "most_bytes", w.MaxBytes())
-	return func() { go p.closeTrace(p.front.SetTrace(w)) }, nil
+	return func() { go p.closeTrace(p.engine.SetTrace(w)) }, nil
 }
 
 // closeTrace closes a trace. It waits for the disk, so it must not run on the loop.
