--- a/internal/state/audit_test.go
+++ b/internal/state/audit_test.go
@@ -97,7 +97,7 @@
 	return a.draws[a.drawn%len(a.draws)] * (1 + a.drawn/len(a.draws)) % n
 }
 
-func (a *auditor) after(d time.Duration, e func()) { a.timers.Set(&Deadline{}, a.now+d, e) }
+func (a *auditor) after(d time.Duration, callback func()) { a.timers.Set(&Deadline{}, a.now+d, callback) }
 
 // Served, Refused, Failed and Unfit implement Caller.
 func (r *auditRequest) Served(body []byte) {
@@ -162,9 +162,9 @@
 }
 
 // notify passes an event to the engine unless the connection is closed.
-func (c *auditConn) notify(e func()) {
+func (c *auditConn) notify(event func()) {
 	if !c.closed {
-		e()
+		event()
 	}
 }
 
@@ -293,9 +293,9 @@
 }
 
 // notifyAttempt passes the result of an attempt if the engine still waits for it on this connection.
-func (c *auditConn) notifyAttempt(x *auditAttempt, e func()) {
+func (c *auditConn) notifyAttempt(x *auditAttempt, event func()) {
 	if !c.closed && c.attempt == x {
-		e()
+		event()
 	}
 }
 
