--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -12,8 +12,8 @@
 	"havenproxy/internal/state"
 )
 
-// Database is the name that leads to the console.
-const Database = "havenproxy"
+// DatabaseName is the name that leads to the console.
+const DatabaseName = "havenproxy"
 
 // Table is a result set.
 type Table struct {
@@ -38,11 +38,11 @@
 
 // Client is a client's connection.
 type Client struct {
-	Address string
-	State   string
-	Since   time.Duration // how long it has been so
-	Waiting int           // requests under way
-	Bytes   int           // of a query that has come in part
+	Address      string
+	State        string
+	InState      time.Duration // how long it has been so
+	Pending      int           // requests under way
+	PartialBytes int           // of a query that has come in part
 }
 
 // Source is what the tables are made of.
@@ -56,12 +56,12 @@
 
 // Tier is what a proxy knows of the tier that it belongs to.
 type Tier struct {
-	Number, Member uint64
-	Planner        string        // that is spoken to; empty = none
-	Lease          time.Duration // what is left of it
-	Leases         bool          // there are any
-	Ready, Holds   bool
-	Waits          string // why it could not join, as last told
+	Policy, Member       uint64
+	Planner              string        // that is spoken to; empty = none
+	LeaseLeft            time.Duration // what is left of it
+	UsesLeases           bool          // there are any
+	Ready, HoldsRequests bool
+	JoinError            string // why it could not join, as last told
 }
 
 type view struct {
@@ -84,8 +84,8 @@
 	"HISTORY":    {"the last changes of level, the newest first", historyTable},
 }
 
-// Views are the words behind SHOW, in order.
-func Views() []string {
+// Commands are the words behind SHOW, in order.
+func Commands() []string {
 	out := []string{"HELP"}
 	for name := range views {
 		out = append(out, name)
@@ -94,8 +94,8 @@
 	return out
 }
 
-// Answer gives the table that a statement asks for. The error tells what is known instead.
-func Answer(text string, s Source) (Table, error) {
+// Execute gives the table that a statement asks for. The error tells what is known instead.
+func Execute(text string, s Source) (Table, error) {
 	words := strings.Fields(strings.Trim(strings.ToUpper(text), " \t\r\n;"))
 	if len(words) == 2 && words[0] == "SHOW" {
 		if words[1] == "HELP" {
@@ -105,12 +105,12 @@
 			return v.make(s), nil
 		}
 	}
-	return Table{}, fmt.Errorf("the console knows SHOW %s; SHOW HELP tells more", strings.Join(Views(), ", SHOW "))
+	return Table{}, fmt.Errorf("the console knows SHOW %s; SHOW HELP tells more", strings.Join(Commands(), ", SHOW "))
 }
 
 func help() Table {
 	t := Table{Columns: []string{"command", "shows"}}
-	for _, name := range Views() {
+	for _, name := range Commands() {
 		if v, ok := views[name]; ok {
 			t.add("SHOW "+name, v.help)
 		} else {
@@ -130,12 +130,12 @@
 			highest, at = l.Level, l
 		}
 		var admits []string
-		for i, share := range l.Admit {
+		for i, share := range l.AdmittedShares {
 			if share < 1 {
 				admits = append(admits, fmt.Sprintf("%s=%.2f", classes[i].Name, share))
 			}
 		}
-		t.add(l.Group, l.Name, l.Level, now-l.Since, l.Pressure, or(strings.Join(admits, " "), "all"), l.Offered, l.Capacity, l.Lost, l.Changes, l.Dwell, or(l.Frozen, "-"), l.Why, l.Leave)
+		t.add(l.Group, l.Name, l.Level, now-l.Since, l.Pressure, or(strings.Join(admits, " "), "all"), l.OfferedWork, l.Capacity, l.LostShare, l.RecentChanges, l.Dwell, or(l.FrozenReason, "-"), l.Reason, l.ExitCondition)
 	}
 	if highest >= 0 {
 		t.add("all", at.Name, at.Level, now-at.Since, at.Pressure, "-", 0.0, 0.0, 0.0, 0, time.Duration(0), "-", fmt.Sprintf("the highest level, that of group %d", at.Group), "-")
@@ -165,7 +165,7 @@
 		if d.PositionAge >= 0 {
 			behind = fmt.Sprint(d.PositionAge.Milliseconds())
 		}
-		t.add(d.Name, d.Address, d.Group, d.State, d.Role, d.Health, d.Out, d.Limit, d.Strain, float64(d.Ping.Microseconds())/1e3, behind)
+		t.add(d.Name, d.Address, d.Group, d.State, d.Role, d.Health, d.InFlight, d.Limit, d.LatencyRatio, float64(d.Ping.Microseconds())/1e3, behind)
 	}
 	return t
 }
@@ -182,10 +182,10 @@
 	t := Table{Columns: []string{"name", "address", "group", "zone", "state", "hint", "why", "known"}}
 	for _, e := range s.Front().MergedMembers() {
 		var known []string
-		for _, k := range e.Facts {
-			known = append(known, fmt.Sprintf("%s: %s for %.1f s (%.2f)", k.Source, k.What, k.Age.Seconds(), k.Confidence))
+		for _, k := range e.Evidence {
+			known = append(known, fmt.Sprintf("%s: %s for %.1f s (%.2f)", k.Source, k.Claim, k.Age.Seconds(), k.Confidence))
 		}
-		t.add(e.ID, e.Address, e.Group, e.Zone, e.State.String(), or(e.Role.String(), "-"), e.Why, strings.Join(known, "; "))
+		t.add(e.ID, e.Address, e.Group, e.Zone, e.State.String(), or(e.Role.String(), "-"), e.Reason, strings.Join(known, "; "))
 	}
 	if !s.Front().MergesCatalogues() { // the platform's list stands alone
 		for _, d := range s.Front().Databases() {
@@ -199,10 +199,10 @@
 	t := Table{Columns: []string{"name", "members", "index", "heard_s", "behind_s", "failures", "doubted", "doubts", "damped", "skipped", "last_error"}}
 	for _, c := range s.Front().Catalogues() {
 		heard := "never"
-		if c.Contact >= 0 {
-			heard = fmt.Sprintf("%.1f", c.Contact.Seconds())
+		if c.SinceContact >= 0 {
+			heard = fmt.Sprintf("%.1f", c.SinceContact.Seconds())
 		}
-		t.add(c.Name, c.Members, c.Index, heard, c.Behind, c.Failures, c.Doubted, c.Doubts, c.Suppressed, c.Skipped, or(c.LastError, "-"))
+		t.add(c.Name, c.Members, c.Index, heard, c.Lag, c.Failures, c.Doubted, c.DoubtCount, c.Suppressed, c.Skipped, or(c.LastError, "-"))
 	}
 	if f := s.Front(); !f.MergesCatalogues() {
 		t.add(state.DiscoveryCatalogue, len(f.Databases()), "-", "-", time.Duration(0), f.Counters.ListFailures, false, 0, 0, 0, "-")
@@ -216,12 +216,12 @@
 	if x, ok := s.Tier(); ok {
 		how := "refused"
 		switch {
-		case x.Holds:
+		case x.HoldsRequests:
 			how = "wait"
 		case x.Ready:
 			how = "taken"
 		}
-		t.add(x.Number, how, f.GateQueueLength(), f.Counters.GateQueued, f.Counters.GateRefused)
+		t.add(x.Policy, how, f.GateQueueLength(), f.Counters.GateQueued, f.Counters.GateRefused)
 	} else {
 		t.add(or(f.Revision(), "-"), "taken, by the proxy's own files", 0, uint64(0), uint64(0))
 	}
@@ -232,10 +232,10 @@
 	t := Table{Columns: []string{"member", "planner", "lease_s", "why_not"}}
 	if x, ok := s.Tier(); ok {
 		lease := "-"
-		if x.Leases {
-			lease = fmt.Sprintf("%.1f", max(x.Lease.Seconds(), 0))
+		if x.UsesLeases {
+			lease = fmt.Sprintf("%.1f", max(x.LeaseLeft.Seconds(), 0))
 		}
-		t.add(x.Member, or(x.Planner, "none"), lease, or(x.Waits, "-"))
+		t.add(x.Member, or(x.Planner, "none"), lease, or(x.JoinError, "-"))
 	} else {
 		t.add("-", "-", "-", "no tier() in the operator's file")
 	}
@@ -257,7 +257,7 @@
 	t := Table{Columns: []string{"address", "state", "since_s", "waiting", "part_bytes"}}
 	list, all := s.Clients(mostClients)
 	for _, c := range list {
-		t.add(c.Address, c.State, c.Since, c.Waiting, c.Bytes)
+		t.add(c.Address, c.State, c.InState, c.Pending, c.PartialBytes)
 	}
 	if left := all - len(list); left > 0 {
 		t.add(fmt.Sprintf("and %d more", left), "-", time.Duration(0), 0, 0)
@@ -268,7 +268,7 @@
 func countersTable(s Source) Table {
 	t := Table{Columns: []string{"name", "value"}}
 	if x, ok := s.Tier(); ok {
-		t.add("policy", x.Number)
+		t.add("policy", x.Policy)
 	}
 	for _, a := range s.Front().Counters.LogValue().Group() {
 		t.add(a.Key, a.Value.String())
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -231,7 +231,7 @@
 func newService(seed uint64, bound time.Duration) *service {
 	s := &service{clock: &handClock{now: time.Hour}, rng: rand.New(rand.NewPCG(seed, 1)), gen: 3}
 	cfg := settings
-	cfg.Seed, cfg.Pull, cfg.ListBound, cfg.Tick = seed, true, bound, 50*time.Millisecond
+	cfg.Seed, cfg.ListOnRequest, cfg.ListMaxDelay, cfg.Tick = seed, true, bound, 50*time.Millisecond
 	var err error
 	if s.front, err = state.New(state.Config{Logic: cfg, MaxConnections: 4}, s.clock, &Databases{}); err != nil {
 		panic(err)
@@ -256,7 +256,7 @@
 // could be reached. Its calls never follow each other faster than the least period.
 func TestAChangeIsKnownWithinTheBound(t *testing.T) {
 	quiet(t)
-	for _, bound := range []time.Duration{limit.DefaultBound, time.Second} {
+	for _, bound := range []time.Duration{limit.DefaultPropagationBound, time.Second} {
 		for seed := range uint64(1500) {
 			s := newService(seed, bound)
 			start := s.clock.now
--- a/internal/state/audit_test.go
+++ b/internal/state/audit_test.go
@@ -97,7 +97,9 @@
 	return a.draws[a.drawn%len(a.draws)] * (1 + a.drawn/len(a.draws)) % n
 }
 
-func (a *auditor) after(d time.Duration, callback func()) { a.timers.Set(&Deadline{}, a.now+d, callback) }
+func (a *auditor) after(d time.Duration, callback func()) {
+	a.timers.Set(&Deadline{}, a.now+d, callback)
+}
 
 // Served, Refused, Failed and Unfit implement Caller.
 func (r *auditRequest) Served(body []byte) {
@@ -108,7 +110,7 @@
 }
 
 func (r *auditRequest) Refused(time.Duration) {
-	if r.class.Effect != logic.Free && !(r.class.Effect == logic.Guarded && r.class.Scope == logic.ScopeAll) {
+	if r.class.Effect != logic.Idempotent && !(r.class.Effect == logic.Guarded && r.class.Scope == logic.ScopeAll) {
 		for _, x := range r.attempts {
 			if x.mayRun {
 				r.auditor.t.Errorf("request %d (%s) is refused though it may have run", r.number, r.class.Name)
@@ -206,7 +208,7 @@
 		t.Errorf("request %d is sent %v after its client left", q.number, a.now-q.abandonedAt)
 	case len(q.answers) > 0:
 		t.Errorf("request %d is sent behind its answer", q.number)
-	case to.Name == "" || to.State != logic.Ready && !(to.State == logic.Gone && a.cfg.DrainOnly && !a.draining[to.Name]):
+	case to.Name == "" || to.State != logic.Ready && !(to.State == logic.Gone && a.cfg.IgnoreGone && !a.draining[to.Name]):
 		t.Errorf("request %d is sent to %s, which is listed as %s", q.number, c.address, stateName(to.State))
 	case a.now >= q.deadline || wait <= 0 || a.now+wait > q.deadline:
 		t.Errorf("request %d is sent at %v of %v, to wait for %v", q.number, a.now-q.at, q.deadline-q.at, wait)
@@ -217,7 +219,7 @@
 		if x.open {
 			t.Errorf("request %d has two attempts out", q.number)
 		}
-		if !x.mayRun || q.class.Effect == logic.Free {
+		if !x.mayRun || q.class.Effect == logic.Idempotent {
 			continue
 		}
 		if q.class.Effect == logic.SingleShot || a.now > x.at+q.class.DedupWindow || x.group != to.Group && q.class.Scope == logic.ScopeCell ||
@@ -251,9 +253,9 @@
 	}
 	switch a.draw(16) {
 	case 1:
-		a.after(took, func() { c.notifyAttempt(x, clean(logic.Miss)) })
+		a.after(took, func() { c.notifyAttempt(x, clean(logic.Misdirected)) })
 	case 2:
-		a.after(took, func() { c.notifyAttempt(x, clean(logic.Full)) })
+		a.after(took, func() { c.notifyAttempt(x, clean(logic.Rejected)) })
 	case 3:
 		a.after(took, func() { c.notifyAttempt(x, reply(Reply{Result: logic.Failed, Role: role})) })
 	case 4: // reset during the request
@@ -271,7 +273,7 @@
 		a.after(10*took, func() { c.notifyAttempt(x, reply(Reply{Result: logic.OK, Body: body, Role: role})) })
 	default:
 		if q.class.Read == logic.Write && role != logic.RolePrimary {
-			a.after(took, func() { c.notifyAttempt(x, clean(logic.Miss)) })
+			a.after(took, func() { c.notifyAttempt(x, clean(logic.Misdirected)) })
 			break
 		}
 		a.after(took, func() {
@@ -360,10 +362,10 @@
 		return time.Duration(rapid.IntRange(from, to).Draw(t, name)) * time.Millisecond
 	}
 	yes := func(name string) bool { return rapid.Bool().Draw(t, name) }
-	c := logic.Config{Seed: uint64(rapid.IntRange(1, 9).Draw(t, "seed")), Fronts: rapid.IntRange(1, 3).Draw(t, "fronts"), Tick: 5 * time.Millisecond,
-		Pull: true, Carried: yes("carried"), MayProbe: yes("probes"), MayCancel: yes("cancel"), MayComeBack: yes("come back"),
-		MaxAttempts: rapid.IntRange(1, 6).Draw(t, "attempts"), MaxComeBack: 300 * time.Millisecond, Cold: 2 * time.Second, ColdShare: 0.2,
-		FallMultiple: 2.5, DrainOnly: yes("drain only"), Checks: logic.Checks(rapid.IntRange(0, 2).Draw(t, "checks")),
+	c := logic.Config{Seed: uint64(rapid.IntRange(1, 9).Draw(t, "seed")), Proxies: rapid.IntRange(1, 3).Draw(t, "fronts"), Tick: 5 * time.Millisecond,
+		ListOnRequest: true, SessionTokens: yes("carried"), EnableProbes: yes("probes"), EnableCancel: yes("cancel"), EnableRetryAfter: yes("come back"),
+		MaxAttempts: rapid.IntRange(1, 6).Draw(t, "attempts"), MaxRetryAfter: 300 * time.Millisecond, ColdPeriod: 2 * time.Second, ColdShare: 0.2,
+		OverloadMultiple: 2.5, IgnoreGone: yes("drain only"), LagCheck: logic.LagCheck(rapid.IntRange(0, 2).Draw(t, "checks")),
 		Zone: rapid.IntRange(0, 1).Draw(t, "zone")}
 	for i := range rapid.IntRange(1, 4).Draw(t, "classes") {
 		x := logic.Class{Name: fmt.Sprint("class ", i), Read: logic.Freshness(rapid.IntRange(0, 4).Draw(t, "read")), MaxAge: ms("age", 50, 800),
@@ -552,8 +554,8 @@
 				t.Errorf("an attempt still waits for a connection to %s", m.name)
 			}
 		}
-		if v, ok := e.router.Member(a.now, m.id); ok && v.Out > 0 {
-			t.Errorf("%d of %s's slots are not returned", v.Out, m.name)
+		if v, ok := e.router.MemberStats(a.now, m.id); ok && v.InFlight > 0 {
+			t.Errorf("%d of %s's slots are not returned", v.InFlight, m.name)
 		}
 	}
 	if e.openConns != open || held != open {
--- a/internal/state/catalogue.go
+++ b/internal/state/catalogue.go
@@ -28,23 +28,23 @@
 		if e.membership != nil {
 			e.membership = nil
 			e.Deadlines.Clear(&e.mergeTimer)
-			e.Fetch()
+			e.FetchList()
 		}
 		return
 	case e.membership == nil:
 		e.membership, e.failingCatalogues = membership.New(*cfg), map[string]bool{}
-		e.membership.AddCatalogue(DiscoveryCatalogue, membership.Trust{Binding: true})
+		e.membership.AddCatalogue(DiscoveryCatalogue, membership.Trust{Authoritative: true})
 		e.mergeTick()
 		// The current members stay in use until a catalogue says otherwise, even where the discovery service is not among
 		// the catalogues from now on.
-		known := membership.News{Whole: true}
+		known := membership.Update{Complete: true}
 		for _, m := range e.membersByName {
 			if m.state != logic.Gone {
-				known.Facts = append(known.Facts, membership.Fact{ID: m.name, Address: m.address, Zone: m.zone, Group: m.group, Health: healthOf(m.state),
+				known.Listings = append(known.Listings, membership.Listing{ID: m.name, Address: m.address, Zone: m.zone, Group: m.group, Health: healthOf(m.state),
 					Weight: m.size, Started: m.started})
 			}
 		}
-		slices.SortFunc(known.Facts, func(a, b membership.Fact) int { return cmp.Compare(a.ID, b.ID) })
+		slices.SortFunc(known.Listings, func(a, b membership.Listing) int { return cmp.Compare(a.ID, b.ID) })
 		e.membership.Update(e.clock.Now(), DiscoveryCatalogue, known)
 	default:
 		e.membership.Configure(*cfg)
@@ -52,7 +52,7 @@
 	if withoutDiscovery {
 		e.membership.DropCatalogue(e.clock.Now(), DiscoveryCatalogue)
 	} else {
-		e.membership.AddCatalogue(DiscoveryCatalogue, membership.Trust{Binding: true})
+		e.membership.AddCatalogue(DiscoveryCatalogue, membership.Trust{Authoritative: true})
 	}
 	e.applyMergedChanges()
 }
@@ -79,7 +79,7 @@
 }
 
 // UpdateCatalogue applies a catalogue's answer.
-func (e *Engine) UpdateCatalogue(source string, n membership.News) {
+func (e *Engine) UpdateCatalogue(source string, n membership.Update) {
 	if e.membership == nil {
 		return
 	}
@@ -111,9 +111,9 @@
 
 // updateFromDiscovery applies the discovery service's list as one catalogue among others.
 func (e *Engine) updateFromDiscovery(l List) {
-	n := membership.News{Whole: l.Kind != logic.ListDelta}
+	n := membership.Update{Complete: l.Kind != logic.ListDelta}
 	for _, entry := range l.Entries {
-		n.Facts = append(n.Facts, membership.Fact{ID: entry.Name, Address: entry.Address, Zone: entry.Zone, Group: entry.Group, Health: healthOf(entry.State),
+		n.Listings = append(n.Listings, membership.Listing{ID: entry.Name, Address: entry.Address, Zone: entry.Zone, Group: entry.Group, Health: healthOf(entry.State),
 			Weight: entry.Size, Started: entry.Started})
 	}
 	e.membership.Update(e.clock.Now(), DiscoveryCatalogue, n)
@@ -130,11 +130,11 @@
 	}
 	l := List{Kind: logic.ListDelta}
 	for _, change := range changes {
-		entry := Entry{Name: change.ID, Address: change.Address, Zone: change.Zone, Group: change.Group, Size: change.Weight, Started: change.Started, ObservedStart: change.Begun}
-		entry.State = [...]logic.MemberState{membership.Gone: logic.Gone, membership.Ready: logic.Ready, membership.Drains: logic.Draining}[change.State]
+		entry := Entry{Name: change.ID, Address: change.Address, Zone: change.Zone, Group: change.Group, Size: change.Weight, Started: change.Started, ObservedStart: change.RestartedAt}
+		entry.State = [...]logic.MemberState{membership.StateRemoved: logic.Gone, membership.StateReady: logic.Ready, membership.StateDraining: logic.Draining}[change.State]
 		m := e.membersByName[change.ID]
 		if m == nil || m.state != entry.State {
-			slog.Info("member", "name", change.ID, "address", change.Address, "state", change.State.String(), "why", change.Why)
+			slog.Info("member", "name", change.ID, "address", change.Address, "state", change.State.String(), "why", change.Reason)
 		}
 		if m == nil && entry.State == logic.Gone {
 			continue
@@ -151,7 +151,7 @@
 		return
 	}
 	switch {
-	case r.Result == logic.OK || r.Result == logic.Miss || r.Result == logic.Failed || r.Result == logic.Full:
+	case r.Result == logic.OK || r.Result == logic.Misdirected || r.Result == logic.Failed || r.Result == logic.Rejected:
 		e.membership.MarkAlive(e.clock.Now(), m.name, r.opened)
 	case silent:
 		e.membership.MarkSilent(e.clock.Now(), m.name)
--- a/internal/state/catalogue_test.go
+++ b/internal/state/catalogue_test.go
@@ -10,11 +10,13 @@
 )
 
 // newMergingHarness returns a harness with a further catalogue "c" and a function that sends its full list.
-func newMergingHarness(t *testing.T, alone bool) (*harness, func(facts ...membership.Fact)) {
+func newMergingHarness(t *testing.T, alone bool) (*harness, func(facts ...membership.Listing)) {
 	h := newHarness(t, 9)
 	h.e.ConfigureMerging(&membership.Config{}, alone)
 	h.e.AddCatalogue("c")
-	return h, func(f ...membership.Fact) { h.e.UpdateCatalogue("c", membership.News{Whole: true, Facts: f}) }
+	return h, func(f ...membership.Listing) {
+		h.e.UpdateCatalogue("c", membership.Update{Complete: true, Listings: f})
+	}
 }
 
 func (h *harness) listed(name string) (logic.Member, bool) {
@@ -30,7 +32,7 @@
 // identity and their attributes, and none is listed twice.
 func TestSameDatabasesUnderOtherNames(t *testing.T) {
 	h, tell := newMergingHarness(t, true)
-	tell(membership.Fact{ID: "other-1", Address: "127.0.0.1:1"}, membership.Fact{ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining})
+	tell(membership.Listing{ID: "other-1", Address: "127.0.0.1:1"}, membership.Listing{ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining})
 	if len(h.e.membersByName) != 4 { // the addresses a:1 and a:2 are not theirs
 		t.Fatalf("%d members", len(h.e.membersByName))
 	}
@@ -39,7 +41,7 @@
 		{Name: "two", Address: "127.0.0.1:2", State: logic.Ready}}})
 	h.e.ConfigureMerging(&membership.Config{}, true)
 	h.e.AddCatalogue("c")
-	h.e.UpdateCatalogue("c", membership.News{Whole: true, Facts: []membership.Fact{{ID: "other-1", Address: "127.0.0.1:1", Zone: "x"}, {ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining}}})
+	h.e.UpdateCatalogue("c", membership.Update{Complete: true, Listings: []membership.Listing{{ID: "other-1", Address: "127.0.0.1:1", Zone: "x"}, {ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining}}})
 	if len(h.e.membersByName) != 2 || h.e.membersByName["two"].state != logic.Draining || h.e.membersByName["one"].zone != "x" || h.e.membersByName["one"].started != 5*time.Second {
 		t.Errorf("%d members, %+v", len(h.e.membersByName), h.e.membersByName["one"])
 	}
@@ -49,23 +51,23 @@
 // another restart, after which the member would be cold again.
 func TestInferredStartConvertedOnce(t *testing.T) {
 	h, tell := newMergingHarness(t, false)
-	f := membership.Fact{ID: "m", Address: "127.0.0.1:9"}
+	f := membership.Listing{ID: "m", Address: "127.0.0.1:9"}
 	tell(f)
-	if e, ok := h.listed("m"); !ok || e.Born != 0 {
+	if e, ok := h.listed("m"); !ok || e.StartedAt != 0 {
 		t.Fatalf("%+v", e)
 	}
 	f.Address = "127.0.0.1:10" // another process
 	h.advance(3 * time.Second)
 	tell(f)
 	first, _ := h.listed("m")
-	if first.Born != h.now {
-		t.Errorf("begun at %v, now is %v", first.Born, h.now)
+	if first.StartedAt != h.now {
+		t.Errorf("begun at %v, now is %v", first.StartedAt, h.now)
 	}
 	h.advance(3 * time.Second)
 	for i, step := range []time.Duration{2 * time.Millisecond, -2 * time.Millisecond} { // wall clocks are adjusted
 		f.Zone, h.wallClockStep = [...]string{"x", "y"}[i], step
 		tell(f)
-		if again, _ := h.listed("m"); again.Born != first.Born || again.Zone != i {
+		if again, _ := h.listed("m"); again.StartedAt != first.StartedAt || again.Zone != i {
 			t.Errorf("%+v, before %+v", again, first)
 		}
 	}
@@ -81,15 +83,15 @@
 	}
 	at := h.Unix() - time.Second
 	first := tell(at)
-	if first.Born != h.now-time.Second {
+	if first.StartedAt != h.now-time.Second {
 		t.Errorf("%+v", first)
 	}
 	for _, step := range []time.Duration{time.Microsecond, -time.Microsecond, -time.Second} {
-		if h.wallClockStep = step; tell(at).Born != first.Born {
+		if h.wallClockStep = step; tell(at).StartedAt != first.StartedAt {
 			t.Errorf("a clock that was set by %v makes a start of it", step)
 		}
 	}
-	if tell(at+500*time.Millisecond).Born <= first.Born {
+	if tell(at+500*time.Millisecond).StartedAt <= first.StartedAt {
 		t.Error("a later start is one")
 	}
 }
@@ -98,7 +100,7 @@
 // When merging ends, the discovery service's list is used by itself again.
 func TestEvidencePassedToMembership(t *testing.T) {
 	h, tell := newMergingHarness(t, false)
-	f := membership.Fact{ID: "m", Address: "127.0.0.1:9"}
+	f := membership.Listing{ID: "m", Address: "127.0.0.1:9"}
 	tell(f)
 	f.Health = membership.Critical
 	tell(f)
@@ -129,7 +131,7 @@
 		t.Errorf("%+v", c)
 	}
 	h.e.ConfigureMerging(nil, false)
-	h.e.UpdateCatalogue("c", membership.News{Whole: true, Facts: []membership.Fact{f}}) // late
+	h.e.UpdateCatalogue("c", membership.Update{Complete: true, Listings: []membership.Listing{f}}) // late
 	if h.e.MergesCatalogues() || h.e.MergedMembers() != nil {
 		t.Error("still merging")
 	}
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -75,11 +75,11 @@
 	switch r {
 	case logic.OK:
 		c.OK++
-	case logic.Miss:
+	case logic.Misdirected:
 		c.Miss++
 	case logic.Failed:
 		c.Failures++
-	case logic.Full:
+	case logic.Rejected:
 		c.Full++
 	case logic.TimedOut:
 		c.TimedOut++
--- a/internal/state/ending.go
+++ b/internal/state/ending.go
@@ -13,7 +13,7 @@
 
 // EndAllRequests answers all open requests at once. It may be called again for requests submitted since.
 func (e *Engine) EndAllRequests() {
-	e.dispatch(func() { e.router.EndAll(e.clock.Now()) })
+	e.dispatch(func() { e.router.FinishAll(e.clock.Now()) })
 	var unknown []logic.RequestID // requests that the router does not know yet
 	for id, req := range e.requests {
 		if req.caller != nil {
--- a/internal/state/ending_test.go
+++ b/internal/state/ending_test.go
@@ -36,7 +36,7 @@
 				t.Errorf("%d requests were written, want %d", h.conns[0].sent, c.sent)
 			}
 			if c.sent == 0 {
-				h.wantCalls(outcomeCall(logic.Moot, name == "no client any more"))
+				h.wantCalls(outcomeCall(logic.NotSent, name == "no client any more"))
 				if busy := h.e.membersByName["one"]; busy != nil && len(busy.openingConns) > 0 {
 					t.Error("the connection is still taken for one in the making")
 				}
@@ -58,7 +58,7 @@
 	if h.conns[0].sent != 1 {
 		t.Errorf("%d requests were written, want the first alone", h.conns[0].sent)
 	}
-	h.wantCalls(outcomeCall(logic.Moot, true), outcomeCall(logic.OK, true))
+	h.wantCalls(outcomeCall(logic.NotSent, true), outcomeCall(logic.OK, true))
 }
 
 // A connection that is still being established, and whose attempt was sent over another one, serves the next attempt
@@ -119,7 +119,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 9)
-			h.e.cfg.Logic.DrainOnly = true
+			h.e.cfg.Logic.IgnoreGone = true
 			h.submitAndSend(&caller{})
 			for _, l := range c.lists {
 				h.e.UpdateList(l)
--- a/internal/state/figures.go
+++ b/internal/state/figures.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		listed++
-		if m.state != logic.Ready || e.router != nil && e.router.Avoids(now, m.id) {
+		if m.state != logic.Ready || e.router != nil && e.router.Excluded(now, m.id) {
 			avoided++
 		}
 	}
--- a/internal/state/front.go
+++ b/internal/state/front.go
@@ -103,7 +103,7 @@
 	gate        gateState
 	peerSender  PeerSender // nil = no messages are sent to peers
 	peerMessage []byte
-	peerFacts   []peers.Fact
+	peerFacts   []peers.Report
 	checks      *sharedChecks // nil = health checks are not shared
 
 	lateLog           lateLog
@@ -149,8 +149,8 @@
 		e.classes[c.Name] = i
 	}
 	e.classCounters = make([]ClassCounters, len(cfg.Logic.Classes))
-	if cfg.Logic.Connections == 0 {
-		cfg.Logic.Connections = cfg.MaxConnections
+	if cfg.Logic.MaxConnections == 0 {
+		cfg.Logic.MaxConnections = cfg.MaxConnections
 	}
 	var err error
 	e.router, err = logic.New(cfg.Logic, e)
@@ -294,7 +294,7 @@
 	if m == nil || req.caller == nil || req.attempt != nil {
 		e.dispatch(func() {
 			e.events.Outcome(e.clock.Now(), logic.Outcome{Request: id, Attempt: a.number, Member: to,
-				Result: logic.Moot, Finished: req.caller == nil})
+				Result: logic.NotSent, Finished: req.caller == nil})
 		})
 		return
 	}
@@ -366,9 +366,9 @@
 		e.answer(req.id, &e.Counters.Failed, failedCount, func(c Caller) { c.BadRequest(r.Body) })
 	}
 	now := e.clock.Now()
-	o := logic.Outcome{Request: req.id, Attempt: a.number, Member: a.member.id, Result: r.Result, Took: now - a.sentAt,
+	o := logic.Outcome{Request: req.id, Attempt: a.number, Member: a.member.id, Result: r.Result, Elapsed: now - a.sentAt,
 		Finished: req.caller == nil, Role: r.Role, Position: fromUnix(e.clock, time.Duration(r.Position)*time.Millisecond),
-		Load: e.loadReport(r), Opened: r.opened, Refused: r.refused}
+		Load: e.loadReport(r), ConnOpenedAt: r.opened, DialRefused: r.refused}
 	e.forgetIfDone(req)
 	e.dispatch(func() { e.events.Outcome(e.clock.Now(), o) })
 }
@@ -383,14 +383,14 @@
 	e.Deadlines.Set(d, at, func() { e.dispatch(func() { e.events.Timer(e.clock.Now(), id) }) })
 }
 
-// Watch implements logic.Actions.
-func (e *Engine) Watch(on bool) {
+// WatchList implements logic.Actions.
+func (e *Engine) WatchList(on bool) {
 	e.Counters.ListCalls++
 	e.watcher.Watch(on)
 }
 
-// Fetch implements logic.Actions.
-func (e *Engine) Fetch() {
+// FetchList implements logic.Actions.
+func (e *Engine) FetchList() {
 	e.Counters.ListCalls++
 	e.watcher.Fetch()
 }
--- a/internal/state/health.go
+++ b/internal/state/health.go
@@ -56,7 +56,7 @@
 	}
 	if e.SharesChecks() {
 		e.checks.dropSubset(e)
-		e.dispatch(func() { e.router.ShareChecks(e.clock.Now(), 0) })
+		e.dispatch(func() { e.router.SetSharedChecks(e.clock.Now(), 0) })
 	}
 	e.checks = &sharedChecks{config: config, members: map[subset.DatabaseID]logic.MemberID{}}
 	e.checks.updateDatabases(e)
@@ -105,7 +105,7 @@
 // plan calculates whether health checks are shared.
 func (s *sharedChecks) plan() healthcheck.Plan {
 	return healthcheck.NewPlan(healthcheck.Settings{Proxies: len(s.tier), Databases: len(s.databases),
-		TalkAllowed: len(s.tier) > 0, ChecksPerSecond: s.config.ChecksPerSecond, BytesPerSecond: s.config.BytesPerSecond})
+		MessagesAllowed: len(s.tier) > 0, ChecksPerSecond: s.config.ChecksPerSecond, BytesPerSecond: s.config.BytesPerSecond})
 }
 
 // replan starts or stops sharing health checks as the plan requires.
@@ -118,18 +118,18 @@
 		s.node = nil
 		e.Deadlines.Clear(&s.timer)
 		s.dropSubset(e)
-		e.dispatch(func() { e.router.ShareChecks(e.clock.Now(), 0) })
+		e.dispatch(func() { e.router.SetSharedChecks(e.clock.Now(), 0) })
 		return
 	}
 	config := healthcheck.Config{Self: s.config.Self, Epoch: s.config.Epoch, Seed: s.config.Seed, Plan: plan}
 	if s.config.Assignment != nil {
-		s.node = healthcheck.NewNodeSharing(now, config, s.config.Assignment)
+		s.node = healthcheck.NewNodeWithAssignment(now, config, s.config.Assignment)
 	} else {
 		s.node = healthcheck.NewNode(now, config)
 	}
 	s.node.SetDatabases(now, s.databases)
 	s.node.SetTier(now, s.tier)
-	e.dispatch(func() { e.router.ShareChecks(e.clock.Now(), plan.ChecksPerSecond) })
+	e.dispatch(func() { e.router.SetSharedChecks(e.clock.Now(), plan.ChecksPerSecond) })
 	e.Deadlines.Set(&s.timer, now+nodeTick, func() { s.tick(e) })
 }
 
@@ -145,7 +145,7 @@
 		if m.state != logic.Ready {
 			continue
 		}
-		number := logic.ShortNumber(id)
+		number := logic.ShortID(id)
 		if _, taken := s.members[number]; taken {
 			shared[number] = true
 		}
@@ -183,7 +183,7 @@
 	}
 	orders := s.node.Tick(now)
 	for _, number := range orders.Checks {
-		e.dispatch(func() { e.router.Check(e.clock.Now(), s.members[number]) })
+		e.dispatch(func() { e.router.SendCheck(e.clock.Now(), s.members[number]) })
 	}
 	for _, m := range orders.Messages {
 		if m.ToPlanner { // messages to single peers cannot be sent yet
@@ -210,9 +210,9 @@
 
 // forwardVerdicts passes changed verdicts to the router.
 func (s *sharedChecks) forwardVerdicts(e *Engine) {
-	for _, x := range s.node.TakeVerdicts(e.clock.Now()) {
+	for _, x := range s.node.TakeChangedVerdicts(e.clock.Now()) {
 		e.Counters.Verdicts++
-		e.dispatch(func() { e.router.Verdict(e.clock.Now(), s.members[x.Database], x.Verdict) })
+		e.dispatch(func() { e.router.ApplyVerdict(e.clock.Now(), s.members[x.Database], x.Verdict) })
 	}
 }
 
@@ -223,22 +223,22 @@
 	}
 	now, seen := e.clock.Now(), observation(r)
 	load := e.loadReport(r)
-	seen.ColdStart = seen.Answered && m.startedAt > 0 && now-m.startedAt < e.cfg.Logic.Cold
+	seen.ColdStart = seen.Answered && m.startedAt > 0 && now-m.startedAt < e.cfg.Logic.ColdPeriod
 	seen.Role, seen.Position = roleOf(load.Role), load.Position
-	s.node.Checked(now, logic.ShortNumber(m.id), seen)
+	s.node.CompleteCheck(now, logic.ShortID(m.id), seen)
 }
 
 // recordAnswer passes an answer to a request to the node as evidence that the database is alive.
 func (s *sharedChecks) recordAnswer(e *Engine, m *member, r Reply) {
 	if s != nil && s.node != nil && observation(r).Answered {
-		s.node.Served(e.clock.Now(), logic.ShortNumber(m.id))
+		s.node.RequestServed(e.clock.Now(), logic.ShortID(m.id))
 	}
 }
 
 // observation converts a reply to an observation of its database's health.
 func observation(r Reply) healthcheck.Observation {
 	switch r.Result {
-	case logic.OK, logic.Miss, logic.Full:
+	case logic.OK, logic.Misdirected, logic.Rejected:
 		return healthcheck.Observation{Answered: true}
 	case logic.Failed:
 		return healthcheck.Observation{Answered: true, Failing: true}
--- a/internal/state/links.go
+++ b/internal/state/links.go
@@ -196,13 +196,13 @@
 	e := c.engine
 	switch c.state {
 	case connOpening: // it was not established, and nothing was written
-		if r.Result != logic.Full {
+		if r.Result != logic.Rejected {
 			r.Result = logic.ConnectFailed
 		}
 		c.fail(r)
 		return
 	case connOverdue:
-		c.endOverdue(handover.Answered)
+		c.endOverdue(handover.ConnectionAnswered)
 		return
 	case connIdle, connStreaming, connClosed: // an unexpected answer could be mistaken for the next one
 		c.Down()
@@ -262,7 +262,7 @@
 		return
 	}
 	if c.state == connOverdue {
-		c.endOverdue(handover.Ended)
+		c.endOverdue(handover.ConnectionEnded)
 		return
 	}
 	r := Reply{Result: logic.Reset}
@@ -283,7 +283,7 @@
 func (c *pooledConn) NotOpened() {
 	if c.state == connOpening {
 		c.engine.Counters.ConnectionsNotOpened++
-		c.fail(Reply{Result: logic.Moot})
+		c.fail(Reply{Result: logic.NotSent})
 	}
 }
 
@@ -312,7 +312,7 @@
 	switch {
 	case a != nil:
 		c.engine.finish(a, r)
-	case c.forProbes && r.Result == logic.Moot:
+	case c.forProbes && r.Result == logic.NotSent:
 		c.engine.probeUnsent(c.member.id)
 	case c.forProbes && previous != connIdle:
 		c.engine.finishProbe(c.member, r, 0)
--- a/internal/state/members.go
+++ b/internal/state/members.go
@@ -68,7 +68,7 @@
 
 // applyList updates the members from a list and passes it to the router.
 func (e *Engine) applyList(l List) {
-	out := logic.List{Kind: l.Kind, Entries: make([]logic.Member, 0, len(l.Entries))}
+	out := logic.MemberList{Kind: l.Kind, Entries: make([]logic.Member, 0, len(l.Entries))}
 	e.changesLogged = 0
 	defer e.logFurtherChanges()
 	for _, m := range e.membersByName {
@@ -78,7 +78,7 @@
 		m := e.updateMember(entry)
 		m.inList = true
 		out.Entries = append(out.Entries, logic.Member{ID: m.id, Zone: e.zoneNumber(entry.Zone), Group: logic.GroupID(entry.Group),
-			State: entry.State, Size: entry.Size, Born: m.startedAt})
+			State: entry.State, Size: entry.Size, StartedAt: m.startedAt})
 	}
 	if l.Kind != logic.ListDelta {
 		for _, m := range e.membersByName {
@@ -118,7 +118,7 @@
 	if e.membership != nil {
 		e.membership.CatalogueFailed(e.clock.Now(), DiscoveryCatalogue, err.Error())
 	}
-	e.dispatch(func() { e.events.Members(e.clock.Now(), logic.List{Kind: logic.ListFailed}) })
+	e.dispatch(func() { e.events.Members(e.clock.Now(), logic.MemberList{Kind: logic.ListFailed}) })
 }
 
 // updateMember updates the member of an entry, creating it if it is new.
@@ -180,13 +180,13 @@
 // sendable reports whether the list allows new attempts on a member. With DrainOnly, a member that is gone may still
 // be used unless it was draining before: its absence from a later list does not end the drain.
 func (e *Engine) sendable(m *member) bool {
-	return m.state == logic.Ready || m.state == logic.Gone && e.cfg.Logic.DrainOnly && !m.draining
+	return m.state == logic.Ready || m.state == logic.Gone && e.cfg.Logic.IgnoreGone && !m.draining
 }
 
 // forgetGone removes a member that is gone once no connection to it is left, as databases come and go under new names
 // all day. With DrainOnly, only a full list without the member means that no more requests will be sent to it.
 func (e *Engine) forgetGone(m *member) {
-	if m.state == logic.Gone && (!m.inList || !e.cfg.Logic.DrainOnly) && len(m.conns) == 0 && m.probeConn == nil && m.overdueConn == nil &&
+	if m.state == logic.Gone && (!m.inList || !e.cfg.Logic.IgnoreGone) && len(m.conns) == 0 && m.probeConn == nil && m.overdueConn == nil &&
 		e.membersByName[m.name] == m {
 		delete(e.membersByName, m.name)
 		delete(e.members, m.id)
--- a/internal/state/peers.go
+++ b/internal/state/peers.go
@@ -11,8 +11,8 @@
 // SetPeerSender sets the sender of messages to peers. Without one, messages are dropped.
 func (e *Engine) SetPeerSender(t PeerSender) { e.peerSender = t }
 
-// Tell implements logic.Actions.
-func (e *Engine) Tell(facts []peers.Fact) {
+// SendToPeers implements logic.Actions.
+func (e *Engine) SendToPeers(facts []peers.Report) {
 	if e.peerSender == nil {
 		return
 	}
@@ -30,6 +30,6 @@
 		return err
 	}
 	e.Counters.PeerReceived++
-	e.dispatch(func() { e.events.Heard(e.clock.Now(), e.peerFacts) })
+	e.dispatch(func() { e.events.PeerFacts(e.clock.Now(), e.peerFacts) })
 	return nil
 }
--- a/internal/state/place.go
+++ b/internal/state/place.go
@@ -32,7 +32,7 @@
 	unclaimed := func(c *pooledConn) bool { return c.attempt == nil && c.address == a.member.address }
 	i := slices.IndexFunc(a.member.openingConns, unclaimed)
 	if i < 0 {
-		e.abort(a, Reply{Result: logic.Moot})
+		e.abort(a, Reply{Result: logic.NotSent})
 		return
 	}
 	c := a.member.openingConns[i]
@@ -59,7 +59,7 @@
 	if e.stale(a) || c.address != a.member.address {
 		c.attempt, a.conn = nil, nil
 		e.release(c)
-		e.finish(a, Reply{Result: logic.Moot})
+		e.finish(a, Reply{Result: logic.NotSent})
 		return
 	}
 	c.state, c.attempt, a.conn = connBusy, a, c
--- a/internal/state/probes.go
+++ b/internal/state/probes.go
@@ -60,7 +60,7 @@
 
 // probeUnsent tells the router that a probe was not sent, which says nothing about its member.
 func (e *Engine) probeUnsent(to logic.MemberID) {
-	e.dispatch(func() { e.events.Probed(e.clock.Now(), logic.Probed{Member: to, Result: logic.Moot}) })
+	e.dispatch(func() { e.events.ProbeDone(e.clock.Now(), logic.ProbeResult{Member: to, Result: logic.NotSent}) })
 }
 
 func (e *Engine) sendProbe(c *pooledConn) {
@@ -94,15 +94,15 @@
 		defer overdue.probeAgain()
 	}
 	e.checks.recordCheck(e, m, r)
-	p := logic.Probed{Member: m.id, Result: r.Result, Took: took, Report: e.loadReport(r), Opened: r.opened, Refused: r.refused}
-	e.dispatch(func() { e.events.Probed(e.clock.Now(), p) })
+	p := logic.ProbeResult{Member: m.id, Result: r.Result, Elapsed: took, Report: e.loadReport(r), ConnOpenedAt: r.opened, DialRefused: r.refused}
+	e.dispatch(func() { e.events.ProbeDone(e.clock.Now(), p) })
 }
 
 // endOverdue closes an overdue connection and reports to the router how it ended.
-func (c *pooledConn) endOverdue(what handover.Testimony) {
+func (c *pooledConn) endOverdue(what handover.ConnectionEvidence) {
 	e, m, opened := c.engine, c.member, c.upAt
 	e.closeConn(c)
-	e.dispatch(func() { e.events.Witness(e.clock.Now(), m.id, what, opened) })
+	e.dispatch(func() { e.events.ConnectionEvidence(e.clock.Now(), m.id, what, opened) })
 }
 
 // probeAgain sends a second probe on an overdue connection once the network path works, as data sent during a
@@ -117,7 +117,7 @@
 		c.Down()
 		return
 	}
-	c.engine.Deadlines.Set(&c.Deadline, c.engine.clock.Now()+secondProbeTimeout, func() { c.endOverdue(handover.Mute) })
+	c.engine.Deadlines.Set(&c.Deadline, c.engine.clock.Now()+secondProbeTimeout, func() { c.endOverdue(handover.ConnectionUnresponsive) })
 }
 
 func (e *Engine) loadReport(r Reply) logic.Report {
--- a/internal/state/reduced.go
+++ b/internal/state/reduced.go
@@ -33,7 +33,7 @@
 type levelControl struct {
 	cfg     *levels.Config
 	groups  map[logic.GroupID]*levels.Controller
-	facts   logic.GroupFacts
+	facts   logic.GroupStats
 	timer   Deadline
 	history []LevelChange
 }
@@ -48,7 +48,7 @@
 	if cfg == nil {
 		e.Deadlines.Clear(&r.timer)
 		for id := range previous {
-			e.router.Plan(id, nil)
+			e.router.SetAdmission(id, nil)
 		}
 		return
 	}
@@ -58,9 +58,9 @@
 			continue
 		}
 		from := c.Status(now).Name
-		d, next := c.Adopt(now, cfg)
+		d, next := c.Reconfigure(now, cfg)
 		r.groups[id] = next
-		e.router.Plan(id, next.Plan())
+		e.router.SetAdmission(id, next.Admissions())
 		if d.Changed {
 			e.levelChanged(id, from, d)
 		}
@@ -73,7 +73,7 @@
 	now := e.clock.Now()
 	e.Deadlines.Set(&r.timer, now+levelInterval, e.levelTick)
 	for _, id := range e.router.Groups() {
-		if !e.router.Facts(now, id, &r.facts) {
+		if !e.router.GroupStats(now, id, &r.facts) {
 			continue
 		}
 		c := r.groups[id]
@@ -82,9 +82,9 @@
 			r.groups[id] = c
 		}
 		d := c.Tick(now, &r.facts)
-		e.router.Plan(id, c.Plan())
+		e.router.SetAdmission(id, c.Admissions())
 		if d.Changed {
-			e.levelChanged(id, r.cfg.Ladder[d.From].Name, d)
+			e.levelChanged(id, r.cfg.Ladder[d.PreviousLevel].Name, d)
 		}
 	}
 	if len(r.groups) > len(e.router.Groups()) { // remove groups that the list no longer contains
--- a/internal/state/reload.go
+++ b/internal/state/reload.go
@@ -9,8 +9,8 @@
 // Reload applies the classes of another configuration and its limits on attempts and retry hints. Open requests keep
 // the rules under which they were submitted; a class that is no longer configured is unknown from now on.
 func (e *Engine) Reload(cfg logic.Config) {
-	e.cfg.Logic.MaxAttempts, e.cfg.Logic.MayComeBack, e.cfg.Logic.MaxComeBack = cfg.MaxAttempts, cfg.MayComeBack, cfg.MaxComeBack
-	at := e.router.Reload(cfg.Classes, cfg.MaxAttempts, cfg.MayComeBack, cfg.MaxComeBack)
+	e.cfg.Logic.MaxAttempts, e.cfg.Logic.EnableRetryAfter, e.cfg.Logic.MaxRetryAfter = cfg.MaxAttempts, cfg.EnableRetryAfter, cfg.MaxRetryAfter
+	at := e.router.Reload(cfg.Classes, cfg.MaxAttempts, cfg.EnableRetryAfter, cfg.MaxRetryAfter)
 	classes := slices.Clone(e.cfg.Logic.Classes)
 	e.classes = map[string]int{}
 	for i, c := range cfg.Classes {
--- a/internal/state/shortage_test.go
+++ b/internal/state/shortage_test.go
@@ -12,8 +12,8 @@
 func TestCheckWithoutConnectionIsNotSilence(t *testing.T) {
 	h := newHarness(t, 0)
 	h.e.Probe(h.id("one"))
-	if h.probe.Result != logic.Moot || h.probe.Member != h.id("one") {
-		t.Errorf("the router was told result %d, want %d", h.probe.Result, logic.Moot)
+	if h.probe.Result != logic.NotSent || h.probe.Member != h.id("one") {
+		t.Errorf("the router was told result %d, want %d", h.probe.Result, logic.NotSent)
 	}
 	if h.e.membersByName["one"].silent {
 		t.Error("the database counts as silent, and was never asked")
@@ -25,7 +25,7 @@
 func TestAttemptWithoutConnectionIsNotFailure(t *testing.T) {
 	h := newHarness(t, 0)
 	h.submitAndSend(&caller{})
-	h.wantCalls("request", outcomeCall(logic.Moot, false))
+	h.wantCalls("request", outcomeCall(logic.NotSent, false))
 }
 
 // A dial that fails because of a local error, such as a lack of descriptors, is treated like one that was never made.
@@ -33,13 +33,13 @@
 	h := newHarness(t, 9)
 	h.e.Probe(h.id("one"))
 	h.conns[0].listener.NotOpened()
-	if h.probe.Result != logic.Moot || h.e.membersByName["one"].silent || h.e.openConns != 0 {
+	if h.probe.Result != logic.NotSent || h.e.membersByName["one"].silent || h.e.openConns != 0 {
 		t.Errorf("a check: result %d, silent %v, %d connections counted", h.probe.Result, h.e.membersByName["one"].silent, h.e.openConns)
 	}
 	h.calls = nil
 	h.submitAndSend(&caller{})
 	h.conns[1].listener.NotOpened()
-	h.wantCalls("request", outcomeCall(logic.Moot, false))
+	h.wantCalls("request", outcomeCall(logic.NotSent, false))
 	if h.e.Counters.ConnectionsNotOpened != 2 {
 		t.Errorf("%d connections are counted as without room, want 2", h.e.Counters.ConnectionsNotOpened)
 	}
--- a/internal/state/show.go
+++ b/internal/state/show.go
@@ -39,7 +39,7 @@
 	Name, Address string
 	Group         int
 	State         string // as listed
-	logic.MemberFacts
+	logic.MemberStats
 	Role        string
 	Health      string
 	PositionAge time.Duration // age of the latest known replication position; negative = not known
@@ -65,23 +65,23 @@
 
 func (e *Engine) view(m *member) DatabaseView {
 	view := DatabaseView{Name: m.name, Address: m.address, State: stateName(m.state), Health: "ok", PositionAge: -1}
-	if facts, ok := e.router.Member(e.clock.Now(), m.id); ok {
-		view.MemberFacts, view.Group = facts, int(facts.Group)
+	if facts, ok := e.router.MemberStats(e.clock.Now(), m.id); ok {
+		view.MemberStats, view.Group = facts, int(facts.Group)
 		switch {
 		case facts.Silent:
 			view.Health = "silent"
-		case facts.Benched:
+		case facts.Failing:
 			view.Health = "failing"
 		case facts.Cold:
-			if view.Health = "cold"; facts.Doubt > 0 {
-				view.Health = fmt.Sprintf("cold? %.0f%%", 100*facts.Doubt)
+			if view.Health = "cold"; facts.RestartDoubt > 0 {
+				view.Health = fmt.Sprintf("cold? %.0f%%", 100*facts.RestartDoubt)
 			}
 		}
 		if facts.Position > 0 {
 			view.PositionAge = e.clock.Now() - facts.Position
 		}
 	}
-	view.Role = roleNames[view.MemberFacts.Role]
+	view.Role = roleNames[view.MemberStats.Role]
 	return view
 }
 
@@ -103,7 +103,7 @@
 // newest first.
 func (e *Engine) Switches() (out []SwitchView) {
 	now := e.clock.Now()
-	groups, ended := e.router.Switches(now)
+	groups, ended := e.router.Handovers(now)
 	name := func(id uint64) string {
 		if m := e.members[logic.MemberID(id)]; m != nil {
 			return m.name
@@ -112,9 +112,9 @@
 	}
 	for _, id := range e.router.Groups() {
 		s := groups[id]
-		view := SwitchView{Group: int(id), Phase: s.Phase.String(), Duration: now - s.Since, NewPrimary: name(s.Primary), Rivals: s.Rivals, HeldRequests: s.Held,
-			HeldBytes: s.Bytes, ExpectedRemaining: s.Expected}
-		if s.Phase == handover.Unheard { // the time since the group is known is not of interest
+		view := SwitchView{Group: int(id), Phase: s.Phase.String(), Duration: now - s.Since, NewPrimary: name(s.Primary), Rivals: s.RivalPrimaries, HeldRequests: s.Held,
+			HeldBytes: s.HeldBytes, ExpectedRemaining: s.ExpectedWait}
+		if s.Phase == handover.PhaseUndiscovered { // the time since the group is known is not of interest
 			view.Duration = 0
 		} else if s.Primary == 0 {
 			view.Cause = s.Cause.String()
@@ -123,17 +123,17 @@
 	}
 	slices.SortFunc(out, func(a, b SwitchView) int { return cmp.Compare(a.Group, b.Group) })
 	for _, s := range ended {
-		out = append(out, SwitchView{Group: s.Group, Phase: "ended", Duration: s.Length, Cause: s.Cause.String(), OldPrimary: name(s.From), NewPrimary: name(s.To),
-			HeldRequests: s.Held, RefusedRequests: s.Refused})
+		out = append(out, SwitchView{Group: s.Group, Phase: "ended", Duration: s.Duration, Cause: s.Cause.String(), OldPrimary: name(s.OldPrimary), NewPrimary: name(s.NewPrimary),
+			HeldRequests: s.MaxHeld, RefusedRequests: s.Refused})
 	}
 	return out
 }
 
 // SetTuning applies another tuning of the routing.
-func (e *Engine) SetTuning(t logic.Tuning) { e.router.Tune(t) }
+func (e *Engine) SetTuning(t logic.Tuning) { e.router.SetTuning(t) }
 
 // SetHandover applies other settings for switches of primaries, which must have passed their Check.
-func (e *Engine) SetHandover(cfg handover.Config) { e.router.Handover(cfg) }
+func (e *Engine) SetHandover(cfg handover.Config) { e.router.SetHandoverConfig(cfg) }
 
 // PoolView is the number of connections to a database, by use.
 type PoolView struct {
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -20,15 +20,15 @@
 	now           time.Duration
 	conns         []*conn
 	calls         []string
-	probe         logic.Probed
+	probe         logic.ProbeResult
 	lastOutcome   logic.Outcome
-	lastList      logic.List
+	lastList      logic.MemberList
 	lastRequest   logic.Request
 	onRequest     func()
 	depth         int
 
 	abandonedDials int
-	facts          []peers.Fact
+	facts          []peers.Report
 }
 
 func (h *harness) Now() time.Duration  { return h.now }
@@ -41,7 +41,7 @@
 	h.calls = append(h.calls, fmt.Sprintf(format, args...))
 }
 
-func (h *harness) Members(_ time.Duration, l logic.List) { h.lastList = l }
+func (h *harness) Members(_ time.Duration, l logic.MemberList) { h.lastList = l }
 func (h *harness) Request(_ time.Duration, q logic.Request) {
 	h.log("request")
 	h.depth++
@@ -50,19 +50,22 @@
 	}
 	h.depth--
 }
-func (h *harness) Started(time.Duration, logic.RequestID, int) {}
+func (h *harness) ResponseStarted(time.Duration, logic.RequestID, int) {}
 func (h *harness) Outcome(_ time.Duration, o logic.Outcome) {
 	h.lastOutcome = o
 	h.log("outcome %d finished=%v", o.Result, o.Finished)
 }
-func (h *harness) Probed(_ time.Duration, p logic.Probed)   { h.probe = p; h.log("probed %d", p.Result) }
+func (h *harness) ProbeDone(_ time.Duration, p logic.ProbeResult) {
+	h.probe = p
+	h.log("probed %d", p.Result)
+}
 func (h *harness) Timer(time.Duration, logic.TimerID)       { h.log("timer") }
 func (h *harness) Abandoned(time.Duration, logic.RequestID) { h.log("abandoned") }
-func (h *harness) Witness(_ time.Duration, _ logic.MemberID, what handover.Testimony, opened time.Duration) {
+func (h *harness) ConnectionEvidence(_ time.Duration, _ logic.MemberID, what handover.ConnectionEvidence, opened time.Duration) {
 	h.log("%s %v", [...]string{"answered", "ended", "mute"}[what], opened-clockBase)
 }
-func (h *harness) Heard(_ time.Duration, facts []peers.Fact) {
-	h.facts = append([]peers.Fact(nil), facts...)
+func (h *harness) PeerFacts(_ time.Duration, facts []peers.Report) {
+	h.facts = append([]peers.Report(nil), facts...)
 }
 func (h *harness) Watch(bool)          {}
 func (h *harness) Fetch()              {}
@@ -181,7 +184,7 @@
 		"refused":        {func(h *harness) { h.conns[0].listener.Refused() }, logic.ConnectFailed},
 		"reset on dial":  {func(h *harness) { h.conns[0].listener.Down() }, logic.ConnectFailed},
 		"never up":       {func(h *harness) { h.advance(250 * time.Millisecond) }, logic.ConnectFailed},
-		"turned away":    {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Full}) }, logic.Full},
+		"turned away":    {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Rejected}) }, logic.Rejected},
 		"unwelcome":      {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Failed}) }, logic.ConnectFailed},
 		"not written":    {func(h *harness) { h.conns[0].err = errors.New("broken"); h.conns[0].listener.Up() }, logic.ConnectFailed},
 		"broken behind":  {func(h *harness) { h.conns[0].listener.Up(); h.conns[0].listener.Down() }, logic.Reset},
@@ -194,8 +197,8 @@
 			h.submitAndSend(&caller{})
 			c.do(h)
 			h.wantCalls("request", outcomeCall(c.want, false))
-			if h.lastOutcome.Refused != (name == "refused") {
-				t.Errorf("told that nothing listens there: %v", h.lastOutcome.Refused)
+			if h.lastOutcome.DialRefused != (name == "refused") {
+				t.Errorf("told that nothing listens there: %v", h.lastOutcome.DialRefused)
 			}
 			if !h.conns[0].closed {
 				t.Error("the connection is still open: what comes on it would be taken for the next answer")
@@ -297,7 +300,7 @@
 	h := newHarness(t, 9)
 	id := h.submitAndSend(&caller{})
 	h.e.Send(id, h.id("two"), time.Second)
-	if h.wantCalls("request", outcomeCall(logic.Moot, false)); len(h.conns) != 1 {
+	if h.wantCalls("request", outcomeCall(logic.NotSent, false)); len(h.conns) != 1 {
 		t.Errorf("%d connections", len(h.conns))
 	}
 }
@@ -309,7 +312,7 @@
 	if _, err := h.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c}); err != nil {
 		t.Fatal(err)
 	}
-	h.wantCalls("request", outcomeCall(logic.Moot, false), fmt.Sprintf("probed %d", logic.Moot))
+	h.wantCalls("request", outcomeCall(logic.NotSent, false), fmt.Sprintf("probed %d", logic.NotSent))
 	h.e.Refuse(1, time.Millisecond)
 	c.wantAnswers(t, "refused 1ms")
 }
@@ -381,7 +384,7 @@
 	h.conns[0].listener.Up()
 	h.advance(2 * time.Millisecond)
 	h.conns[0].listener.Reply(Reply{Result: logic.OK, Load: Load{Known: true, Role: logic.RolePrimary, Position: 1767312000.05, Queue: -1}})
-	if p := h.probe; p.Took != 2*time.Millisecond || p.Report.Role != logic.RolePrimary || len(h.conns) != 1 {
+	if p := h.probe; p.Elapsed != 2*time.Millisecond || p.Report.Role != logic.RolePrimary || len(h.conns) != 1 {
 		t.Errorf("%+v", p)
 	}
 	want := clockBase + 50*time.Millisecond
@@ -453,7 +456,7 @@
 
 func TestListChangesPassedToRouter(t *testing.T) {
 	h := newHarness(t, 9)
-	if e := h.lastList.Entries; h.lastList.Kind != logic.ListCached || len(e) != 2 || e[0].Zone != 1 || e[1].Zone != -1 || e[0].Born != 0 {
+	if e := h.lastList.Entries; h.lastList.Kind != logic.ListCached || len(e) != 2 || e[0].Zone != 1 || e[1].Zone != -1 || e[0].StartedAt != 0 {
 		t.Fatalf("%+v", h.lastList)
 	}
 	h.submitAndSend(&caller{})
@@ -461,7 +464,7 @@
 	h.conns[0].listener.Reply(Reply{Result: logic.OK})
 	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Ready,
 		Started: h.Unix() - time.Second}}})
-	if e := h.lastList.Entries; len(e) != 1 || e[0].ID != h.id("one") || e[0].Born != h.now-time.Second {
+	if e := h.lastList.Entries; len(e) != 1 || e[0].ID != h.id("one") || e[0].StartedAt != h.now-time.Second {
 		t.Errorf("%+v", h.lastList)
 	}
 	if !h.conns[0].closed {
--- a/internal/state/subset.go
+++ b/internal/state/subset.go
@@ -61,7 +61,7 @@
 		_, kept := inSubset[id]
 		e.setOutsideSubset(m, used && !kept)
 	}
-	e.dispatch(func() { e.router.UseSubset(ids) })
+	e.dispatch(func() { e.router.SetSubset(ids) })
 }
 
 // setOutsideSubset sets whether idle connections to a member are closed early, and resets the timers of its idle
@@ -85,7 +85,7 @@
 	for _, m := range e.members {
 		e.setOutsideSubset(m, false)
 	}
-	e.dispatch(func() { e.router.UseSubset(nil) })
+	e.dispatch(func() { e.router.SetSubset(nil) })
 }
 
 // usedGroups returns the groups that this proxy sends requests to.
@@ -115,12 +115,12 @@
 		if m == nil {
 			continue
 		}
-		facts, ok := e.router.Member(now, m.id)
+		facts, ok := e.router.MemberStats(now, m.id)
 		if !ok {
 			continue
 		}
 		databases = append(databases, subset.Database{ID: number, Group: subset.GroupID(m.group), Role: roleOf(facts.Role), Zone: m.zone,
-			Usable: m.state == logic.Ready && !facts.Silent && !facts.Benched})
+			Usable: m.state == logic.Ready && !facts.Silent && !facts.Failing})
 	}
 	return databases
 }
--- a/internal/state/tier.go
+++ b/internal/state/tier.go
@@ -166,7 +166,7 @@
 		}
 	}
 	class := req.class
-	out := logic.Request{ID: req.id, Class: class, Group: logic.GroupID(input.Group), Caller: input.Session,
+	out := logic.Request{ID: req.id, Class: class, Group: logic.GroupID(input.Group), ClientKey: input.Session,
 		Deadline: req.deadline, Retry: input.Retry}
 	if c, ok := input.Command.(interface{ Size() int }); ok {
 		out.Size = c.Size()
