--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,5 +1,5 @@
-// Package endpoints tells a parent process the addresses on which a program listens, so that each of them may be configured with port 0 and
-// the parent need not guess a free port. It does nothing for a program that was not asked for a report.
+// Package endpoints reports the addresses on which a program listens to its parent process. Each address may then be
+// configured with port 0, and the parent need not guess a free port. Without a request for a report it does nothing.
 package endpoints
 
 import (
@@ -10,14 +10,16 @@
 	"strconv"
 )
 
-// Variable names the environment variable that asks for a report. Its value is the number of an inherited descriptor, open for writing: a pipe
-// of the parent's. The program writes one JSON object to it once all its listeners are open, and closes it.
+// Variable is the name of the environment variable that requests a report. Its value is the number of an inherited
+// descriptor that is open for writing, such as a pipe from the parent. The program writes one JSON object to it once
+// all its listeners are open, and then closes it.
 const Variable = "HAVEN_ENDPOINTS_FD"
 
-// firstInherited is the least descriptor that may be named: those below are the standard streams.
+// firstInherited is the lowest descriptor that is allowed; those below are the standard streams.
 const firstInherited = 3
 
-// Endpoints are the addresses, host and port, on which a program listens. An empty one means that it has no such listener.
+// Endpoints holds the addresses, as host:port, on which a program listens. An empty one means that there is no such
+// listener.
 type Endpoints struct {
 	PostgreSQL string `json:"postgresql,omitempty"`
 	MySQL      string `json:"mysql,omitempty"`
@@ -26,7 +28,8 @@
 	Planner    string `json:"planner,omitempty"`
 }
 
-// Report writes the addresses to the descriptor that Variable names, and closes it. Without Variable it does nothing.
+// Report writes the addresses to the descriptor named by Variable and closes it. It does nothing if Variable is not
+// set.
 func (e Endpoints) Report() error {
 	text := os.Getenv(Variable)
 	if text == "" {
@@ -47,7 +50,7 @@
 	return nil
 }
 
-// Read reads a report. The error is io.EOF where the program ended without one.
+// Read reads a report. The error is io.EOF if the program ended without one.
 func Read(r io.Reader) (Endpoints, error) {
 	var e Endpoints
 	err := json.NewDecoder(r).Decode(&e)
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -61,7 +61,7 @@
 	for _, value := range []string{"pipe", "-1", "2", "999999"} {
 		t.Setenv(Variable, value)
 		if err := (Endpoints{}).Report(); err == nil {
-			t.Errorf("%q is taken", value)
+			t.Errorf("%q is accepted", value)
 		}
 	}
 }
--- a/internal/lab/virtual/connections.go
+++ b/internal/lab/virtual/connections.go
@@ -60,7 +60,7 @@
 func (c *conn) refused() {
 	if !c.closed {
 		c.Close()
-		c.to.Refused()
+		c.to.DialRefused()
 	}
 }
 
--- a/internal/lab/virtual/tier.go
+++ b/internal/lab/virtual/tier.go
@@ -92,9 +92,9 @@
 	w.tier = t
 }
 
-// SendToPeers implements state.PeerSender: a datagram to all, over links that lose, delay and are cut. Whatever is sent to a proxy that is down, or
+// Broadcast implements state.PeerSender: a datagram to all, over links that lose, delay and are cut. Whatever is sent to a proxy that is down, or
 // that stands still for too long, is lost with it.
-func (n *node) SendToPeers(message []byte) {
+func (n *node) Broadcast(message []byte) {
 	w, t := n.w, n.w.tier
 	w.res.Messages++
 	w.res.MessageBytes += uint64(len(message))
--- a/internal/net/link.go
+++ b/internal/net/link.go
@@ -226,7 +226,7 @@
 	l.Close()
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		l.to.Refused()
+		l.to.DialRefused()
 	case !up && isLocalShortage(err):
 		l.to.NotOpened()
 	default:
--- a/internal/net/peers.go
+++ b/internal/net/peers.go
@@ -74,8 +74,8 @@
 // Close ends it.
 func (p *Peers) Close() { p.conn.Close() }
 
-// SendToPeers implements state.PeerSender. What can't be sent is lost, as any datagram may be.
-func (p *Peers) SendToPeers(message []byte) {
+// Broadcast implements state.PeerSender. What can't be sent is lost, as any datagram may be.
+func (p *Peers) Broadcast(message []byte) {
 	p.conn.WriteToUDPAddrPort(message, p.all)
 }
 
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -16,12 +16,12 @@
 func TestOnlyPeersAreHeard(t *testing.T) {
 	clock := state.NewClock()
 	databases := &Databases{ConnectTimeout: patience}
-	e, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, databases)
+	front, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, databases)
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := NewLoop(clock, &e.Deadlines)
-	databases.Loop, databases.Counters = loop, &e.Counters
+	loop := NewLoop(clock, &front.Deadlines)
+	databases.Loop, databases.Counters = loop, &front.Counters
 	go loop.Run()
 	defer loop.Post(loop.Stop)
 	open := func() *stdnet.UDPConn {
@@ -33,13 +33,13 @@
 		return c
 	}
 	friend, stranger := open(), open()
-	p, err := ListenPeers(loop, e, "127.0.0.1:0", []string{friend.LocalAddr().String()}, friend.LocalAddr().String())
+	p, err := ListenPeers(loop, front, "127.0.0.1:0", []string{friend.LocalAddr().String()}, friend.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
 	loop.Post(func() {
-		e.Start(noWatch{}, state.List{Entries: []state.Entry{{Name: "one", Address: "127.0.0.1:1", State: logic.Ready}}})
+		front.Start(noWatch{}, state.List{Entries: []state.Entry{{Name: "one", Address: "127.0.0.1:1", State: logic.Ready}}})
 	})
 	message := wire.Append(nil, clock.Unix(), clock.Now(), []peers.Report{{Database: 1, Role: peers.Replica, At: clock.Now()}})
 	count := func(from *stdnet.UDPConn, message []byte, heard, strange uint64) {
@@ -47,7 +47,7 @@
 		from.WriteTo(message, p.conn.LocalAddr())
 		for end := time.Now().Add(patience); ; {
 			got := make(chan [2]uint64)
-			loop.Post(func() { got <- [2]uint64{e.Counters.PeerReceived, e.Counters.PeerInvalid} })
+			loop.Post(func() { got <- [2]uint64{front.Counters.PeerReceived, front.Counters.PeerInvalid} })
 			if x := <-got; x == [2]uint64{heard, strange} {
 				return
 			} else if time.Now().After(end) {
@@ -59,8 +59,8 @@
 	count(stranger, message, 1, 1)
 	count(friend, message[:7], 1, 2)
 	loop.Post(func() {
-		e.SetPeerSender(p)
-		e.SendToPeers([]peers.Report{{Database: 1, Role: peers.Replica, At: clock.Now()}})
+		front.SetPeerSender(p)
+		front.SendToPeers([]peers.Report{{Database: 1, Role: peers.Replica, At: clock.Now()}})
 	})
 	buf := make([]byte, 512)
 	friend.SetReadDeadline(time.Now().Add(patience))
--- a/internal/net/refused_test.go
+++ b/internal/net/refused_test.go
@@ -15,7 +15,7 @@
 func (e *ear) Up()               { e.heard <- "up" }
 func (e *ear) Reply(state.Reply) { e.heard <- "reply" }
 func (e *ear) Down()             { e.heard <- "down" }
-func (e *ear) Refused()          { e.heard <- "refused" }
+func (e *ear) DialRefused()      { e.heard <- "refused" }
 func (e *ear) NotOpened()        { e.heard <- "unopened" }
 func (e *ear) ProtocolError()    { e.heard <- "spoilt" }
 
--- a/internal/state/audit_test.go
+++ b/internal/state/audit_test.go
@@ -97,11 +97,9 @@
 	return a.draws[a.drawn%len(a.draws)] * (1 + a.drawn/len(a.draws)) % n
 }
 
-func (a *auditor) after(d time.Duration, callback func()) {
-	a.timers.Set(&Deadline{}, a.now+d, callback)
-}
+func (a *auditor) after(d time.Duration, do func()) { a.timers.Set(&Deadline{}, a.now+d, do) }
 
-// Served, Refused, Failed and Unfit implement Caller.
+// Served, Refused, Failed and BadRequest implement Caller.
 func (r *auditRequest) Served(body []byte) {
 	if string(body) != strconv.Itoa(r.number) {
 		r.auditor.t.Errorf("request %d is served with %q", r.number, body)
@@ -126,7 +124,7 @@
 	r.answers = append(r.answers, how)
 	switch {
 	case r.abandoned:
-		r.auditor.t.Errorf("request %d is answered though its client has left", r.number)
+		r.auditor.t.Errorf("request %d is answered after it was abandoned", r.number)
 	case len(r.answers) > 1:
 		r.auditor.t.Errorf("request %d has the answers %v", r.number, r.answers)
 	case r.auditor.now > r.deadline+answerSlack:
@@ -143,12 +141,12 @@
 			known = known || e.Address == address
 		}
 		if !known {
-			a.t.Errorf("a connection to %s, which the list does not name", address)
+			a.t.Errorf("a connection to %s, which is not in the list", address)
 		}
 	}
 	switch {
 	case !a.hostUp[address] && a.draw(2) == 0:
-		a.after(time.Millisecond, func() { c.notify(to.Refused) })
+		a.after(time.Millisecond, func() { c.notify(to.DialRefused) })
 	case !a.hostUp[address] || a.draw(12) == 1: // never
 	case a.draw(10) == 1: // late: the engine may have closed it
 		a.after(time.Duration(a.draw(1500))*time.Millisecond, func() { c.notify(c.connect) })
@@ -201,30 +199,30 @@
 	}
 	switch {
 	case c.closed || !c.up:
-		t.Errorf("request %d is written to a connection that is not up", q.number)
+		t.Errorf("request %d is written to a connection that is not established", q.number)
 	case c.dirty || c.attempt != nil || c.probing:
-		t.Errorf("request %d is written behind what is left over", q.number)
+		t.Errorf("request %d is written to a connection with unread data", q.number)
 	case q.abandoned:
 		t.Errorf("request %d is sent %v after its client left", q.number, a.now-q.abandonedAt)
 	case len(q.answers) > 0:
-		t.Errorf("request %d is sent behind its answer", q.number)
+		t.Errorf("request %d is sent after its answer", q.number)
 	case to.Name == "" || to.State != logic.Ready && !(to.State == logic.Gone && a.cfg.IgnoreGone && !a.draining[to.Name]):
 		t.Errorf("request %d is sent to %s, which is listed as %s", q.number, c.address, stateName(to.State))
 	case a.now >= q.deadline || wait <= 0 || a.now+wait > q.deadline:
-		t.Errorf("request %d is sent at %v of %v, to wait for %v", q.number, a.now-q.at, q.deadline-q.at, wait)
+		t.Errorf("request %d is sent %v into its wait of %v, with a timeout of %v", q.number, a.now-q.at, q.deadline-q.at, wait)
 	case a.cfg.MaxAttempts > 0 && len(q.attempts) >= a.cfg.MaxAttempts:
 		t.Errorf("request %d has attempt %d", q.number, len(q.attempts)+1)
 	}
 	for _, x := range q.attempts {
 		if x.open {
-			t.Errorf("request %d has two attempts out", q.number)
+			t.Errorf("request %d has two open attempts", q.number)
 		}
 		if !x.mayRun || q.class.Effect == logic.Idempotent {
 			continue
 		}
 		if q.class.Effect == logic.SingleShot || a.now > x.at+q.class.DedupWindow || x.group != to.Group && q.class.Scope == logic.ScopeCell ||
 			x.zone != to.Zone && q.class.Scope == logic.ScopeZone {
-			t.Errorf("request %d (%s) goes again %v after an attempt that may have run", q.number, q.class.Name, a.now-x.at)
+			t.Errorf("request %d (%s) is sent again %v after an attempt that may have run", q.number, q.class.Name, a.now-x.at)
 		}
 	}
 	if a.draw(20) == 1 { // the peer had closed it: the last byte is not written
@@ -304,7 +302,7 @@
 // Probe implements Conn.
 func (c *auditConn) Probe() error {
 	if c.closed || !c.up {
-		c.auditor.t.Errorf("a probe on a connection that is not up")
+		c.auditor.t.Errorf("a probe on a connection that is not established")
 	}
 	c.probing = true
 	if !c.auditor.hostUp[c.address] || c.auditor.draw(15) == 1 {
@@ -512,7 +510,7 @@
 	a.checkReleased()
 	for _, c := range a.conns {
 		if !c.closed && a.now-c.usedAt > 4*time.Second {
-			t.Errorf("a connection to %s stands idle since %v", c.address, a.now-c.usedAt)
+			t.Errorf("a connection to %s has been idle for %v", c.address, a.now-c.usedAt)
 		}
 	}
 }
@@ -522,7 +520,7 @@
 	for _, m := range a.engine.members {
 		for _, l := range m.idleConns {
 			if l.address != m.address || m.state != logic.Ready {
-				a.t.Errorf("an idle connection to %s is kept, %s is listed as %s at %s", l.address, m.name, stateName(m.state), m.address)
+				a.t.Errorf("an idle connection to %s is kept, but %s is listed as %s at %s", l.address, m.name, stateName(m.state), m.address)
 			}
 		}
 	}
@@ -555,7 +553,7 @@
 			}
 		}
 		if v, ok := e.router.MemberStats(a.now, m.id); ok && v.InFlight > 0 {
-			t.Errorf("%d of %s's slots are not returned", v.InFlight, m.name)
+			t.Errorf("%d of %s's slots are not released", v.InFlight, m.name)
 		}
 	}
 	if e.openConns != open || held != open {
--- a/internal/state/catalogue.go
+++ b/internal/state/catalogue.go
@@ -152,7 +152,7 @@
 	}
 	switch {
 	case r.Result == logic.OK || r.Result == logic.Misdirected || r.Result == logic.Failed || r.Result == logic.Rejected:
-		e.membership.MarkAlive(e.clock.Now(), m.name, r.opened)
+		e.membership.MarkAlive(e.clock.Now(), m.name, r.connOpenedAt)
 	case silent:
 		e.membership.MarkSilent(e.clock.Now(), m.name)
 	default:
--- a/internal/state/catalogue_test.go
+++ b/internal/state/catalogue_test.go
@@ -61,7 +61,7 @@
 	tell(f)
 	first, _ := h.listed("m")
 	if first.StartedAt != h.now {
-		t.Errorf("begun at %v, now is %v", first.StartedAt, h.now)
+		t.Errorf("started at %v, want %v", first.StartedAt, h.now)
 	}
 	h.advance(3 * time.Second)
 	for i, step := range []time.Duration{2 * time.Millisecond, -2 * time.Millisecond} { // wall clocks are adjusted
@@ -88,11 +88,11 @@
 	}
 	for _, step := range []time.Duration{time.Microsecond, -time.Microsecond, -time.Second} {
 		if h.wallClockStep = step; tell(at).StartedAt != first.StartedAt {
-			t.Errorf("a clock that was set by %v makes a start of it", step)
+			t.Errorf("a clock adjustment of %v counts as a restart", step)
 		}
 	}
 	if tell(at+500*time.Millisecond).StartedAt <= first.StartedAt {
-		t.Error("a later start is one")
+		t.Error("a later start does not count as a restart")
 	}
 }
 
@@ -117,14 +117,14 @@
 		h.advance(2 * time.Second)
 	}
 	if h.e.membersByName["m"].state != logic.Ready {
-		t.Errorf("it answers, and is %v", h.e.membersByName["m"].state)
+		t.Errorf("the member answers, but is %v", h.e.membersByName["m"].state)
 	}
 	h.advance(40 * time.Second)
 	for range 5 {
 		h.advance(mergeInterval)
 	}
 	if m := h.e.membersByName["m"]; m != nil && m.state != logic.Gone {
-		t.Errorf("critical and silent, and is %v", m.state)
+		t.Errorf("the member is critical and silent, but is %v", m.state)
 	}
 	h.e.CatalogueFailed("c", errors.New("no leader"))
 	if c := h.e.Catalogues(); len(c) != 2 || c[1].Failures != 1 || c[1].LastError != "no leader" {
--- a/internal/state/ending_test.go
+++ b/internal/state/ending_test.go
@@ -38,7 +38,7 @@
 			if c.sent == 0 {
 				h.wantCalls(outcomeCall(logic.NotSent, name == "no client any more"))
 				if busy := h.e.membersByName["one"]; busy != nil && len(busy.openingConns) > 0 {
-					t.Error("the connection is still taken for one in the making")
+					t.Error("the connection still counts as being established")
 				}
 			}
 		})
@@ -56,7 +56,7 @@
 	h.calls = nil
 	h.conns[0].listener.Reply(Reply{Result: logic.OK})
 	if h.conns[0].sent != 1 {
-		t.Errorf("%d requests were written, want the first alone", h.conns[0].sent)
+		t.Errorf("%d requests were written, want only the first", h.conns[0].sent)
 	}
 	h.wantCalls(outcomeCall(logic.NotSent, true), outcomeCall(logic.OK, true))
 }
--- a/internal/state/front.go
+++ b/internal/state/front.go
@@ -103,7 +103,7 @@
 	gate        gateState
 	peerSender  PeerSender // nil = no messages are sent to peers
 	peerMessage []byte
-	peerFacts   []peers.Report
+	peerReports []peers.Report
 	checks      *sharedChecks // nil = health checks are not shared
 
 	lateLog           lateLog
@@ -368,7 +368,7 @@
 	now := e.clock.Now()
 	o := logic.Outcome{Request: req.id, Attempt: a.number, Member: a.member.id, Result: r.Result, Elapsed: now - a.sentAt,
 		Finished: req.caller == nil, Role: r.Role, Position: fromUnix(e.clock, time.Duration(r.Position)*time.Millisecond),
-		Load: e.loadReport(r), ConnOpenedAt: r.opened, DialRefused: r.refused}
+		Load: e.loadReport(r), ConnOpenedAt: r.connOpenedAt, DialRefused: r.dialRefused}
 	e.forgetIfDone(req)
 	e.dispatch(func() { e.events.Outcome(e.clock.Now(), o) })
 }
--- a/internal/state/late_test.go
+++ b/internal/state/late_test.go
@@ -21,7 +21,7 @@
 		t.Error("an answer in time is counted as late")
 	}
 	if in(238 * time.Millisecond); h.e.Counters.AnsweredLate != 1 {
-		t.Error("an answer behind its client's time is not counted")
+		t.Error("an answer after its client's wait is not counted as late")
 	}
 }
 
--- a/internal/state/links.go
+++ b/internal/state/links.go
@@ -38,7 +38,7 @@
 	Up()            // the first command may be sent
 	Reply(Reply)    // an answer to the last command has arrived
 	Down()          // the connection is lost or could not be established
-	Refused()       // it could not be established: nothing listens at the address
+	DialRefused()   // it could not be established: nothing listens at the address
 	NotOpened()     // it could not be established because of a local error, which says nothing about the database
 	ProtocolError() // the data received is not a valid answer; the connection is closed
 }
@@ -56,8 +56,8 @@
 	// connection cannot be used again.
 	Stream ValueStream
 
-	opened  time.Duration // when its connection was established
-	refused bool          // the connection was refused: nothing listens at the address
+	connOpenedAt time.Duration // when its connection was established
+	dialRefused  bool          // the connection was refused: nothing listens at the address
 }
 
 // Load is a load report. Known is false if there was none.
@@ -89,7 +89,7 @@
 	state       connState
 	forProbes   bool // the member's connection for probes
 	probeSentAt time.Duration
-	upAt        time.Duration // when it was established
+	openedAt    time.Duration // when it was established
 
 	probedAgain bool // a second probe was sent after the first one timed out
 	attempt     *attempt
@@ -174,7 +174,7 @@
 		return
 	}
 	e.Deadlines.Clear(&c.Deadline)
-	c.upAt = e.clock.Now()
+	c.openedAt = e.clock.Now()
 	if !c.conn.Reusable() { // more than the greeting was received; nothing has been written
 		c.fail(Reply{Result: logic.ConnectFailed})
 		return
@@ -210,14 +210,14 @@
 	}
 	if c.forProbes {
 		took := e.clock.Now() - c.probeSentAt
-		r.opened = c.upAt
+		r.connOpenedAt = c.openedAt
 		e.release(c)
 		e.finishProbe(c.member, r, took)
 		return
 	}
 	a := c.attempt
 	c.attempt, a.conn = nil, nil
-	r.opened = c.upAt
+	r.connOpenedAt = c.openedAt
 	if r.Stream != nil {
 		c.startStream(a, r)
 		return
@@ -272,10 +272,10 @@
 	c.fail(r)
 }
 
-// Refused implements Listener.
-func (c *pooledConn) Refused() {
+// DialRefused implements Listener.
+func (c *pooledConn) DialRefused() {
 	if c.state == connOpening {
-		c.fail(Reply{Result: logic.ConnectFailed, refused: true})
+		c.fail(Reply{Result: logic.ConnectFailed, dialRefused: true})
 	}
 }
 
--- a/internal/state/logins/logins.go
+++ b/internal/state/logins/logins.go
@@ -1,5 +1,5 @@
-// Package logins decides who may try to log in, and when: a check of a password costs milliseconds, and whoever guesses
-// tries by the hundreds. It is pure; the clock is handed in.
+// Package logins limits login attempts: a password check costs milliseconds, and an attacker guesses passwords by the
+// hundreds. It does no I/O; the time is passed in by the caller.
 package logins
 
 import (
@@ -8,73 +8,73 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Config bounds what logins may cost.
+// Config limits the cost of logins.
 type Config struct {
-	FreeFailures     int           // failures of one peer and user before there is a wait; default 5
-	FirstWait        time.Duration // after the next one, doubled with each further one; default 500 ms
-	MaxWait          time.Duration // the longest wait; default 30 s
-	ForgetAfter      time.Duration // behind so long without a failure it is forgotten; default 60 s
-	MaxPeers         int           // peers that are remembered; default 1,024
-	MaxChecks        int           // costly checks that may be waiting or at work; default 16
-	MaxChecksPerPeer int           // of them, of one peer; default 4
+	FreeFailures     int           // failures of a peer and user before a wait is imposed; default 5
+	FirstWait        time.Duration // wait after the next failure, doubled with each further one; default 500 ms
+	MaxWait          time.Duration // longest wait; default 30 s
+	ForgetAfter      time.Duration // time without a failure after which the failures are forgotten; default 60 s
+	MaxPeers         int           // peers and users that are remembered; default 1,024
+	MaxChecks        int           // password checks that may be waiting or running; default 16
+	MaxChecksPerPeer int           // password checks of one peer; default 4
 }
 
-// WithDefaults fills in what is not set.
+// WithDefaults returns c with defaults for the fields that are not set.
 func (c Config) WithDefaults() Config {
-	set := func(n *int, to int) {
+	setInt := func(n *int, to int) {
 		if *n <= 0 {
 			*n = to
 		}
 	}
-	span := func(d *time.Duration, to time.Duration) {
+	setDuration := func(d *time.Duration, to time.Duration) {
 		if *d <= 0 {
 			*d = to
 		}
 	}
-	set(&c.FreeFailures, 5)
-	span(&c.FirstWait, 500*time.Millisecond)
-	span(&c.MaxWait, 30*time.Second)
-	span(&c.ForgetAfter, time.Minute)
-	set(&c.MaxPeers, 1024)
-	set(&c.MaxChecks, 16)
-	set(&c.MaxChecksPerPeer, 4)
+	setInt(&c.FreeFailures, 5)
+	setDuration(&c.FirstWait, 500*time.Millisecond)
+	setDuration(&c.MaxWait, 30*time.Second)
+	setDuration(&c.ForgetAfter, time.Minute)
+	setInt(&c.MaxPeers, 1024)
+	setInt(&c.MaxChecks, 16)
+	setInt(&c.MaxChecksPerPeer, 4)
 	return c
 }
 
-// Login is a peer, by its address without the port, and the user that it names. One application's host must not lock out
-// another's, nor one user the others of a host.
+// Login is a peer, by its address without the port, and the user name that it sent. Both count together, so that an
+// application's host does not lock out another host, nor a user the other users of the same host.
 type Login struct{ Peer, User string }
 
 type record struct {
 	failures     int
-	lastFailure  time.Duration // of the last failure
-	blockedUntil time.Duration // no try before
+	lastFailure  time.Duration // time of the last failure
+	blockedUntil time.Duration // no attempt is allowed before
 }
 
-// Guard is the state. It is not safe for concurrent use.
+// Guard holds the state of login attempts. It is not safe for concurrent use.
 type Guard struct {
 	cfg           Config
-	records       *simplelru.LRU[Login, *record] // those that failed, the least recently seen of which is forgotten
+	records       *simplelru.LRU[Login, *record] // logins that failed; the least recently used one is forgotten
 	checksByPeer  map[string]int
 	runningChecks int
 }
 
-// New makes a guard.
+// New returns a guard with defaults for the settings that are not set.
 func New(cfg Config) *Guard {
 	g := &Guard{cfg: cfg.WithDefaults(), checksByPeer: map[string]int{}}
 	g.records, _ = simplelru.NewLRU[Login, *record](g.cfg.MaxPeers, nil)
 	return g
 }
 
-// Allow tells whether a login may be looked at now; otherwise how long its peer has to wait. A try that comes too early
-// doesn't lengthen the wait: a program that only retries gets in once its password has been mended.
-func (g *Guard) Allow(now time.Duration, who Login) (wait time.Duration, ok bool) {
-	r, ok := g.records.Peek(who)
+// Allow reports whether a login may be attempted now, or else how long its peer has to wait. An early attempt does
+// not extend the wait, so a program that keeps retrying gets in once its password has been corrected.
+func (g *Guard) Allow(now time.Duration, login Login) (wait time.Duration, ok bool) {
+	r, ok := g.records.Peek(login)
 	if !ok {
 		return 0, true
 	}
 	if now-r.lastFailure >= g.cfg.ForgetAfter && now >= r.blockedUntil {
-		g.records.Remove(who)
+		g.records.Remove(login)
 		return 0, true
 	}
 	if now < r.blockedUntil {
@@ -83,12 +83,13 @@
 	return 0, true
 }
 
-// Failed notes a wrong password, or a user that there isn't: nobody is to tell one from the other by the waits.
-func (g *Guard) Failed(now time.Duration, who Login) {
-	r, ok := g.records.Get(who)
+// Failed records a wrong password or an unknown user. Both are treated alike, so that the waits do not reveal which
+// users exist.
+func (g *Guard) Failed(now time.Duration, login Login) {
+	r, ok := g.records.Get(login)
 	if !ok {
 		r = &record{}
-		g.records.Add(who, r)
+		g.records.Add(login, r)
 	}
 	if r.lastFailure > 0 && now-r.lastFailure >= g.cfg.ForgetAfter {
 		r.failures = 0
@@ -106,14 +107,14 @@
 	}
 }
 
-// Succeeded notes a right password.
-func (g *Guard) Succeeded(who Login) { g.records.Remove(who) }
+// Succeeded records a correct password, which clears the login's failures.
+func (g *Guard) Succeeded(login Login) { g.records.Remove(login) }
 
-// Len counts the peers that are remembered.
+// Len returns the number of logins with recorded failures.
 func (g *Guard) Len() int { return g.records.Len() }
 
-// StartCheck asks for a costly check on behalf of a peer. One that is let in is to be ended by Checked; others are turned away
-// at once, for they would wait behind all of those.
+// StartCheck reports whether a password check for a peer may start. One that is allowed must be ended by EndCheck;
+// others are refused at once, as they would have to wait for all running ones.
 func (g *Guard) StartCheck(peer string) bool {
 	if g.runningChecks >= g.cfg.MaxChecks || g.checksByPeer[peer] >= g.cfg.MaxChecksPerPeer {
 		return false
@@ -123,7 +124,7 @@
 	return true
 }
 
-// EndCheck ends a costly check.
+// EndCheck ends a password check.
 func (g *Guard) EndCheck(peer string) {
 	g.runningChecks--
 	if g.checksByPeer[peer]--; g.checksByPeer[peer] <= 0 {
--- a/internal/state/logins/logins_test.go
+++ b/internal/state/logins/logins_test.go
@@ -12,12 +12,12 @@
 	for range 3 {
 		now += time.Millisecond
 		if _, ok := g.Allow(now, who); !ok {
-			t.Fatal("a free try was refused")
+			t.Fatal("an attempt before the first wait was refused")
 		}
 		g.Failed(now, who)
 	}
 	if _, ok := g.Allow(now, who); !ok {
-		t.Fatal("three failures are free")
+		t.Fatal("an attempt after three failures was refused")
 	}
 	for _, want := range []time.Duration{1, 2, 4, 8, 8} {
 		g.Failed(now, who)
@@ -26,7 +26,7 @@
 			t.Fatalf("waits %v, want %d s", wait, want)
 		}
 		if again, _ := g.Allow(now, who); again != wait {
-			t.Fatal("an early try lengthens the wait")
+			t.Fatal("an early attempt extends the wait")
 		}
 		if _, ok := g.Allow(now, Login{"10.0.0.1", "b"}); !ok {
 			t.Fatal("another user of the host is locked out")
@@ -36,12 +36,12 @@
 		}
 		if now += wait; wait > 0 {
 			if _, ok := g.Allow(now, who); !ok {
-				t.Fatal("refused behind its wait")
+				t.Fatal("refused after the wait")
 			}
 		}
 	}
 	if _, ok := g.Allow(now+time.Minute, who); !ok || g.Len() != 0 {
-		t.Fatal("it is never forgotten")
+		t.Fatal("failures are not forgotten")
 	}
 }
 
@@ -52,7 +52,7 @@
 	g.Succeeded(who)
 	g.Failed(2, who)
 	if _, ok := g.Allow(3, who); !ok {
-		t.Fatal("what came before the right password counts still")
+		t.Fatal("failures before the correct password still count")
 	}
 }
 
@@ -75,10 +75,10 @@
 		}
 	}
 	if !g.StartCheck("b") || !g.StartCheck("c") || !g.StartCheck("d") || g.StartCheck("e") {
-		t.Fatal("five at once in all")
+		t.Fatal("the limit of five concurrent checks is not kept")
 	}
 	g.EndCheck("a")
 	if !g.StartCheck("e") || g.StartCheck("a") {
-		t.Fatal("the place that was freed is one")
+		t.Fatal("an ended check allows other than one new one")
 	}
 }
--- a/internal/state/prepared/prepared.go
+++ b/internal/state/prepared/prepared.go
@@ -1,40 +1,41 @@
-// Package prepared keeps what is prepared on a database's connection, and decides what has to happen before a statement
-// can be executed there. It knows statements as texts and the numbers that a server gave them, and no protocol. It is
-// pure: what it answers is to be carried out by whoever owns the connection.
+// Package prepared tracks the statements that are prepared on a database connection, and decides what must happen
+// before a statement can be executed there. It identifies statements by their text and the server's IDs, and does not
+// depend on a protocol. It does no I/O: the owner of the connection carries out its answers.
 package prepared
 
 import "github.com/hashicorp/golang-lru/v2/simplelru"
 
-// Statement is what a server says of a statement that it has prepared.
+// Statement describes a statement that a server has prepared.
 type Statement struct {
-	ID          uint32 // by which the server knows it, on this connection
-	ReturnsRows bool   // its executions answer with rows
+	ID          uint32 // the server's ID for it on this connection
+	ReturnsRows bool   // its executions return rows
 }
 
-// Cache holds the statements of one connection, the least recently used of which gives way. It is not safe for
+// Cache holds the prepared statements of one connection and evicts the least recently used. It is not safe for
 // concurrent use.
 type Cache struct {
 	capacity int
 	lru      *simplelru.LRU[string, Statement]
 }
 
-// New makes a cache for so many statements, one at least.
-func New(most int) *Cache {
-	most = max(most, 1)
-	lru, _ := simplelru.NewLRU[string, Statement](most, nil) // its one error is a size below one
-	return &Cache{most, lru}
+// New returns a cache for at most the given number of statements, at least one.
+func New(capacity int) *Cache {
+	capacity = max(capacity, 1)
+	lru, _ := simplelru.NewLRU[string, Statement](capacity, nil) // its only error is a size below one
+	return &Cache{capacity, lru}
 }
 
-// Len tells how many statements are held.
+// Len returns the number of statements in the cache.
 func (c *Cache) Len() int { return c.lru.Len() }
 
-// Get gives a statement that is prepared here, and notes its use.
+// Get returns the prepared statement for a text and marks it as used.
 func (c *Cache) Get(text string) (st Statement, ok bool) { return c.lru.Get(text) }
 
-// Put notes that a statement has been prepared. What has to give way for it is to be closed at the server.
+// Put records that a statement has been prepared. If must is set, the statement with the ID closes was replaced or
+// evicted and must be closed at the server.
 func (c *Cache) Put(text string, st Statement) (closes uint32, must bool) {
-	if was, ok := c.lru.Peek(text); ok {
-		closes, must = was.ID, was.ID != st.ID
+	if previous, ok := c.lru.Peek(text); ok {
+		closes, must = previous.ID, previous.ID != st.ID
 	} else if c.lru.Len() >= c.capacity {
 		_, old, _ := c.lru.RemoveOldest()
 		closes, must = old.ID, true
@@ -43,42 +44,43 @@
 	return closes, must
 }
 
-// Remove drops a statement that the server has forgotten.
+// Remove removes a statement that the server no longer knows.
 func (c *Cache) Remove(text string) { c.lru.Remove(text) }
 
-// Step is what has to happen next for an execution.
+// Step is the next step of an execution.
 type Step uint8
 
-// The steps.
+// Steps of an execution.
 const (
-	Execute Step = iota // it is prepared: execute
-	Prepare             // prepare it first
-	GiveUp              // it can't be prepared here: it was, and the server forgot it again
+	Execute Step = iota // the statement is prepared: execute it
+	Prepare             // prepare the statement first
+	GiveUp              // the statement cannot be prepared here: the server forgot it repeatedly
 )
 
-// Execution is one execution on its way. A server that forgot its statement gets it once more, not twice: one that forgets at
-// once would keep the request until its time is up. Neither preparing nor a forgotten statement has run anything.
+// Execution is an execution in progress. A statement that the server forgot is prepared once more, but not twice: a
+// server that forgets at once would hold the request until its time is up. Neither preparing a statement nor
+// executing an unknown one runs anything.
 type Execution struct {
 	Text         string
 	prepareCount int
-	Sent         bool // EXECUTE's last byte was written, and no word came back that it was for nothing
+	Sent         bool // the last byte of EXECUTE was written, and the server has not reported the statement as unknown
 }
 
-// Next gives the next step on a connection.
-func (r *Execution) Next(c *Cache) (Step, Statement) {
-	if st, ok := c.Get(r.Text); ok {
-		r.Sent = true
+// Next returns the next step on the connection of c and, for Execute, the prepared statement.
+func (x *Execution) Next(c *Cache) (Step, Statement) {
+	if st, ok := c.Get(x.Text); ok {
+		x.Sent = true
 		return Execute, st
 	}
-	if r.prepareCount >= 2 {
+	if x.prepareCount >= 2 {
 		return GiveUp, Statement{}
 	}
-	r.prepareCount++
+	x.prepareCount++
 	return Prepare, Statement{}
 }
 
-// StatementUnknown notes that the server didn't know the statement: nothing has run.
-func (r *Execution) StatementUnknown(c *Cache) {
-	c.Remove(r.Text)
-	r.Sent = false
+// StatementUnknown records that the server did not know the statement, so nothing has run.
+func (x *Execution) StatementUnknown(c *Cache) {
+	c.Remove(x.Text)
+	x.Sent = false
 }
--- a/internal/state/prepared/room.go
+++ b/internal/state/prepared/room.go
@@ -2,31 +2,32 @@
 
 import "fmt"
 
-// Budget bounds what all clients' prepared statements take together. It is not safe for concurrent use.
+// Budget limits the memory of all clients' prepared statements. It is not safe for concurrent use.
 type Budget struct {
 	limit int
 	used  int
 }
 
-// NewBudget makes one of so many bytes.
-func NewBudget(most int) *Budget { return &Budget{limit: most} }
+// NewBudget returns a budget of the given number of bytes.
+func NewBudget(limit int) *Budget { return &Budget{limit: limit} }
 
-// overText is what a statement takes beside its text, in bytes.
+// statementOverhead is the memory of a statement in addition to its text, in bytes.
 const statementOverhead = 300
 
-// Share is one client's part of a room. A text that many have prepared is counted with each, though there may be one copy.
+// Share is one client's share of a budget. A text that several clients have prepared counts for each of them, even if
+// they share one copy.
 type Share struct {
 	budget                  *Budget
-	maxStatements, maxBytes int // of statements, and of their bytes
+	maxStatements, maxBytes int // limits on statements and on their bytes
 	statements, used        int
 }
 
-// NewShare makes a client's part, for so many statements and bytes at most.
-func (r *Budget) NewShare(statements, bytes int) Share {
-	return Share{budget: r, maxStatements: statements, maxBytes: bytes}
+// NewShare returns a client's share, limited to the given numbers of statements and bytes.
+func (b *Budget) NewShare(statements, bytes int) Share {
+	return Share{budget: b, maxStatements: statements, maxBytes: bytes}
 }
 
-// CheckFits tells why another statement can't be taken; nil = it can.
+// CheckFits returns nil if another statement may be added, or else an error with the limit that it would exceed.
 func (s *Share) CheckFits(text string) error {
 	size := len(text) + statementOverhead
 	switch {
@@ -40,10 +41,10 @@
 	return nil
 }
 
-// Add counts a statement, Drop no longer.
+// Add counts a statement. The caller must have checked it with CheckFits.
 func (s *Share) Add(text string) { s.adjust(text, 1) }
 
-// Remove ends what Take began.
+// Remove stops counting a statement that was added.
 func (s *Share) Remove(text string) { s.adjust(text, -1) }
 
 func (s *Share) adjust(text string, n int) {
@@ -51,5 +52,5 @@
 	s.statements, s.used, s.budget.used = s.statements+n, s.used+size, s.budget.used+size
 }
 
-// Used tells how many bytes a client's statements take.
+// Used returns the number of bytes that the client's statements take.
 func (s *Share) Used() int { return s.used }
--- a/internal/state/prepared/room_test.go
+++ b/internal/state/prepared/room_test.go
@@ -16,11 +16,11 @@
 		a.Add(text)
 	}
 	if err := a.CheckFits("x"); err == nil || !strings.Contains(err.Error(), "3 statements") {
-		t.Errorf("the fourth of three: %v", err)
+		t.Errorf("a fourth statement with a limit of three: %v", err)
 	}
 	a.Remove(text)
 	if err := a.CheckFits(strings.Repeat("x", 1000)); err == nil || !strings.Contains(err.Error(), "this connection") {
-		t.Errorf("beyond its bytes: %v", err)
+		t.Errorf("a statement beyond the byte limit: %v", err)
 	}
 	for b.CheckFits(text) == nil {
 		b.Add(text)
@@ -29,6 +29,6 @@
 		t.Errorf("%v, %d and %d bytes", err, a.Used(), b.Used())
 	}
 	if err := a.CheckFits(text); err == nil {
-		t.Error("one client's are counted for that one only")
+		t.Error("statements count for their own client only")
 	}
 }
--- a/internal/state/prepared/shapes.go
+++ b/internal/state/prepared/shapes.go
@@ -6,10 +6,10 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// MetadataCache keeps what databases said of the statements that they prepared, their parameters and columns, so that the next
-// client that prepares the same text has its answer at once: the same text from 500 clients is one question to a group, not
-// 500, and none of them has to wait for a database that is busy. A shape is kept for a while only: a table's columns may
-// change. Errors are not kept. It is not safe for concurrent use.
+// MetadataCache caches what databases reported about prepared statements, that is their parameters and columns, so
+// that the next client that prepares the same text is answered at once. The same text from 500 clients causes one
+// query to a group instead of 500, and no client waits for a busy database. Entries expire, because a table's columns
+// may change. Errors are not cached. It is not safe for concurrent use.
 type MetadataCache struct {
 	maxBytes, used int // bytes of texts and answers
 	ttl            time.Duration
@@ -22,47 +22,47 @@
 }
 
 type metadataEntry struct {
-	text     string // the copy that is kept
+	text     string // the copy in the cache
 	answer   []byte
 	storedAt time.Duration
 }
 
-func (s *metadataEntry) size() int { return len(s.text) + len(s.answer) }
+func (e *metadataEntry) size() int { return len(e.text) + len(e.answer) }
 
-// NewMetadataCache keeps so many answers, one at least, so many bytes and so long, at most.
-func NewMetadataCache(most, room int, keep time.Duration) *MetadataCache {
-	s := &MetadataCache{maxBytes: room, ttl: keep}
-	s.lru, _ = simplelru.NewLRU(max(most, 1), func(_ metadataKey, x metadataEntry) { s.used -= x.size() })
-	return s
+// NewMetadataCache returns a cache limited to a number of answers, at least one, to a number of bytes, and to an age.
+func NewMetadataCache(maxEntries, maxBytes int, ttl time.Duration) *MetadataCache {
+	c := &MetadataCache{maxBytes: maxBytes, ttl: ttl}
+	c.lru, _ = simplelru.NewLRU(max(maxEntries, 1), func(_ metadataKey, entry metadataEntry) { c.used -= entry.size() })
+	return c
 }
 
-// Len tells how many are kept, and how many bytes they hold.
-func (s *MetadataCache) Len() (entries, bytes int) { return s.lru.Len(), s.used }
+// Len returns the number of entries and their size in bytes.
+func (c *MetadataCache) Len() (entries, bytes int) { return c.lru.Len(), c.used }
 
-// Put keeps a copy of the answer to a text's preparation in a group. One that would take more than a quarter of the room
-// is not kept: it would drive out all that others use.
-func (s *MetadataCache) Put(now time.Duration, group int, text string, answer []byte) {
-	s.Remove(group, text)
-	x := metadataEntry{text, append([]byte(nil), answer...), now}
-	if x.size() > s.maxBytes/4 {
+// Put stores a copy of a group's answer to the preparation of a text. An entry larger than a quarter of the cache is
+// not stored, as it would evict the entries that others use.
+func (c *MetadataCache) Put(now time.Duration, group int, text string, answer []byte) {
+	c.Remove(group, text)
+	entry := metadataEntry{text, append([]byte(nil), answer...), now}
+	if entry.size() > c.maxBytes/4 {
 		return
 	}
-	for s.used+x.size() > s.maxBytes {
-		s.lru.RemoveOldest()
+	for c.used+entry.size() > c.maxBytes {
+		c.lru.RemoveOldest()
 	}
-	s.used += x.size()
-	s.lru.Add(metadataKey{group, text}, x)
+	c.used += entry.size()
+	c.lru.Add(metadataKey{group, text}, entry)
 }
 
-// Get gives what is known of a text in a group, valid until the next call, and the copy of the text that is kept.
-func (s *MetadataCache) Get(now time.Duration, group int, text string) (answer []byte, same string, ok bool) {
-	x, ok := s.lru.Get(metadataKey{group, text})
-	if ok && now-x.storedAt >= s.ttl {
-		s.Remove(group, text)
+// Get returns the answer for a text in a group, valid until the next call, and the cached copy of the text.
+func (c *MetadataCache) Get(now time.Duration, group int, text string) (answer []byte, cachedText string, ok bool) {
+	entry, ok := c.lru.Get(metadataKey{group, text})
+	if ok && now-entry.storedAt >= c.ttl {
+		c.Remove(group, text)
 		return nil, "", false
 	}
-	return x.answer, x.text, ok
+	return entry.answer, entry.text, ok
 }
 
-// Remove drops what is known of a text: a database has just refused it.
-func (s *MetadataCache) Remove(group int, text string) { s.lru.Remove(metadataKey{group, text}) }
+// Remove removes the entry of a text that a database has just rejected.
+func (c *MetadataCache) Remove(group int, text string) { c.lru.Remove(metadataKey{group, text}) }
--- a/internal/state/prepared/shapes_test.go
+++ b/internal/state/prepared/shapes_test.go
@@ -32,10 +32,10 @@
 			default:
 				got, _, ok := s.Get(now, 1, text)
 				if m, was := model[text]; ok && (!was || string(got) != m.answer || now-m.at >= time.Second) {
-					t.Fatalf("%q of %q, learned %q", got, text, m.answer)
+					t.Fatalf("got %q for %q, stored %q", got, text, m.answer)
 				}
 				if _, _, other := s.Get(now, 2, text); other {
-					t.Fatal("another group's")
+					t.Fatal("got another group's entry")
 				}
 			}
 			if n, bytes := s.Len(); n > most || bytes > room || bytes < 0 {
@@ -50,9 +50,9 @@
 	s.Put(1, 1, "a", make([]byte, 50))
 	s.Put(1, 1, "b", make([]byte, 200))
 	if _, _, ok := s.Get(1, 1, "b"); ok {
-		t.Error("half of the room in one")
+		t.Error("an entry of half the cache is stored")
 	}
 	if _, _, ok := s.Get(1, 1, "a"); !ok {
-		t.Error("it drove out another")
+		t.Error("it evicted another entry")
 	}
 }
--- a/internal/state/probes.go
+++ b/internal/state/probes.go
@@ -94,13 +94,13 @@
 		defer overdue.probeAgain()
 	}
 	e.checks.recordCheck(e, m, r)
-	p := logic.ProbeResult{Member: m.id, Result: r.Result, Elapsed: took, Report: e.loadReport(r), ConnOpenedAt: r.opened, DialRefused: r.refused}
+	p := logic.ProbeResult{Member: m.id, Result: r.Result, Elapsed: took, Report: e.loadReport(r), ConnOpenedAt: r.connOpenedAt, DialRefused: r.dialRefused}
 	e.dispatch(func() { e.events.ProbeDone(e.clock.Now(), p) })
 }
 
 // endOverdue closes an overdue connection and reports to the router how it ended.
 func (c *pooledConn) endOverdue(what handover.ConnectionEvidence) {
-	e, m, opened := c.engine, c.member, c.upAt
+	e, m, opened := c.engine, c.member, c.openedAt
 	e.closeConn(c)
 	e.dispatch(func() { e.events.ConnectionEvidence(e.clock.Now(), m.id, what, opened) })
 }
--- a/internal/state/shortage_test.go
+++ b/internal/state/shortage_test.go
@@ -16,7 +16,7 @@
 		t.Errorf("the router was told result %d, want %d", h.probe.Result, logic.NotSent)
 	}
 	if h.e.membersByName["one"].silent {
-		t.Error("the database counts as silent, and was never asked")
+		t.Error("the database counts as silent, but was never probed")
 	}
 }
 
@@ -41,7 +41,7 @@
 	h.conns[1].listener.NotOpened()
 	h.wantCalls("request", outcomeCall(logic.NotSent, false))
 	if h.e.Counters.ConnectionsNotOpened != 2 {
-		t.Errorf("%d connections are counted as without room, want 2", h.e.Counters.ConnectionsNotOpened)
+		t.Errorf("%d connections are counted as not opened, want 2", h.e.Counters.ConnectionsNotOpened)
 	}
 }
 
@@ -72,15 +72,15 @@
 	serve(one)
 	send("three")
 	if len(h.conns) != 3 || !two.closed || one.closed {
-		t.Errorf("%d connections; closed: one %v, two %v; want the one that was idle for longest, two", len(h.conns), one.closed, two.closed)
+		t.Errorf("%d connections; closed: one %v, two %v; want only two, which was idle for longest", len(h.conns), one.closed, two.closed)
 	}
 	send("two")
 	if len(h.conns) != 4 || !one.closed {
-		t.Errorf("%d connections; closed: one %v; it was the next", len(h.conns), one.closed)
+		t.Errorf("%d connections; closed: one %v; want it to be the next", len(h.conns), one.closed)
 	}
 	send("one")
 	if h.e.Counters.ConnectionsNotOpened != 1 {
-		t.Error("room was found though no connection is idle")
+		t.Error("a connection was evicted though none was idle")
 	}
 }
 
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -36,7 +36,7 @@
 
 func (h *harness) log(format string, args ...any) {
 	if h.depth > 0 {
-		h.t.Errorf("the router is called from within its own call")
+		h.t.Errorf("the router is called recursively")
 	}
 	h.calls = append(h.calls, fmt.Sprintf(format, args...))
 }
@@ -181,7 +181,7 @@
 		do   func(h *harness)
 		want logic.Result
 	}{
-		"refused":        {func(h *harness) { h.conns[0].listener.Refused() }, logic.ConnectFailed},
+		"refused":        {func(h *harness) { h.conns[0].listener.DialRefused() }, logic.ConnectFailed},
 		"reset on dial":  {func(h *harness) { h.conns[0].listener.Down() }, logic.ConnectFailed},
 		"never up":       {func(h *harness) { h.advance(250 * time.Millisecond) }, logic.ConnectFailed},
 		"turned away":    {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Rejected}) }, logic.Rejected},
@@ -198,10 +198,10 @@
 			c.do(h)
 			h.wantCalls("request", outcomeCall(c.want, false))
 			if h.lastOutcome.DialRefused != (name == "refused") {
-				t.Errorf("told that nothing listens there: %v", h.lastOutcome.DialRefused)
+				t.Errorf("dial refused is reported as %v", h.lastOutcome.DialRefused)
 			}
 			if !h.conns[0].closed {
-				t.Error("the connection is still open: what comes on it would be taken for the next answer")
+				t.Error("the connection is still open: a late answer would be taken for the next one")
 			}
 			h.conns[0].listener.Up()
 			h.conns[0].listener.Reply(Reply{Result: logic.OK})
@@ -245,7 +245,7 @@
 		t.Fatal(err)
 	}
 	if _, err = h.e.Submit(named); err != ErrDuplicateName {
-		t.Errorf("taken twice: %v", err)
+		t.Errorf("duplicate name: %v", err)
 	}
 	h.e.Fail(id)
 	if _, err = h.e.Submit(named); err != nil || len(h.e.openNames) != 1 {
@@ -271,7 +271,7 @@
 	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Gone},
 		{Name: "two", Address: "a:2", State: logic.Gone}}})
 	if len(h.e.members) != 1 || len(h.e.membersByName) != 1 {
-		t.Errorf("%d members, %d names; one still owes an answer", len(h.e.members), len(h.e.membersByName))
+		t.Errorf("%d members, %d names, want 1: it has an open request", len(h.e.members), len(h.e.membersByName))
 	}
 	h.e.Cancel(id, 0)
 	if len(h.e.members) != 0 || len(h.e.membersByName) != 0 {
@@ -292,7 +292,7 @@
 	}
 	h.abandonedDials = 1
 	if h.submitAndSend(&caller{}); len(h.conns) != 9 {
-		t.Errorf("there was no descriptor for another connection")
+		t.Errorf("a connection was opened beyond the limit")
 	}
 }
 
@@ -336,17 +336,17 @@
 	h.conns[0].listener.Up()
 	h.conns[0].listener.Reply(Reply{Result: logic.OK})
 	if h.advance(8 * time.Second); h.conns[0].closed {
-		t.Error("closed early")
+		t.Error("the connection is closed too early")
 	}
 	if h.advance(time.Second); !h.conns[0].closed {
-		t.Error("kept until the database closes it")
+		t.Error("the connection is kept until the database closes it")
 	}
 	h.submitAndSend(&caller{})
 	h.conns[1].listener.Up()
 	h.conns[1].listener.Reply(Reply{Result: logic.OK})
 	h.conns[1].listener.Down()
 	if h.submitAndSend(&caller{}); len(h.conns) != 3 {
-		t.Error("a connection seen closed was used again")
+		t.Error("a closed connection was used again")
 	}
 }
 
@@ -435,7 +435,7 @@
 		}
 		h.calls = nil
 		if !first.closed || h.e.Connections() != 0 || h.e.membersByName["one"].overdueConn != nil {
-			t.Errorf("%s: closed %v, %d links", how, first.closed, h.e.Connections())
+			t.Errorf("%s: closed %v, %d connections", how, first.closed, h.e.Connections())
 		}
 	}
 }
@@ -446,7 +446,7 @@
 	before := h.id("two")
 	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Gone}}})
 	if h.e.membersByName["two"] != nil {
-		t.Error("one that is gone is kept")
+		t.Error("a member that is gone is kept")
 	}
 	h.e.UpdateList(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Ready}}})
 	if after := h.id("two"); after != before {
@@ -475,7 +475,7 @@
 	}
 	h.e.UpdateList(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Draining}}})
 	if h.e.membersByName["two"] != nil || h.lastList.Kind != logic.ListFull {
-		t.Error("who is left out of a whole list is still known")
+		t.Error("a member that is not in a full list is still known")
 	}
 }
 
@@ -494,10 +494,10 @@
 	}
 	h.e.Submit(Request{Class: "any", Wait: time.Second, Session: 7, LastCommit: 1, Command: command{}, Caller: &caller{}})
 	if h.lastRequest.Session != 0 || h.lastRequest.TokenAge != 0 || h.lastRequest.Deadline >= h.now+time.Second {
-		t.Errorf("%+v: the key names a session in classes that have them only", h.lastRequest)
+		t.Errorf("%+v: the key names a session only in classes with sessions", h.lastRequest)
 	}
 	if _, err := h.e.Submit(Request{Class: "unheard"}); err == nil || h.e.Pending() != 4 {
-		t.Error("an unknown class was taken")
+		t.Error("an unknown class was accepted")
 	}
 }
 
@@ -530,7 +530,7 @@
 		second := h.conns[1]
 		second.listener.Up()
 		if first.probes != 1 {
-			t.Fatalf("asked %d times in the silence", first.probes)
+			t.Fatalf("probed %d times before the second answer", first.probes)
 		}
 		if how == "write" {
 			first.err = errors.New("broken pipe")
@@ -550,7 +550,7 @@
 		}
 		h.wantCalls("probed 0", want)
 		if first.probes != 2 || !first.closed || h.e.membersByName["one"].overdueConn != nil {
-			t.Errorf("%s: asked %d times, closed %v", how, first.probes, first.closed)
+			t.Errorf("%s: probed %d times, closed %v", how, first.probes, first.closed)
 		}
 	}
 }
--- a/internal/state/tier_test.go
+++ b/internal/state/tier_test.go
@@ -55,12 +55,12 @@
 	h.e.GateChanged()
 	h.advance(time.Second)
 	if len(a.policies) != 1 || a.policies[0] != 1 || len(c.policies) != 1 || c.policies[0] != 2 || len(gone.policies)+h.e.GateQueueLength() != 0 {
-		t.Errorf("taken under %v, %v and %v, %d wait", a.policies, c.policies, gone.policies, h.e.GateQueueLength())
+		t.Errorf("admitted under %v, %v and %v, %d wait", a.policies, c.policies, gone.policies, h.e.GateQueueLength())
 	}
 	c.wantAnswers(t)
 	h.wantCalls("request", "abandoned", "request") // none for the abandoned one
 	if want := clockBase + time.Second; h.lastRequest.Deadline != want-networkAllowance {
-		t.Errorf("its time ends at %v, want %v: it runs while it waits", h.lastRequest.Deadline, want-networkAllowance)
+		t.Errorf("its deadline is %v, want %v: the time of waiting counts", h.lastRequest.Deadline, want-networkAllowance)
 	}
 }
 
@@ -86,7 +86,7 @@
 	g.verdict = GateOpen
 	h.e.GateChanged()
 	if len(long.policies)+len(short.policies)+len(later.policies)+h.e.GateQueueLength()+h.e.Pending() != 0 {
-		t.Error("what was refused is taken")
+		t.Error("a refused request is admitted")
 	}
 }
 
@@ -104,6 +104,6 @@
 	h.submit(&c, time.Second)
 	c.wantAnswers(t, "refused 200ms")
 	if len(h.calls) > 0 || g.asked[len(g.asked)-1] != h.now || h.e.Counters.GateRefused != 2 || h.e.Pending() != 0 {
-		t.Errorf("the router was told %v; asked for %v at %v", h.calls, g.asked, h.now)
+		t.Errorf("the router was told %v; the gate was asked at %v, now is %v", h.calls, g.asked, h.now)
 	}
 }
--- a/internal/state/unlisted_test.go
+++ b/internal/state/unlisted_test.go
@@ -29,7 +29,7 @@
 		}
 	}
 	if after := heap(); after > before+1<<20 {
-		t.Errorf("they hold %d bytes", after-before)
+		t.Errorf("the requests hold %d bytes", after-before)
 	}
 	if refused.n != 1_000_000 || e.Pending() != 0 || len(e.router.Groups()) != 0 {
 		t.Errorf("%d refused, %d pending, %d groups", refused.n, e.Pending(), len(e.router.Groups()))
--- a/internal/trace/read.go
+++ b/internal/trace/read.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// Reader reads a trace, block by block.
+// Reader reads a trace block by block.
 type Reader struct {
 	Header
 	input *bufio.Reader
 	block []byte
 
-	Blocks, CorruptBlocks int // read, and passed over
+	Blocks, CorruptBlocks int // blocks read, and corrupt blocks skipped
 }
 
-// NewReader reads the head.
+// NewReader reads the header. It returns ErrNotTrace, ErrVersion or another error if that fails.
 func NewReader(in io.Reader) (*Reader, error) {
 	r := &Reader{input: bufio.NewReaderSize(in, 64<<10)}
 	var m [8]byte
@@ -32,17 +32,17 @@
 	}
 	p, err := r.readBlock()
 	if err != nil {
-		return nil, fmt.Errorf("head: %w", err)
+		return nil, fmt.Errorf("header: %w", err)
 	}
 	return r, r.Header.read(p)
 }
 
 func (h *Header) read(p []byte) error {
-	began, n := binary.Varint(p)
+	startedAt, n := binary.Varint(p)
 	if n <= 0 {
 		return ErrCorrupt
 	}
-	h.StartedAt, p = time.Duration(began)*time.Microsecond, p[n:]
+	h.StartedAt, p = time.Duration(startedAt)*time.Microsecond, p[n:]
 	next := func() (uint64, bool) {
 		x, n := binary.Uvarint(p)
 		if n <= 0 {
@@ -72,10 +72,11 @@
 	return nil
 }
 
-// frame reads the next block's payload; it is valid until the next. io.EOF is the end of the trace.
+// readBlock returns the payload of the next block, valid until the next call. The error is io.EOF at the end of the
+// trace.
 func (r *Reader) readBlock() ([]byte, error) {
-	var head [blockHeaderSize]byte
-	switch _, err := io.ReadFull(r.input, head[:]); {
+	var header [blockHeaderSize]byte
+	switch _, err := io.ReadFull(r.input, header[:]); {
 	case err == io.EOF:
 		return nil, io.EOF
 	case errors.Is(err, io.ErrUnexpectedEOF):
@@ -83,9 +84,9 @@
 	case err != nil:
 		return nil, err
 	}
-	length := binary.LittleEndian.Uint32(head[:])
+	length := binary.LittleEndian.Uint32(header[:])
 	if length == 0 || length > maxBlockSize {
-		return nil, fmt.Errorf("%w: a block of %d bytes", ErrCorrupt, length)
+		return nil, fmt.Errorf("%w: block length %d", ErrCorrupt, length)
 	}
 	if uint32(cap(r.block)) < length {
 		r.block = make([]byte, length)
@@ -97,49 +98,50 @@
 		}
 		return nil, err
 	}
-	if crc32.Checksum(r.block, crcTable) != binary.LittleEndian.Uint32(head[4:]) {
+	if crc32.Checksum(r.block, crcTable) != binary.LittleEndian.Uint32(header[4:]) {
 		r.CorruptBlocks++
 		return nil, ErrCorrupt
 	}
 	return r.block, nil
 }
 
-// ForEach gives all records in their order. A block that is damaged inside is passed over and counted; a trace that ends in the
-// middle of a block gives ErrCut behind all that was whole.
-func (r *Reader) ForEach(do func(Record) error) error {
+// ForEach calls yield for all records in their order. It skips and counts blocks with a wrong checksum. A trace that
+// ends within a block gives ErrTruncated after all complete blocks.
+func (r *Reader) ForEach(yield func(Record) error) error {
 	for {
-		damaged := r.CorruptBlocks
+		corrupt := r.CorruptBlocks
 		p, err := r.readBlock()
 		switch {
 		case err == io.EOF:
 			return nil
-		case err != nil && r.CorruptBlocks > damaged: // its length stood, so the next one can be found
+		case err != nil && r.CorruptBlocks > corrupt: // its length is known, so the next one can be found
 			continue
 		case err != nil:
 			return err
 		}
 		r.Blocks++
-		if err := decode(p, len(r.Classes), do); err != nil {
+		if err := decode(p, len(r.Classes), yield); err != nil {
 			return err
 		}
 	}
 }
 
-// Trace is a whole one in memory.
+// Trace is a whole trace in memory.
 type Trace struct {
 	Header
 	Records []Record
-	// What was found on reading: blocks that were passed over, whether the end is missing, and steps back in time.
+	// Faults found when reading: corrupt blocks that were skipped, a missing end, and records with a time before the
+	// previous one.
 	CorruptBlocks int
 	Truncated     bool
 	BackwardSteps int
 }
 
-// mostRecords bounds what Load takes in: some gigabytes.
+// maxRecords limits the size of a trace in memory to some gigabytes.
 const maxRecords = 50_000_000
 
-// Load reads a file. A trace that is cut off or damaged in places gives what it has, and says so in the result; records
-// whose time runs backwards are counted, and put back to the latest time before them.
+// Load reads a trace from a file. Truncation and corrupt blocks are reported in the result, together with all records
+// that could be read. A record with a time before the previous one is counted and gets the latest time before it.
 func Load(path string) (*Trace, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -149,7 +151,7 @@
 	return ReadAll(f)
 }
 
-// ReadAll reads as Load does.
+// ReadAll reads a trace as Load does.
 func ReadAll(in io.Reader) (*Trace, error) {
 	r, err := NewReader(in)
 	if err != nil {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,14 +1,15 @@
-// Package trace keeps what clients asked, in a compact form that leaves out who they are: when each request came, its class,
-// group and size, and its session as a keyed hash, so that a day can be studied and played again elsewhere. It is sampled by
-// session, so that the sessions in it are whole, and bounded in size.
+// Package trace records clients' requests in a compact format without their identity: each request's time, class,
+// group, size and a keyed hash of its session, so that the traffic of a day can be studied and replayed elsewhere.
+// Requests are sampled by session, so that the sessions in a trace are complete, and a trace is limited in size.
 //
-// The form: a head, then blocks. A block is its length and its CRC-32C, four bytes each, little-endian, and a payload of
-// records. So what was cut off, or damaged, costs its own block at most, and is noticed. The head is a block as well, behind
-// eight bytes that name the form and its version.
+// The format is a header followed by blocks. A block consists of its length and its CRC-32C, four bytes each,
+// little-endian, and a payload of records. Truncation or corruption therefore affects only its own block, and is
+// detected. The header is a block too, preceded by eight bytes that identify the format and its version.
 //
-// A record is variable-length numbers (encoding/binary's): microseconds since the record before (signed: clocks are set back),
-// class, group, the session's number among those met in this block, then, where it is new there, its hash of eight bytes; flags;
-// the client's time in milliseconds; the size in bytes. Each block begins anew, so that one can be read without the others.
+// A record is a sequence of variable-length integers (as in encoding/binary): microseconds since the previous record
+// (signed, as clocks may be set back), class, group, the session's number among those in this block followed by its
+// eight-byte hash if it is new there, flags, the client's wait in milliseconds, and the size in bytes. Each block
+// starts anew, so that it can be read without the others.
 package trace
 
 import (
@@ -22,14 +23,14 @@
 	"time"
 )
 
-// magic names the form; its last byte is the version.
+// magic identifies the format; its last byte is the version.
 var magic = [8]byte{'h', 'v', 'n', 't', 'r', 'a', 'c', 1}
 
 const (
-	blockSize       = 32 << 10 // a block is written once it holds so much
-	maxBlockSize    = 1 << 20  // none is longer; a reader allocates no more than this
-	maxClasses      = 1 << 12  // classes in a head
-	blockHeaderSize = 8        // a block's length and sum
+	blockSize       = 32 << 10 // payload size at which a block is written
+	maxBlockSize    = 1 << 20  // longest block; a reader allocates no more than this
+	maxClasses      = 1 << 12  // classes in a header
+	blockHeaderSize = 8        // a block's length and checksum
 )
 
 // Flags of a record.
@@ -39,43 +40,43 @@
 	flagsKnown = flagRetry | flagWrite
 )
 
-// The errors of a reader. What was read before one stands.
+// Errors of a Reader. Records that were read before an error are valid.
 var (
-	ErrNotTrace  = errors.New("this is no trace")
+	ErrNotTrace  = errors.New("not a trace file")
 	ErrVersion   = errors.New("a trace of another version")
-	ErrTruncated = errors.New("the trace is cut off in the middle of a block")
-	ErrCorrupt   = errors.New("a block of the trace is damaged")
+	ErrTruncated = errors.New("trace is truncated within a block")
+	ErrCorrupt   = errors.New("trace block is corrupt")
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Header is what holds for a whole trace.
+// Header holds the properties of a whole trace.
 type Header struct {
 	StartedAt time.Duration // Unix time
-	Sample    float64       // part of the sessions that are in it
+	Sample    float64       // fraction of the sessions that is recorded
 	Classes   []string
-	SaltID    [8]byte // names the salt without telling it: only hashes of the same one can be held against each other
+	SaltID    [8]byte // identifies the salt without revealing it: only hashes with the same salt can be compared
 }
 
-// Record is one request.
+// Record is a request.
 type Record struct {
-	At      time.Duration // since the trace began
-	Class   int           // its place in the head
+	At      time.Duration // time since the start of the trace
+	Class   int           // index in Header.Classes
 	Group   int
-	Session uint64 // a keyed hash
-	Retry   bool   // the client said that it is a repeat
+	Session uint64 // keyed hash
+	Retry   bool   // the client marked it as a retry
 	Write   bool
-	Wait    time.Duration // how long its client waits, in whole milliseconds
+	Wait    time.Duration // how long the client waits, in whole milliseconds
 	Size    int           // bytes
 }
 
-// Salt is the secret that sessions are hashed with.
+// Salt is the secret key for hashing sessions.
 type Salt []byte
 
-// Hash hides a session. Without the salt nobody can tell whether a known name is behind a hash.
+// Hash returns the keyed hash of a session. Without the salt, a hash cannot be matched to a known session.
 func (s Salt) Hash(session uint64) uint64 { return s.hasher().hash(session) }
 
-// hasher hashes many sessions with one salt, and allocates nothing for each.
+// hasher hashes sessions with one salt without allocating for each.
 type hasher struct {
 	mac hash.Hash
 	buf [sha256.Size]byte
@@ -90,7 +91,7 @@
 	return binary.LittleEndian.Uint64(h.mac.Sum(h.buf[:0]))
 }
 
-// name tells salts apart.
+// id identifies the salt.
 func (s Salt) id() (out [8]byte) {
 	mac := hmac.New(sha256.New, s)
 	mac.Write([]byte("the name of this salt"))
@@ -105,18 +106,18 @@
 }
 
 func (h *Header) append(dst []byte) []byte {
-	p := binary.AppendVarint(nil, int64(h.StartedAt/time.Microsecond))
-	p = binary.AppendUvarint(p, uint64(h.Sample*1e6))
-	p = append(p, h.SaltID[:]...)
-	p = binary.AppendUvarint(p, uint64(len(h.Classes)))
+	payload := binary.AppendVarint(nil, int64(h.StartedAt/time.Microsecond))
+	payload = binary.AppendUvarint(payload, uint64(h.Sample*1e6))
+	payload = append(payload, h.SaltID[:]...)
+	payload = binary.AppendUvarint(payload, uint64(len(h.Classes)))
 	for _, c := range h.Classes {
-		p = binary.AppendUvarint(p, uint64(len(c)))
-		p = append(p, c...)
+		payload = binary.AppendUvarint(payload, uint64(len(c)))
+		payload = append(payload, c...)
 	}
-	return appendBlock(append(dst, magic[:]...), p)
+	return appendBlock(append(dst, magic[:]...), payload)
 }
 
-// encoder puts records into blocks.
+// encoder encodes records into blocks.
 type encoder struct {
 	payload  []byte
 	last     time.Duration
@@ -127,7 +128,7 @@
 	if e.sessions == nil {
 		e.sessions = map[uint64]int{}
 	}
-	if len(e.payload) == 0 { // a block stands by itself: its first record's time counts from the trace's beginning
+	if len(e.payload) == 0 { // blocks are independent: the first record's time counts from the start of the trace
 		e.last = 0
 	}
 	p := binary.AppendVarint(e.payload, int64((r.At-e.last)/time.Microsecond))
@@ -154,7 +155,7 @@
 	e.payload = binary.AppendUvarint(p, uint64(max(r.Size, 0)))
 }
 
-// take gives the block in hand and begins the next.
+// takeBlock returns the current block and starts the next; nil if the block is empty.
 func (e *encoder) takeBlock() []byte {
 	if len(e.payload) == 0 {
 		return nil
@@ -165,17 +166,17 @@
 	return out
 }
 
-// decode reads a block's records.
-func decode(p []byte, classes int, each func(Record) error) error {
+// decode calls yield for the records of a block.
+func decode(p []byte, classes int, yield func(Record) error) error {
 	var sessions []uint64
 	last := time.Duration(0)
 	next := func() (uint64, error) {
-		x, n := binary.Uvarint(p)
+		value, n := binary.Uvarint(p)
 		if n <= 0 {
 			return 0, ErrCorrupt
 		}
 		p = p[n:]
-		return x, nil
+		return value, nil
 	}
 	for len(p) > 0 {
 		gap, n := binary.Varint(p)
@@ -183,13 +184,13 @@
 			return ErrCorrupt
 		}
 		p = p[n:]
-		var v [6]uint64 // class, group, session, flags, wait, size
-		for i := range v {
+		var fields [6]uint64 // class, group, session, flags, wait, size
+		for i := range fields {
 			var err error
-			if v[i], err = next(); err != nil {
+			if fields[i], err = next(); err != nil {
 				return err
 			}
-			if i == 2 && v[i] == uint64(len(sessions)) {
+			if i == 2 && fields[i] == uint64(len(sessions)) {
 				if len(p) < 8 {
 					return ErrCorrupt
 				}
@@ -198,16 +199,16 @@
 			}
 		}
 		switch {
-		case v[0] >= uint64(classes):
-			return fmt.Errorf("%w: class %d of %d", ErrCorrupt, v[0], classes)
-		case v[2] >= uint64(len(sessions)), v[1] > 1<<31, v[4] > 1<<40, v[5] > 1<<40, gap > 1<<53, gap < -(1 << 53):
+		case fields[0] >= uint64(classes):
+			return fmt.Errorf("%w: class %d of %d", ErrCorrupt, fields[0], classes)
+		case fields[2] >= uint64(len(sessions)), fields[1] > 1<<31, fields[4] > 1<<40, fields[5] > 1<<40, gap > 1<<53, gap < -(1 << 53):
 			return ErrCorrupt
-		case v[3]&^uint64(flagsKnown) != 0:
-			return fmt.Errorf("%w: flags %x", ErrVersion, v[3])
+		case fields[3]&^uint64(flagsKnown) != 0:
+			return fmt.Errorf("%w: flags %x", ErrVersion, fields[3])
 		}
 		last += time.Duration(gap) * time.Microsecond
-		if err := each(Record{At: last, Class: int(v[0]), Group: int(v[1]), Session: sessions[v[2]], Retry: v[3]&flagRetry != 0,
-			Write: v[3]&flagWrite != 0, Wait: time.Duration(v[4]) * time.Millisecond, Size: int(v[5])}); err != nil {
+		if err := yield(Record{At: last, Class: int(fields[0]), Group: int(fields[1]), Session: sessions[fields[2]], Retry: fields[3]&flagRetry != 0,
+			Write: fields[3]&flagWrite != 0, Wait: time.Duration(fields[4]) * time.Millisecond, Size: int(fields[5])}); err != nil {
 			return err
 		}
 	}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -98,16 +98,16 @@
 		part, err := ReadAll(bytes.NewReader(whole[:n]))
 		if err != nil {
 			if part != nil && len(part.Records) > 0 {
-				t.Fatalf("cut at %d: %v behind %d records", n, err, len(part.Records))
+				t.Fatalf("truncated at %d: %v after %d records", n, err, len(part.Records))
 			}
-			if n > 200 || !errors.Is(err, ErrNotTrace) && !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) && err.Error() != "head: EOF" {
-				t.Fatalf("cut at %d: %v", n, err)
+			if n > 200 || !errors.Is(err, ErrNotTrace) && !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) && err.Error() != "header: EOF" {
+				t.Fatalf("truncated at %d: %v", n, err)
 			}
 			continue
 		}
 		for i, r := range part.Records {
 			if r != all.Records[i] {
-				t.Fatalf("cut at %d: record %d is %+v, was %+v", n, i, r, all.Records[i])
+				t.Fatalf("truncated at %d: record %d is %+v, was %+v", n, i, r, all.Records[i])
 			}
 		}
 	}
@@ -126,10 +126,10 @@
 		b[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
 		part, err := ReadAll(bytes.NewReader(b))
 		if err == nil && part.CorruptBlocks == 0 && !part.Truncated {
-			t.Fatalf("byte %d turned, and nothing noticed", at)
+			t.Fatalf("byte %d changed, but not detected", at)
 		}
 		if err == nil && len(part.Records) >= len(all.Records) {
-			t.Fatalf("byte %d turned: %d records", at, len(part.Records))
+			t.Fatalf("byte %d changed: %d records", at, len(part.Records))
 		}
 	})
 }
@@ -181,7 +181,7 @@
 	salt := Salt("a secret of 16 b")
 	out := writeTrace(Config{Sample: 0.2, Salt: salt}, list)
 	if bytes.Contains(out.Bytes(), salt) {
-		t.Error("the salt stands in the file")
+		t.Error("the salt is in the file")
 	}
 	got, err := ReadAll(&out.Buffer)
 	if err != nil {
@@ -193,17 +193,17 @@
 	}
 	for s, n := range per {
 		if n != 20 {
-			t.Fatalf("a session in the sample with %d of its 20 requests", n)
+			t.Fatalf("a sampled session has %d of its 20 requests", n)
 		}
 		if s < 1000 {
-			t.Error("a session stands there as it is")
+			t.Error("a session is not hashed")
 		}
 	}
 	if len(per) < 150 || len(per) > 250 || got.Sample != 0.2 {
 		t.Errorf("%d of 1000 sessions, sample %v", len(per), got.Sample)
 	}
 	if a, b := Salt("a secret of 16 b").Hash(7), Salt("another of 16 b!").Hash(7); a == b {
-		t.Error("the salt changes nothing")
+		t.Error("the salt does not change the hash")
 	}
 
 	small := &memoryFile{}
--- a/internal/trace/write.go
+++ b/internal/trace/write.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// Config says what is kept.
+// Config configures a Writer.
 type Config struct {
 	File     string
-	Sample   float64 // part of the sessions; 1
-	MaxBytes int64   // bytes of the file; 64 MiB
-	Salt     Salt    // nil = a new one that nobody ever sees
+	Sample   float64 // fraction of the sessions that is recorded; default 1
+	MaxBytes int64   // maximum size of the file; default 64 MiB
+	Salt     Salt    // nil = a random one that is not stored
 }
 
-// WithDefaults fills in what is not set.
+// WithDefaults returns c with defaults for the fields that are not set.
 func (c Config) WithDefaults() Config {
 	if c.Sample == 0 {
 		c.Sample = 1
@@ -32,16 +32,18 @@
 	return c
 }
 
-// What may wait for the disk, in blocks and bytes. More is dropped and counted: who takes requests never waits.
+// Limits on the blocks and bytes that wait for the disk. Blocks beyond them are dropped and counted, as requests must
+// never wait for the disk.
 const (
 	maxWaitingBlocks = 512
 	maxWaitingBytes  = 256 << 10
 )
 
-// flushAfter is how much of a trace is lost at most where its program is killed, beside what the disk still owes.
+// flushInterval is the most that is lost of a trace, in addition to the blocks that wait for the disk, if the process
+// is killed.
 const flushInterval = time.Second
 
-// Writer writes a trace beside its caller. Its methods come from one goroutine, the one that takes requests.
+// Writer writes a trace in the background. Its methods must be called from one goroutine.
 type Writer struct {
 	cfg          Config
 	startedAt    time.Duration
@@ -54,14 +56,15 @@
 	full         bool
 	bytesWaiting atomic.Int64 // bytes that wait for the disk
 
-	Recorded       uint64 // records
-	Dropped        uint64 // those of blocks that the disk was too slow for, or that came when the file was full
+	Recorded       uint64 // records written or waiting for the disk
+	Dropped        uint64 // records dropped because the disk was too slow or the file was full
 	recordsInBlock uint64
-	blockStart     time.Duration // when the first record of the block in hand came
+	blockStart     time.Duration // time of the first record of the current block
 	failed         atomic.Pointer[error]
 }
 
-// Create begins a file in the place of a former one of that name, which may still be written to. now is Unix time.
+// Create starts a trace file. It replaces a file of that name, which another process may still be writing to. now is
+// Unix time.
 func Create(cfg Config, classes []string, now time.Duration) (*Writer, error) {
 	if info, err := os.Stat(cfg.File); err == nil && info.Mode().IsRegular() {
 		if err := os.Remove(cfg.File); err != nil {
@@ -75,7 +78,7 @@
 	return NewWriter(cfg, f, classes, now), nil
 }
 
-// NewWriter writes to what is given, and closes it in the end.
+// NewWriter returns a writer to out, which Close closes. now is Unix time.
 func NewWriter(cfg Config, out io.WriteCloser, classes []string, now time.Duration) *Writer {
 	cfg = cfg.WithDefaults()
 	w := &Writer{cfg: cfg, startedAt: now, blocks: make(chan []byte, maxWaitingBlocks), out: out, bytesLeft: cfg.MaxBytes, hasher: cfg.Salt.hasher()}
@@ -86,12 +89,12 @@
 }
 
 func (w *Writer) run() {
-	for b := range w.blocks {
-		w.bytesWaiting.Add(-int64(len(b)))
+	for block := range w.blocks {
+		w.bytesWaiting.Add(-int64(len(block)))
 		if w.failed.Load() != nil {
 			continue
 		}
-		if _, err := w.out.Write(b); err != nil {
+		if _, err := w.out.Write(block); err != nil {
 			w.failed.Store(&err)
 		}
 	}
@@ -100,7 +103,7 @@
 	}
 }
 
-// Err is the first error of writing, if any; nothing is written behind it.
+// Err returns the first write error, if any; nothing is written after it.
 func (w *Writer) Err() error {
 	if p := w.failed.Load(); p != nil {
 		return *p
@@ -108,17 +111,17 @@
 	return nil
 }
 
-// Sample is the part of the sessions that is kept.
+// Sample returns the fraction of the sessions that is recorded.
 func (w *Writer) Sample() float64 { return w.cfg.Sample }
 
-// MaxBytes is how many bytes the file may hold.
+// MaxBytes returns the maximum size of the file in bytes.
 func (w *Writer) MaxBytes() int64 { return w.cfg.MaxBytes }
 
-// Full tells that the file has reached its size.
+// Full reports whether the file has reached its maximum size.
 func (w *Writer) Full() bool { return w.full }
 
-// Add keeps a request, if its session is in the sample. r.At is Unix time and r.Session the session itself; what is kept is
-// the time since the trace's beginning, and a hash.
+// Add records a request if its session is in the sample. r.At is Unix time and r.Session the session itself; the
+// record gets the time since the start of the trace and a hash.
 func (w *Writer) Add(r Record) {
 	hash := w.hasher.hash(r.Session)
 	if w.cfg.Sample < 1 && float64(hash>>11)/(1<<53) >= w.cfg.Sample {
@@ -139,46 +142,46 @@
 	}
 }
 
-// flush hands the block in hand on; wait tells to wait for the disk.
+// flush passes the current block to the background goroutine; with wait it waits for the disk to catch up.
 func (w *Writer) flush(wait bool) {
-	b, n := w.enc.takeBlock(), w.recordsInBlock
+	block, n := w.enc.takeBlock(), w.recordsInBlock
 	w.recordsInBlock = 0
-	if b == nil {
+	if block == nil {
 		return
 	}
 	if wait {
-		for len(w.blocks) == cap(w.blocks) || w.bytesWaiting.Load()+int64(len(b)) > maxWaitingBytes {
+		for len(w.blocks) == cap(w.blocks) || w.bytesWaiting.Load()+int64(len(block)) > maxWaitingBytes {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	if !w.full && w.push(b) {
+	if !w.full && w.push(block) {
 		w.Recorded += n
 	} else {
 		w.Dropped += n
 	}
 }
 
-// push hands a block on if the file has room for it and the disk keeps up.
-func (w *Writer) push(b []byte) bool {
-	if int64(len(b)) > w.bytesLeft {
+// push passes a block to the background goroutine and reports whether the file has room for it and the disk keeps up.
+func (w *Writer) push(block []byte) bool {
+	if int64(len(block)) > w.bytesLeft {
 		w.full = true
 		return false
 	}
-	if w.bytesWaiting.Load()+int64(len(b)) > maxWaitingBytes {
+	if w.bytesWaiting.Load()+int64(len(block)) > maxWaitingBytes {
 		return false
 	}
-	w.bytesWaiting.Add(int64(len(b)))
+	w.bytesWaiting.Add(int64(len(block)))
 	select {
-	case w.blocks <- b:
-		w.bytesLeft -= int64(len(b))
+	case w.blocks <- block:
+		w.bytesLeft -= int64(len(block))
 		return true
 	default:
-		w.bytesWaiting.Add(-int64(len(b)))
+		w.bytesWaiting.Add(-int64(len(block)))
 		return false
 	}
 }
 
-// Close writes what is left and waits for the disk.
+// Close writes the remaining records, waits for the disk and returns the first write error.
 func (w *Writer) Close() error {
 	w.flush(true)
 	close(w.blocks)
