--- a/internal/levels/controller.go
+++ b/internal/levels/controller.go
@@ -8,101 +8,99 @@
 )
 
 const (
-	// Outcomes and work are averaged over this, with the weight of a second's requests at the usual loads.
-	window = 800 * time.Millisecond
-	// Standing still for longer than this, the loop has seen nothing of what came meanwhile; what it finds in its
-	// sockets then says nothing of the databases.
-	stoodStill = 400 * time.Millisecond
-	// So many requests at least are looked at before a loss is believed.
-	enough = 12.0
-	// After a change its effect has to show before the next one up.
-	showTime = 1200 * time.Millisecond
-	// At the start nothing is known of the group.
-	startTime = 2 * time.Second
+	// averagingTime is the time constant of the averages of outcomes and work; at usual loads it covers about a second's requests.
+	averagingTime = 800 * time.Millisecond
+	// After a longer gap between ticks the proxy's loop was blocked. What it then finds in its sockets says nothing about the databases.
+	maxTickGap = 400 * time.Millisecond
+	// minRequests is the number of recent requests below which a loss is not significant.
+	minRequests = 12.0
+	// effectTime is how long a change must have been in effect before the next step up.
+	effectTime = 1200 * time.Millisecond
+	// startupTime is how long no decision is made at first, as nothing is known of the group.
+	startupTime = 2 * time.Second
 
-	learnSpan = 3 * time.Second        // over which a group's served work is averaged, for its capacity
-	learnFrom = 500 * time.Millisecond // so much of a strain is seen before anything is learned of it
-	learnRate = 0.3                    // of the way from the capacity in hand to what is seen, a second
-	// While a group is reduced and its answers come easily, its capacity may be larger than was seen: it is taken to
-	// grow by this part a second, so that the way back is tried.
-	hopeful      = 0.03
-	healthyFades = 0.005 // a second
-	easy         = 0.45  // strain up to which answers come easily
-	costRate     = 0.02  // how fast a class's cost is learned, a tick, in calm
+	capacityAveragingTime = 3 * time.Second        // time constant of the average of served work that the capacity is learned from
+	minOverloadTime       = 500 * time.Millisecond // an overload lasts at least so long before the capacity is learned from it
+	capacityLearnRate     = 0.3                    // part of the difference to the observed capacity that is learned per second
+	// While a group is at a reduced level and its latencies are low, its capacity may be larger than was observed. It is assumed to grow by this
+	// part per second, so that a step down is tried.
+	capacityGrowth       = 0.03
+	healthyDecay         = 0.005 // per second
+	lowLatencyRatio      = 0.45
+	serviceTimeLearnRate = 0.02 // part of the difference that is learned per tick, without overload
 
-	// A group whose members are colder than this on the mean, the silent ones counted as wholly cold, is not judged.
-	warmEnough = 0.85
+	// minWarmShare is the mean warmth of a group's members below which it is not judged; silent members count as cold.
+	minWarmShare = 0.85
 
-	tighten = 3.0 // the most that the pressure rises a second,
-	loosen  = 0.3 // and falls: sessions that are let in again must show their work first
+	maxPressureRise = 3.0 // per second
+	maxPressureFall = 0.3 // per second: the work of requests that are admitted again has to become visible first
 )
 
-// Controller decides for one group.
+// Controller decides on the level of one group.
 type Controller struct {
 	cfg   *Config
 	group logic.GroupID
 	level int
 
-	last     time.Duration // the last tick
-	startAt  time.Duration
-	since    time.Duration // of the level
-	why      string
-	offered  []average // a second, by class: what was asked for anew
-	served   []average
-	lost     []average
-	cost     []float64     // seconds of work a request, by class
-	did      float64       // work a second that was served in the last tick
-	done     average       // work a second that is served, averaged for the capacity
-	healthy  float64       // work a second of one warm database, as last seen without losses; fades
-	spell    time.Duration // how long losses have gone on without a break,
-	spellDid float64       // and the work done in it
-	capacity float64       // work a second of one warm database; 0 = not known
-	pressure float64       // how far the shares have gone from the level below to this one, 0 to 1
-	plan     []logic.Admission
-	warmth   float64
-	strain   float64
+	lastTick        time.Duration
+	startAt         time.Duration
+	levelSince      time.Duration
+	reason          string    // of the last change
+	offered         []average // new requests per second, by class
+	served          []average // per second, by class
+	lost            []average // per second, by class
+	serviceTime     []float64 // seconds of work per request, by class
+	tickWork        float64   // work per second that was served in the last tick
+	servedWork      average   // work per second that is served, averaged for the capacity
+	healthyCapacity float64   // work per second of a warm database when it last had no losses; decays
+	overloadedFor   time.Duration
+	overloadWork    float64 // work served during the overload
+	capacity        float64 // work per second of a warm database; 0 = not known
+	pressure        float64 // position between the shares of the level below, 0, and those of this level, 1
+	admissions      []logic.Admission
+	warmCapacity    float64 // as in logic.GroupStats
+	latencyRatio    float64 // as in logic.GroupStats, averaged
 
-	lossSince time.Duration // of a loss worth a way up; 0 = none
-	fitSince  time.Duration // the work that would come back fits since then; 0 = it doesn't
-	dwell     time.Duration
-	leftAt    time.Duration // the last way down
-	calmSince time.Duration
-	changes   [8]time.Duration
-	changed   int
+	lossSince    time.Duration // of a loss that justifies a step up; 0 = none
+	fitsSince    time.Duration // since when the work of the level below has fitted; 0 = it doesn't
+	dwell        time.Duration
+	lastStepDown time.Duration
+	calmSince    time.Duration
+	changeTimes  [8]time.Duration // ring buffer
+	changeCount  int
 
-	usable      int // members, as last told
-	members     int
-	noPrimary   time.Duration // since when there is none; 0 = there is one
-	frozenUntil time.Duration
-	frozen      string
-	unjudged    time.Duration // how long it has been frozen without a break
+	usableMembers  int
+	readyMembers   int
+	noPrimarySince time.Duration // 0 = there is a primary
+	frozenUntil    time.Duration
+	frozenReason   string
+	frozenFor      time.Duration // without interruption
 }
 
-// NewController makes the controller of a group. cfg must have passed Check, with its defaults filled in; it is
-// shared and not changed.
+// NewController returns the controller of a group at the first level. cfg must have its defaults set and have passed Validate; it is shared and
+// must not be changed.
 func NewController(cfg *Config, group logic.GroupID, now time.Duration) *Controller {
 	n := len(cfg.Classes)
-	return &Controller{cfg: cfg, group: group, startAt: now, since: now, why: "as it started", last: now, dwell: cfg.Dwell,
-		offered: make([]average, n), served: make([]average, n), lost: make([]average, n), cost: make([]float64, n), leftAt: -1 << 62,
-		plan: make([]logic.Admission, n)}
+	return &Controller{cfg: cfg, group: group, startAt: now, levelSince: now, reason: "initial level", lastTick: now, dwell: cfg.Dwell,
+		offered: make([]average, n), served: make([]average, n), lost: make([]average, n), serviceTime: make([]float64, n), lastStepDown: -1 << 62,
+		admissions: make([]logic.Admission, n)}
 }
 
-// Admissions gives the admissions in force; nil where everything is admitted. The slice is the controller's: it follows
-// each Tick.
+// Admissions returns the admissions in force, by class; nil if everything is admitted. The slice is valid until the next call.
 func (c *Controller) Admissions() []logic.Admission {
 	if c.level == 0 {
 		return nil
 	}
-	for i := range c.plan {
+	for i := range c.admissions {
 		r := &c.cfg.Ladder[c.level].Rules[i]
-		c.plan[i] = logic.Admission{Share: c.share(i), NoRetries: !r.Repeats, RetryAfter: r.ComeBack}
+		c.admissions[i] = logic.Admission{Share: c.admittedShare(i), NoRetries: !r.Repeats, RetryAfter: r.ComeBack}
 	}
-	return c.plan
+	return c.admissions
 }
 
-// share is the part of a class that is admitted now: the level's own share is its floor, which is reached under full
-// pressure; without any, the share of the level below still holds. So a change of level is no jump.
-func (c *Controller) share(class int) float64 {
+// admittedShare returns the share of a class that is admitted now. It falls from the share of the level below to that of the level itself as the
+// pressure rises from 0 to 1, so that a change of level causes no jump.
+func (c *Controller) admittedShare(class int) float64 {
 	to := c.cfg.Ladder[c.level].Rules[class].Admit
 	if c.level == 0 {
 		return to
@@ -111,70 +109,69 @@
 	return from + c.pressure*(to-from)
 }
 
-// Level is the level in force.
+// Level returns the index of the level in force.
 func (c *Controller) Level() int { return c.level }
 
-// Tick takes what happened since the last one and decides.
-func (c *Controller) Tick(now time.Duration, f *logic.GroupStats) Decision {
-	dt := now - c.last
-	c.last = now
+// Tick takes the statistics since the last call and decides on the level. It should be called several times a second.
+func (c *Controller) Tick(now time.Duration, stats *logic.GroupStats) Decision {
+	dt := now - c.lastTick
+	c.lastTick = now
 	if dt <= 0 {
 		return Decision{Level: c.level, PreviousLevel: c.level}
 	}
-	if to, ok := c.held(); ok {
-		c.measure(f, dt)
+	if to, ok := c.pinnedLevel(); ok {
+		c.measure(stats, dt)
 		var d Decision
 		if to != c.level {
-			d = c.change(now, to, "held there by the operator's file")
+			d = c.changeLevel(now, to, "pinned by the operator's file")
 		}
 		if c.pressure = 1; d.Changed {
 			return d
 		}
 		return Decision{Level: c.level, PreviousLevel: c.level}
 	}
-	if c.freeze(now, dt, f) {
-		// What is seen now says nothing of load. It starts again from what it knew; time in which nothing was seen is
-		// no calm either.
-		c.lossSince, c.spell, c.spellDid = 0, 0, 0
-		if c.fitSince > 0 {
-			c.fitSince += dt
+	if c.updateFreeze(now, dt, stats) {
+		// Outcomes say nothing about load now. Time in which the group is not judged counts neither as overload nor as fitting work.
+		c.lossSince, c.overloadedFor, c.overloadWork = 0, 0, 0
+		if c.fitsSince > 0 {
+			c.fitsSince += dt
 		}
-		// What it sheds is let in again as far as the level below goes: the reason for it may be gone.
-		c.pressure = max(c.pressure-loosen*dt.Seconds(), 0)
-		// Where databases come and go without end there would never be a way out.
-		if c.unjudged += dt; c.level > 0 && c.unjudged >= max(c.cfg.Blind, c.dwell) && c.recent(now) < c.cfg.Fall {
-			c.unjudged = 0
-			return c.change(now, c.level-1, fmt.Sprintf("nothing could be judged for %v: %s", max(c.cfg.Blind, c.dwell), c.frozen))
+		// The shares return to those of the level below, as the reason for shedding may no longer exist.
+		c.pressure = max(c.pressure-maxPressureFall*dt.Seconds(), 0)
+		// Without this step down, a group whose databases come and go endlessly would never leave the level.
+		if c.frozenFor += dt; c.level > 0 && c.frozenFor >= max(c.cfg.Blind, c.dwell) && c.recentChanges(now) < c.cfg.Fall {
+			c.frozenFor = 0
+			return c.changeLevel(now, c.level-1, fmt.Sprintf("the group could not be judged for %v: %s", max(c.cfg.Blind, c.dwell), c.frozenReason))
 		}
 		return Decision{Level: c.level, PreviousLevel: c.level}
 	}
-	c.unjudged = 0
-	c.measure(f, dt)
-	if now-c.startAt < startTime {
+	c.frozenFor = 0
+	c.measure(stats, dt)
+	if now-c.startAt < startupTime {
 		return Decision{Level: c.level, PreviousLevel: c.level}
 	}
-	c.learn(dt)
-	c.press(dt)
-	if to, reason, ok := c.wayUp(now); ok {
-		return c.change(now, to, reason)
+	c.learnCapacity(dt)
+	c.updatePressure(dt)
+	if to, reason, ok := c.stepUp(now); ok {
+		return c.changeLevel(now, to, reason)
 	}
-	if to, reason, ok := c.wayDown(now); ok {
-		return c.change(now, to, reason)
+	if to, reason, ok := c.stepDown(now); ok {
+		return c.changeLevel(now, to, reason)
 	}
 	return Decision{Level: c.level, PreviousLevel: c.level}
 }
 
-// held tells the level that the operator holds the group at.
-func (c *Controller) held() (int, bool) {
+// pinnedLevel returns the level at which the operator pins the group; false if it is not pinned.
+func (c *Controller) pinnedLevel() (int, bool) {
 	name, ok := c.cfg.Pin[c.group]
 	if !ok {
 		name, ok = c.cfg.Pin[AllGroups]
 	}
-	return c.cfg.index(name), ok
+	return c.cfg.levelIndex(name), ok
 }
 
-// ceiling is the highest level that may be taken.
-func (c *Controller) ceiling() int {
+// maxLevel returns the highest level that may be taken.
+func (c *Controller) maxLevel() int {
 	name, ok := c.cfg.Cap[c.group]
 	if !ok {
 		name, ok = c.cfg.Cap[AllGroups]
@@ -182,10 +179,10 @@
 	if !ok {
 		return len(c.cfg.Ladder) - 1
 	}
-	return c.cfg.index(name)
+	return c.cfg.levelIndex(name)
 }
 
-func (c *Config) index(name string) int {
+func (c *Config) levelIndex(name string) int {
 	for i, l := range c.Ladder {
 		if l.Name == name {
 			return i
@@ -194,51 +191,51 @@
 	return 0
 }
 
-// freeze tells of times in which outcomes are no sign of load, and keeps why.
-func (c *Controller) freeze(now, dt time.Duration, f *logic.GroupStats) bool {
-	if dt > stoodStill {
-		c.frozenUntil = max(c.frozenUntil, now+window)
-		c.frozen = "the proxy stood still"
+// updateFreeze reports whether outcomes are no sign of load at present, and sets the reason.
+func (c *Controller) updateFreeze(now, dt time.Duration, stats *logic.GroupStats) bool {
+	if dt > maxTickGap {
+		c.frozenUntil = max(c.frozenUntil, now+averagingTime)
+		c.frozenReason = "the proxy's loop was blocked"
 	}
-	if f.UsableMembers == 0 {
+	if stats.UsableMembers == 0 {
 		c.frozenUntil = max(c.frozenUntil, now+c.cfg.Settle)
-		c.frozen = "no database of the group answers"
+		c.frozenReason = "no database of the group answers"
 	}
-	// Members that come and go, and cold ones, make their group refuse at any load: what each bears is bounded then.
-	if f.UsableMembers != c.usable || f.ReadyMembers != c.members {
-		if c.members > 0 {
+	// While members come and go or are cold, requests are refused at any load, as the limits of such members are low.
+	if stats.UsableMembers != c.usableMembers || stats.ReadyMembers != c.readyMembers {
+		if c.readyMembers > 0 {
 			c.frozenUntil = max(c.frozenUntil, now+c.cfg.Settle)
-			c.frozen = "databases come and go"
+			c.frozenReason = "databases join or leave"
 		}
-		c.usable, c.members = f.UsableMembers, f.ReadyMembers
+		c.usableMembers, c.readyMembers = stats.UsableMembers, stats.ReadyMembers
 	}
-	if f.WarmCapacity < warmEnough*float64(f.ReadyMembers) {
+	if stats.WarmCapacity < minWarmShare*float64(stats.ReadyMembers) {
 		c.frozenUntil = max(c.frozenUntil, now+1)
-		c.frozen = "some databases are cold or silent"
+		c.frozenReason = "some databases are cold or silent"
 	}
 	switch {
-	case !f.HasPrimary && c.noPrimary == 0:
-		c.noPrimary = now
-	case f.HasPrimary && c.noPrimary > 0:
-		c.noPrimary = 0
+	case !stats.HasPrimary && c.noPrimarySince == 0:
+		c.noPrimarySince = now
+	case stats.HasPrimary && c.noPrimarySince > 0:
+		c.noPrimarySince = 0
 		c.frozenUntil = max(c.frozenUntil, now+c.cfg.Settle)
-		c.frozen = "a primary was just found"
+		c.frozenReason = "a primary was just found"
 	}
-	if c.noPrimary > 0 && now-c.noPrimary < c.cfg.Blind {
+	if c.noPrimarySince > 0 && now-c.noPrimarySince < c.cfg.Blind {
 		c.frozenUntil = max(c.frozenUntil, now+1)
-		c.frozen = "no primary is known"
+		c.frozenReason = "no primary is known"
 	}
 	if now < c.frozenUntil {
 		return true
 	}
-	c.frozen = ""
+	c.frozenReason = ""
 	return false
 }
 
-// Reconfigure goes on under another configuration: at the level of the same name, or, where that is gone, at the first that
-// admits no more than was admitted.
+// Reconfigure returns a controller that continues with another configuration: at the level of the same name or, if there is none, at the lowest
+// level that admits no more worth than before.
 func (c *Controller) Reconfigure(now time.Duration, cfg *Config) (Decision, *Controller) {
-	n := NewController(cfg, c.group, now)
+	next := NewController(cfg, c.group, now)
 	old := c.cfg.Ladder[c.level]
 	to := -1
 	for i, l := range cfg.Ladder {
@@ -249,64 +246,64 @@
 	if to < 0 {
 		to = len(cfg.Ladder) - 1
 		for i := len(cfg.Ladder) - 1; i >= 0; i-- {
-			if admits(cfg.Ladder[i], cfg.Classes) <= admits(old, c.cfg.Classes)+1e-9 {
+			if admittedWorth(cfg.Ladder[i], cfg.Classes) <= admittedWorth(old, c.cfg.Classes)+1e-9 {
 				to = i
 			}
 		}
 	}
-	if len(cfg.Classes) == len(c.cfg.Classes) { // what was learned of the databases still holds
-		copy(n.offered, c.offered)
-		copy(n.served, c.served)
-		copy(n.lost, c.lost)
-		copy(n.cost, c.cost)
-		n.done = c.done
+	if len(cfg.Classes) == len(c.cfg.Classes) { // what was learned of the classes is still valid
+		copy(next.offered, c.offered)
+		copy(next.served, c.served)
+		copy(next.lost, c.lost)
+		copy(next.serviceTime, c.serviceTime)
+		next.servedWork = c.servedWork
 	}
-	n.healthy, n.usable, n.members = c.healthy, c.usable, c.members
-	n.capacity, n.warmth, n.strain, n.startAt, n.last = c.capacity, c.warmth, c.strain, c.startAt, c.last
-	n.since, n.why, n.level, n.changes, n.changed = c.since, c.why, to, c.changes, c.changed
-	n.noPrimary, n.frozenUntil, n.frozen, n.leftAt = c.noPrimary, c.frozenUntil, c.frozen, c.leftAt
-	n.dwell = min(max(c.dwell, cfg.Dwell), cfg.DwellMost)
+	next.healthyCapacity, next.usableMembers, next.readyMembers = c.healthyCapacity, c.usableMembers, c.readyMembers
+	next.capacity, next.warmCapacity, next.latencyRatio, next.startAt, next.lastTick = c.capacity, c.warmCapacity, c.latencyRatio, c.startAt, c.lastTick
+	next.levelSince, next.reason, next.level, next.changeTimes, next.changeCount = c.levelSince, c.reason, to, c.changeTimes, c.changeCount
+	next.noPrimarySince, next.frozenUntil, next.frozenReason, next.lastStepDown = c.noPrimarySince, c.frozenUntil, c.frozenReason, c.lastStepDown
+	next.dwell = min(max(c.dwell, cfg.Dwell), cfg.DwellMost)
 	d := Decision{Level: to, PreviousLevel: c.level}
 	if cfg.Ladder[to].Name != old.Name {
-		d = n.change(now, to, fmt.Sprintf("level %q is gone from the operator's file; %q admits no more than it did", old.Name, cfg.Ladder[to].Name))
+		d = next.changeLevel(now, to, fmt.Sprintf("level %q is gone from the operator's file; %q admits no more than it did", old.Name, cfg.Ladder[to].Name))
 		d.PreviousLevel = c.level
 	}
-	if n.pressure = 0; to > 0 {
-		n.pressure = 1 // the level below may be another: nothing is let in again by that alone
+	if next.pressure = 0; to > 0 {
+		next.pressure = 1 // the level below may be another, which must not admit more at once
 	}
-	return d, n
+	return d, next
 }
 
-// admits is the worth that a level lets in of one request of each class.
-func admits(l Level, classes []Class) (w float64) {
+// admittedWorth returns the worth that a level admits of one request of each class.
+func admittedWorth(l Level, classes []Class) (w float64) {
 	for i, r := range l.Rules {
 		w += r.Admit * classes[i].Worth
 	}
 	return w
 }
 
-// Status tells what an operator wants to know.
+// Status returns the group's present state.
 func (c *Controller) Status(now time.Duration) Status {
-	s := Status{Level: c.level, Name: c.cfg.Ladder[c.level].Name, Since: c.since, Reason: c.why, OfferedWork: c.work(0), Capacity: c.total(),
-		LostShare: c.loss(c.level + 1), FrozenReason: c.frozen, RecentChanges: c.recent(now), Dwell: c.dwell}
+	s := Status{Level: c.level, Name: c.cfg.Ladder[c.level].Name, Since: c.levelSince, Reason: c.reason, OfferedWork: c.admittedWork(0), Capacity: c.totalCapacity(),
+		LostShare: c.lostShare(c.level + 1), FrozenReason: c.frozenReason, RecentChanges: c.recentChanges(now), Dwell: c.dwell}
 	s.Pressure = c.pressure
 	for i := range c.cfg.Classes {
-		s.AdmittedShares = append(s.AdmittedShares, c.share(i))
+		s.AdmittedShares = append(s.AdmittedShares, c.admittedShare(i))
 	}
-	_, pinned := c.held()
+	_, pinned := c.pinnedLevel()
 	switch {
 	case pinned:
-		s.ExitCondition = "the operator's file holds it"
+		s.ExitCondition = "pinned by the operator's file"
 	case c.level == 0:
-		s.ExitCondition = fmt.Sprintf("up when over %.0f%% of the protected worth is lost for %v", 100*c.cfg.Enter, c.cfg.EnterAfter)
-	case !c.fits():
-		s.ExitCondition = fmt.Sprintf("the work to come back must fall from %.2f to %.2f core s/s, and losses from %.0f%% to %.0f%%, for %v",
-			c.work(c.level-1), c.cfg.Margin*c.total(), 100*c.loss(c.level), 100*c.cfg.Leave, c.dwell)
-	case c.recent(now) >= c.cfg.Fall:
-		s.ExitCondition = fmt.Sprintf("the work to come back fits; %d changes within a minute, it waits for less than %d", c.recent(now), c.cfg.Fall)
+		s.ExitCondition = fmt.Sprintf("step up when over %.0f%% of the protected worth is lost for %v", 100*c.cfg.Enter, c.cfg.EnterAfter)
+	case !c.workFits():
+		s.ExitCondition = fmt.Sprintf("the work of the level below must fall from %.2f to %.2f core s/s, and losses from %.0f%% to %.0f%%, for %v",
+			c.admittedWork(c.level-1), c.cfg.Margin*c.totalCapacity(), 100*c.lostShare(c.level), 100*c.cfg.Leave, c.dwell)
+	case c.recentChanges(now) >= c.cfg.Fall:
+		s.ExitCondition = fmt.Sprintf("the work of the level below fits; %d changes within a minute, waiting for fewer than %d", c.recentChanges(now), c.cfg.Fall)
 	default:
-		left := max(c.dwell-(now-max(c.fitSince, c.since)), 0)
-		s.ExitCondition = fmt.Sprintf("the work to come back must fit for %v more", left.Round(100*time.Millisecond))
+		left := max(c.dwell-(now-max(c.fitsSince, c.levelSince)), 0)
+		s.ExitCondition = fmt.Sprintf("the work of the level below must fit for %v more", left.Round(100*time.Millisecond))
 	}
 	return s
 }
--- a/internal/levels/estimate.go
+++ b/internal/levels/estimate.go
@@ -7,139 +7,138 @@
 	"havenproxy/logic"
 )
 
-// What a group can do and what is asked of it, as learned from its facts.
+// Estimates of a group's capacity and of the work that it is asked for, learned from its statistics.
 
-// average is a rate a second, averaged over a time. Its weight grows from nothing to one, so that it is no lower at the
-// start than what was seen.
-type average struct{ v, weight float64 }
+// average is an exponential moving average of a rate per second. Its weight grows from 0 to 1, which corrects the bias towards 0 at the start.
+type average struct{ value, weight float64 }
 
-func (a *average) add(x float64, dt, span time.Duration) {
-	w := 1 - math.Exp(-float64(dt)/float64(span))
+func (a *average) add(count float64, dt, timeConstant time.Duration) {
+	w := 1 - math.Exp(-float64(dt)/float64(timeConstant))
 	a.weight += w * (1 - a.weight)
-	a.v += w / a.weight * (x/dt.Seconds() - a.v)
+	a.value += w / a.weight * (count/dt.Seconds() - a.value)
 }
 
-// measure takes a tick's counts into the averages.
-func (c *Controller) measure(f *logic.GroupStats, dt time.Duration) {
-	weight := 1 - math.Exp(-float64(dt)/float64(window))
+// measure updates the averages with the counts of a tick.
+func (c *Controller) measure(stats *logic.GroupStats, dt time.Duration) {
+	weight := 1 - math.Exp(-float64(dt)/float64(averagingTime))
 	for i := range c.offered {
-		t := &f.Classes[i]
-		lost := t.Late + t.Refused + t.Failed
-		if c.cfg.Classes[i].Heavy && c.noPrimary > 0 {
+		counts := &stats.Classes[i]
+		lost := counts.Late + counts.Refused + counts.Failed
+		if c.cfg.Classes[i].Heavy && c.noPrimarySince > 0 {
 			lost = 0
 		}
-		c.offered[i].add(float64(t.Offered), dt, window)
-		c.served[i].add(float64(t.InTime+t.Late), dt, window)
-		c.lost[i].add(float64(lost), dt, window)
-		if c.cost[i] == 0 {
-			c.cost[i] = t.ServiceTime.Seconds()
+		c.offered[i].add(float64(counts.Offered), dt, averagingTime)
+		c.served[i].add(float64(counts.InTime+counts.Late), dt, averagingTime)
+		c.lost[i].add(float64(lost), dt, averagingTime)
+		if c.serviceTime[i] == 0 {
+			c.serviceTime[i] = counts.ServiceTime.Seconds()
 		}
 	}
-	done := 0.0
+	work := 0.0
 	for i := range c.served {
-		done += float64(f.Classes[i].InTime+f.Classes[i].Late) * c.cost[i]
+		work += float64(stats.Classes[i].InTime+stats.Classes[i].Late) * c.serviceTime[i]
 	}
-	c.did = done / dt.Seconds()
-	c.done.add(done, dt, learnSpan)
-	c.warmth = f.WarmCapacity
-	c.strain += weight * (f.LatencyRatio - c.strain)
-	// Under strain answers take longer than the work in them.
-	if c.level == 0 && c.strain < easy && c.loss(1) < c.cfg.Leave {
-		for i := range c.cost {
-			c.cost[i] += costRate * (f.Classes[i].ServiceTime.Seconds() - c.cost[i])
+	c.tickWork = work / dt.Seconds()
+	c.servedWork.add(work, dt, capacityAveragingTime)
+	c.warmCapacity = stats.WarmCapacity
+	c.latencyRatio += weight * (stats.LatencyRatio - c.latencyRatio)
+	// Under overload answers take longer than the work in them, so that service times are learned only without it.
+	if c.level == 0 && c.latencyRatio < lowLatencyRatio && c.lostShare(1) < c.cfg.Leave {
+		for i := range c.serviceTime {
+			c.serviceTime[i] += serviceTimeLearnRate * (stats.Classes[i].ServiceTime.Seconds() - c.serviceTime[i])
 		}
 	}
 }
 
-// work is what a level would admit, in core seconds a second.
-func (c *Controller) work(level int) (w float64) {
+// admittedWork returns the work that a level would admit, in core seconds per second.
+func (c *Controller) admittedWork(level int) (w float64) {
 	for i := range c.offered {
-		w += c.offered[i].v * c.cfg.Ladder[level].Rules[i].Admit * c.cost[i]
+		w += c.offered[i].value * c.cfg.Ladder[level].Rules[i].Admit * c.serviceTime[i]
 	}
 	return w
 }
 
-// loss is the part of the worth that is lost of the classes that a level protects: those of which it admits no less
-// than now. For what a level sheds itself, going up is no cure.
-func (c *Controller) loss(level int) float64 {
+// lostShare returns the share of the worth that is lost of the classes that a level protects: those of which it admits no less than the present
+// level. Losses of a class that the level itself sheds are no reason to go there.
+func (c *Controller) lostShare(level int) float64 {
 	level = min(level, len(c.cfg.Ladder)-1)
-	lost, asked := 0.0, 0.0
+	lost, offered := 0.0, 0.0
 	for i := range c.offered {
-		admit := c.share(i)
+		admit := c.admittedShare(i)
 		if to := c.cfg.Ladder[level].Rules[i].Admit; to < c.cfg.Ladder[c.level].Rules[i].Admit || admit == 0 {
 			continue
 		}
-		lost += c.lost[i].v * c.cfg.Classes[i].Worth
-		asked += c.offered[i].v * admit * c.cfg.Classes[i].Worth
+		lost += c.lost[i].value * c.cfg.Classes[i].Worth
+		offered += c.offered[i].value * admit * c.cfg.Classes[i].Worth
 	}
-	if asked <= 0 {
+	if offered <= 0 {
 		return 0
 	}
-	return min(lost/asked, 1)
+	return min(lost/offered, 1)
 }
 
-func (c *Controller) requests() (n float64) {
+func (c *Controller) recentRequests() (n float64) {
 	for i := range c.offered {
-		n += c.offered[i].v
+		n += c.offered[i].value
 	}
-	return n * window.Seconds()
+	return n * averagingTime.Seconds()
 }
 
-// learn follows the work that one warm database does. What a strained group serves is what it can do: counted from the
-// start of the strain alone, for before it less was asked, and a jump from quiet would leave the capacity far too low.
-// What an easy group serves is a lower bound.
-func (c *Controller) learn(dt time.Duration) {
-	strained := c.loss(c.level) > c.cfg.Enter
-	if !strained {
-		c.spell, c.spellDid = 0, 0
+// learnCapacity updates the estimate of the work that one warm database can do. An overloaded group serves as much as it can. Only the work since
+// the overload began counts, as less was asked for before; otherwise the capacity would be far too low after a jump from low load. What a group
+// serves without overload is a lower bound.
+func (c *Controller) learnCapacity(dt time.Duration) {
+	overloaded := c.lostShare(c.level) > c.cfg.Enter
+	if !overloaded {
+		c.overloadedFor, c.overloadWork = 0, 0
 	}
-	if c.warmth <= 0 {
+	if c.warmCapacity <= 0 {
 		return
 	}
-	each, step := c.done.v/c.warmth, learnRate*dt.Seconds()
-	// Trouble makes a group serve little, and lose much, for other reasons than load. What it did in good order a while
-	// ago it is taken to be able to do, less and less.
-	c.healthy -= healthyFades * dt.Seconds() * c.healthy
-	if c.loss(c.level) <= c.cfg.Leave && c.done.weight > 0.9 {
-		c.healthy = max(c.healthy, each)
+	perDatabase, step := c.servedWork.value/c.warmCapacity, capacityLearnRate*dt.Seconds()
+	// Faults other than overload also make a group serve little and lose much. So the capacity does not fall below the work that was recently
+	// served without losses, which decays.
+	c.healthyCapacity -= healthyDecay * dt.Seconds() * c.healthyCapacity
+	if c.lostShare(c.level) <= c.cfg.Leave && c.servedWork.weight > 0.9 {
+		c.healthyCapacity = max(c.healthyCapacity, perDatabase)
 	}
-	if strained {
-		c.spell += dt
-		c.spellDid += c.did * dt.Seconds()
-		if c.spell < learnFrom {
+	if overloaded {
+		c.overloadedFor += dt
+		c.overloadWork += c.tickWork * dt.Seconds()
+		if c.overloadedFor < minOverloadTime {
 			return
 		}
-		if c.spell < 2*learnSpan {
-			each = c.spellDid / c.spell.Seconds() / c.warmth
+		if c.overloadedFor < 2*capacityAveragingTime {
+			perDatabase = c.overloadWork / c.overloadedFor.Seconds() / c.warmCapacity
 		}
 	}
 	switch {
-	case strained && c.capacity == 0:
-		c.capacity = each
-	case strained || each > c.capacity && c.capacity > 0:
-		c.capacity += step * (each - c.capacity)
-	case c.level > 0 && c.strain < easy && c.loss(c.level) <= c.cfg.Leave:
-		c.capacity += hopeful * dt.Seconds() * c.capacity
+	case overloaded && c.capacity == 0:
+		c.capacity = perDatabase
+	case overloaded || perDatabase > c.capacity && c.capacity > 0:
+		c.capacity += step * (perDatabase - c.capacity)
+	case c.level > 0 && c.latencyRatio < lowLatencyRatio && c.lostShare(c.level) <= c.cfg.Leave:
+		c.capacity += capacityGrowth * dt.Seconds() * c.capacity
 	}
 	if c.capacity > 0 {
-		c.capacity = max(c.capacity, c.healthy)
+		c.capacity = max(c.capacity, c.healthyCapacity)
 	}
 }
 
-// press moves the pressure towards where the admitted work is what the group can do.
-func (c *Controller) press(dt time.Duration) {
+// updatePressure moves the pressure towards the value at which the admitted work matches the capacity.
+func (c *Controller) updatePressure(dt time.Duration) {
 	if c.level == 0 {
 		c.pressure = 0
 		return
 	}
-	high, low := c.work(c.level-1), c.work(c.level)
-	to := c.pressure
-	if total := c.total(); total > 0 && high-low > 1e-6*high {
-		to = min(max((high-c.cfg.Fill*total)/(high-low), 0), 1)
+	upper, lower := c.admittedWork(c.level-1), c.admittedWork(c.level)
+	target := c.pressure
+	if total := c.totalCapacity(); total > 0 && upper-lower > 1e-6*upper {
+		target = min(max((upper-c.cfg.Fill*total)/(upper-lower), 0), 1)
 	}
-	s := dt.Seconds()
-	c.pressure = min(max(to, c.pressure-loosen*s), c.pressure+tighten*s)
+	seconds := dt.Seconds()
+	c.pressure = min(max(target, c.pressure-maxPressureFall*seconds), c.pressure+maxPressureRise*seconds)
 }
 
-// total is what the group can do now, in core seconds a second; 0 = not known.
-func (c *Controller) total() float64 { return c.capacity * c.warmth }
+// totalCapacity returns the work that the group can do now, in core seconds per second; 0 = not known.
+func (c *Controller) totalCapacity() float64 { return c.capacity * c.warmCapacity }
