--- a/internal/cli/policy_members.go
+++ b/internal/cli/policy_members.go
@@ -17,7 +17,7 @@
 )
 
 func expelCommand() *cobra.Command {
-	return plannerCommand("expel NAME", "Remove a proxy that has ended for good from the tier: once its lease has expired, or at once in a tier without leases",
+	return plannerCommand("expel NAME", "Remove a proxy that has ended for good from the tier: once its lease has expired, or at once in a tier without leases, so make sure that it has ended",
 		func(c *cobra.Command, _ *policyFlags, cl *client.Client, args []string) error {
 			a, err := cl.Do(c.Context(), tier.Ask{Do: tier.DoExpel, Name: args[0]})
 			if err != nil {
--- a/internal/run/reload.go
+++ b/internal/run/reload.go
@@ -29,14 +29,15 @@
 	}
 }
 
-// reload reads both files again after SIGHUP. It switches to the configured discovery address and applies the operator's file; everything
-// else stays as it was at the start, and requests, pins and connections are kept. If either file is invalid, nothing changes.
+// reload reads both files again after SIGHUP. It switches to the configured discovery address and applies those settings of both files that
+// may change at run time, except the ones that a tier's policy determines. Requests, pins and connections are kept. If either file is
+// invalid, nothing changes.
 func (p *proxy) reload(path, file string) {
 	fail := func(err error) {
 		slog.Error("can't reload", "error", err)
 		p.loop.Post(func() { p.engine.Counters.ConfigLoadErrors++ })
 	}
-	begun := p.clock.Now()
+	startedAt := p.clock.Now()
 	size, document, err := readDocument(path, func() { time.Sleep(readPause) })
 	if err == nil {
 		err = settings.Whole(p.initialConfig, document.Rest)
@@ -56,7 +57,7 @@
 		return
 	}
 	p.loop.Post(func() {
-		slog.Info("reloaded", "discovery", cfg.Discovery, "classes", len(cfg.Settings.Config.Classes), "bytes", size, "took", p.clock.Now()-begun)
+		slog.Info("reloaded", "discovery", cfg.Discovery, "classes", len(cfg.Settings.Config.Classes), "bytes", size, "took", p.clock.Now()-startedAt)
 		p.engine.Counters.ConfigLoads++
 		if p.tier == nil {
 			p.engine.Reload(cfg.Settings.Config)
@@ -74,18 +75,18 @@
 // prepare reads everything that an operator's file refers to, and returns a function that puts it into effect and must be called on the
 // loop. If any of it is invalid, nothing changes. The trace file is created last, because that is the only side effect.
 func (p *proxy) prepare(file *operator.File) (effect func(), err error) {
-	watched, watch, err := p.prepareConsul(file)
+	consulConfig, applyConsul, err := p.prepareConsul(file)
 	if err != nil {
 		return nil, err
 	}
-	trace, err := p.prepareTrace(file.Trace)
+	applyTrace, err := p.prepareTrace(file.Trace)
 	if err != nil {
 		return nil, err
 	}
-	p.consulConfig = watched
+	p.consulConfig = consulConfig
 	return func() {
 		p.applyOperatorFile(file)
-		trace()
-		watch()
+		applyTrace()
+		applyConsul()
 	}, nil
 }
--- a/internal/run/tier.go
+++ b/internal/run/tier.go
@@ -14,15 +14,15 @@
 
 // joinTier makes the proxy follow its tier's policy. It is called before the loop runs, so that no request is accepted earlier. The levels,
 // handover, routing and classes of the files apply until the tier has a policy of its own.
-func (p *proxy) joinTier(own *operator.File, cfg settings.Config) {
-	p.engine.ConfigureLevels(own.Levels)
-	p.engine.SetHandover(own.Handover)
-	p.engine.SetTuning(own.Tuning)
-	p.server.TellPolicy(own.Tier.TellClients)
+func (p *proxy) joinTier(file *operator.File, cfg settings.Config) {
+	p.engine.ConfigureLevels(file.Levels)
+	p.engine.SetHandover(file.Handover)
+	p.engine.SetTuning(file.Tuning)
+	p.server.TellPolicy(file.Tier.TellClients)
 	p.baseLog = slog.Default()
-	p.tier = net.JoinTier(p.loop, p.clock, p.engine, net.TierConfig{Name: cmp.Or(own.Tier.Name, cfg.Name), Planners: own.Tier.Planners,
-		Rollout: own.Tier.Rollout, Seed: cfg.Settings.Config.Seed, Nonce: rand.Uint64(), Check: p.checkPolicy, Into: p.applyPolicy,
-		Health: net.HealthConfig{Zone: zoneName(cfg), ChecksPerSecond: own.Tier.ChecksPerSecond, BytesPerSecond: own.Tier.ReportBytesPerSecond}})
+	p.tier = net.JoinTier(p.loop, p.clock, p.engine, net.TierConfig{Name: cmp.Or(file.Tier.Name, cfg.Name), Planners: file.Tier.Planners,
+		Rollout: file.Tier.Rollout, Seed: cfg.Settings.Config.Seed, Nonce: rand.Uint64(), Check: p.checkPolicy, Into: p.applyPolicy,
+		Health: net.HealthConfig{Zone: zoneName(cfg), ChecksPerSecond: file.Tier.ChecksPerSecond, BytesPerSecond: file.Tier.ReportBytesPerSecond}})
 	p.server.Belongs(p.tier)
 }
 
@@ -94,12 +94,12 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg, own, err := parseFiles(document, file)
+	cfg, operatorFile, err := parseFiles(document, file)
 	if err != nil {
 		return nil, err
 	}
 	c := cfg.Settings.Config
-	p := &policy.Policy{Classes: c.Classes, MaxAttempts: c.MaxAttempts, MayComeBack: c.EnableRetryAfter, MaxComeBack: c.MaxRetryAfter, Levels: own.Levels,
-		Handover: own.Handover, Tuning: own.Tuning}
+	p := &policy.Policy{Classes: c.Classes, MaxAttempts: c.MaxAttempts, MayComeBack: c.EnableRetryAfter, MaxComeBack: c.MaxRetryAfter, Levels: operatorFile.Levels,
+		Handover: operatorFile.Handover, Tuning: operatorFile.Tuning}
 	return p, p.Check(policy.LocalState{})
 }
--- a/internal/run/trace.go
+++ b/internal/run/trace.go
@@ -12,10 +12,10 @@
 
 // prepareTrace opens the trace file for client requests, if one is configured, and returns a function that puts it into effect on the loop. A
 // trace whose settings have not changed continues in its file.
-func (p *proxy) prepareTrace(t *operator.Trace) (func(), error) {
+func (p *proxy) prepareTrace(settings *operator.Trace) (func(), error) {
 	var cfg trace.Config
-	if t != nil {
-		cfg = trace.Config{File: t.File, Sample: t.SampleRate, MaxBytes: t.MaxBytes}
+	if settings != nil {
+		cfg = trace.Config{File: settings.File, Sample: settings.SampleRate, MaxBytes: settings.MaxBytes}
 	}
 	if p.traceFile != "" {
 		cfg.File = p.traceFile
@@ -24,13 +24,13 @@
 		p.traceConfig = nil
 		return func() { go p.closeTrace(p.engine.SetTrace(nil)) }, nil
 	}
-	if t != nil && t.SaltFile != "" {
-		salt, err := os.ReadFile(t.SaltFile)
+	if settings != nil && settings.SaltFile != "" {
+		salt, err := os.ReadFile(settings.SaltFile)
 		if err != nil {
 			return nil, fmt.Errorf("trace: %w", err)
 		}
 		if len(salt) < minSaltLen {
-			return nil, fmt.Errorf("trace: %s holds %d bytes, at least %d were expected", t.SaltFile, len(salt), minSaltLen)
+			return nil, fmt.Errorf("trace: %s holds %d bytes, at least %d were expected", settings.SaltFile, len(salt), minSaltLen)
 		}
 		cfg.Salt = salt
 	}
@@ -41,13 +41,13 @@
 	for _, c := range p.engine.Classes() {
 		classes = append(classes, c.Name)
 	}
-	w, err := trace.Create(cfg, classes, p.clock.Unix())
+	writer, err := trace.Create(cfg, classes, p.clock.Unix())
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	p.traceConfig = &cfg
-	slog.Info("recording client requests", "file", cfg.File, "sample", w.Sample(), "most_bytes", w.MaxBytes())
-	return func() { go p.closeTrace(p.engine.SetTrace(w)) }, nil
+	slog.Info("recording client requests", "file", cfg.File, "sample", writer.Sample(), "most_bytes", writer.MaxBytes())
+	return func() { go p.closeTrace(p.engine.SetTrace(writer)) }, nil
 }
 
 // closeTrace closes a trace. It waits for the disk, so it must not run on the loop.
