--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,6 +18,7 @@
 // errUsage marks errors of the caller: invalid flags, or files that cannot be used.
 var errUsage = errors.New("usage")
 
+// flags are the flags of the root command and of serve and check.
 type flags struct {
 	format, level string
 	operator      string
@@ -70,6 +71,7 @@
 	}
 }
 
+// noArguments rejects arguments, and suggests the sub-command that may have been meant.
 func noArguments(c *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		hint := ""
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -37,12 +37,14 @@
 	wait     time.Duration
 }
 
+// add adds the flags to a sub-command.
 func (f *policyFlags) add(c *cobra.Command) {
 	c.Flags().StringSliceVar(&f.planners, "planners", strings.FieldsFunc(os.Getenv("HAVEN_PLANNERS"), func(r rune) bool { return r == ',' }),
 		"the planners' addresses (default: HAVEN_PLANNERS)")
 	c.Flags().BoolVar(&f.asJSON, "json", false, "print JSON")
 }
 
+// client returns a client of the planners that the flags name.
 func (f *policyFlags) client() (*client.Client, error) {
 	if len(f.planners) == 0 {
 		return nil, fmt.Errorf("%w: no planners: give --planners or set HAVEN_PLANNERS", errUsage)
--- a/internal/healthcheck/node.go
+++ b/internal/healthcheck/node.go
@@ -64,6 +64,7 @@
 	n.reschedule(now)
 }
 
+// reschedule passes the databases that this proxy checks for the tier, and those that it uses, to the observer and the scheduler.
 func (n *Node) reschedule(now time.Duration) {
 	assigned := n.assignment.Duties(n.config.Self.ID)
 	n.observer.setAssigned(assigned)
--- a/internal/healthcheck/relay.go
+++ b/internal/healthcheck/relay.go
@@ -119,6 +119,7 @@
 	}
 }
 
+// receiveReport stores a report of a message, and appends it to the log if it must be sent to all proxies.
 func (r *Relay) receiveReport(now time.Duration, message Message, report Report) {
 	if report.Origin != message.From { // proxies send planners only their own reports
 		r.filter.counters.ForeignOrigin++
@@ -150,12 +151,13 @@
 
 // changesState reports whether a report must be sent to all proxies. A refreshed report need not be: while digests arrive, earlier reports
 // remain valid. Nor must a checker's first report that a database is alive, unless another one says otherwise: in a starting tier every such
-// report would go to every proxy.
+// report would go to every proxy. The first report of a checker that started before this planner is always sent, since the checker may have
+// reported something else to the previous planner.
 func (r *Relay) changesState(report Report, known *Report) bool {
 	if known != nil {
 		return known.Status != report.Status || known.Role != report.Role
 	}
-	mayDifferFromEarlierReport := report.Epoch < r.config.Epoch // sent to the previous planner
+	mayDifferFromEarlierReport := report.Epoch < r.config.Epoch
 	return report.Status != Alive || r.unhealthyReports[report.Database] > 0 || mayDifferFromEarlierReport
 }
 
@@ -213,13 +215,13 @@
 		r.links[id].budget, l = l.budget, r.links[id]
 	}
 	r.skipSuperseded(l)
-	waiting := len(l.backlog) + r.logStart + len(r.log) - l.nextIndex
-	if waiting == 0 && now-l.lastSent < HeartbeatInterval {
+	pending := len(l.backlog) + r.logStart + len(r.log) - l.nextIndex
+	if pending == 0 && now-l.lastSent < HeartbeatInterval {
 		return Digest{}, false
 	}
-	n := min(waiting, MaxChanges)
+	n := min(pending, MaxChanges)
 	if r.config.enabled(guardBytes) {
-		if n = l.budget.maxEntries(ChangeBytes, n); n < 0 || n == 0 && waiting > 0 && now-l.lastSent < HeartbeatInterval {
+		if n = l.budget.maxEntries(ChangeBytes, n); n < 0 || n == 0 && pending > 0 && now-l.lastSent < HeartbeatInterval {
 			return Digest{}, false
 		}
 	}
@@ -243,6 +245,7 @@
 	return change.Kind == ReportChanged && r.latest[keyOf(change.Report)].logIndex != entry
 }
 
+// keyOf returns the key under which a report is stored.
 func keyOf(r Report) reportKey { return reportKey{r.Origin, r.Database} }
 
 // takeChanges removes at most n pending changes of a connection and returns them. Log entries precede the backlog, except for the silent
--- a/internal/healthcheck/simulation_test.go
+++ b/internal/healthcheck/simulation_test.go
@@ -59,12 +59,14 @@
 	failed map[subset.ProxyID]time.Duration // when each proxy last found it unresponsive
 }
 
+// event is a function that runs at a time; seq orders events of the same time.
 type event struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/internal/healthcheck/verdict.go
+++ b/internal/healthcheck/verdict.go
@@ -97,6 +97,7 @@
 	}
 }
 
+// countVote counts one vote. A vote for Dead counts once SettleTime has passed, and separately if its checker may be partitioned.
 func (v *View) countVote(now time.Duration, t *tally, c *checker, x *vote) {
 	t.countReport(x.report)
 	settled := now-x.deadSince >= SettleTime || !v.config.enabled(guardSettle)
