--- a/logic/logic.go
+++ b/logic/logic.go
@@ -110,6 +110,7 @@
 	r.retryAwaitingPing(now)
 }
 
+// updateMember applies an entry of the list, which may name a new or a restarted member.
 func (r *Router) updateMember(now time.Duration, entry Member) {
 	m := r.members[entry.ID]
 	known := m != nil
@@ -258,6 +259,7 @@
 	}
 }
 
+// lossy reports whether answers are being lost although the member answers in time.
 func (r *Router) lossy(m *member) bool { return r.loss > maxLoss && m.Strain < limit.HighStrain }
 
 // ---- Requests, attempts and outcomes ----
@@ -293,6 +295,7 @@
 	}
 }
 
+// tryStart makes the first attempt of a request. If no member can be chosen, the request is held or answered.
 func (r *Router) tryStart(now time.Duration, q *request) {
 	if ok, retryAfter := r.route(now, q); !ok && !q.awaitingPing && !q.hasOpenAttempt() {
 		r.holdOrFinish(now, q, retryAfter, q.group.handover.HeldCount())
@@ -348,6 +351,7 @@
 	return min(q.Deadline, r.handover.Config().ResendDeadline(a.sentAt, q.class.DedupWindow, r.slowTime[q.Class]))
 }
 
+// holdForPing holds a request until retryAwaitingPing tries it again.
 func (r *Router) holdForPing(q *request) {
 	if !q.awaitingPing {
 		q.awaitingPing = true
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -49,11 +49,11 @@
 	p.now += 10 * ms
 	p.router.Timer(p.now, tickTimer)
 	for m, ping := range map[MemberID]time.Duration{1: ms, 2: ms, 3: 15 * ms, 4: 40 * ms} {
-		rep := Report{Role: RoleReplica, Position: p.now}
+		report := Report{Role: RoleReplica, Position: p.now}
 		if m == 1 {
-			rep.Role = RolePrimary
+			report.Role = RolePrimary
 		}
-		p.router.Probed(p.now, ProbeEnd{Member: m, Elapsed: ping, Report: rep})
+		p.router.Probed(p.now, ProbeEnd{Member: m, Elapsed: ping, Report: report})
 	}
 	seen := map[MemberID]int{}
 	for i := 0; i < 60; i++ {
@@ -177,7 +177,7 @@
 }
 
 func TestFinalAnswerDependsOnPossibleExecution(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class int
 		res   Result
 		sends int
@@ -190,14 +190,14 @@
 		{classBounded, Failed, 3, "refused"},
 	} {
 		p := newReadyProxy(t, testConfig(), 4)
-		id := p.request(c.class, 1)
+		id := p.request(test.class, 1)
 		for i := 0; i < 9 && p.finals[id] == ""; i++ {
 			p.now += 5 * ms
-			p.finishAttempt(p.mustSend(id), c.res)
+			p.finishAttempt(p.mustSend(id), test.res)
 		}
-		if p.finals[id] != c.final || p.sendCount(id) != c.sends {
-			t.Errorf("class %d after %d: %d sends and %q, want %d and %q", c.class, c.res, p.sendCount(id), p.finals[id],
-				c.sends, c.final)
+		if p.finals[id] != test.final || p.sendCount(id) != test.sends {
+			t.Errorf("class %d after %d: %d sends and %q, want %d and %q", test.class, test.res, p.sendCount(id), p.finals[id],
+				test.sends, test.final)
 		}
 	}
 }
--- a/logic/plan_test.go
+++ b/logic/plan_test.go
@@ -18,13 +18,13 @@
 }
 
 func admittedShare(shed []bool) float64 {
-	n := 0
+	admitted := 0
 	for _, x := range shed {
 		if !x {
-			n++
+			admitted++
 		}
 	}
-	return float64(n) / float64(len(shed))
+	return float64(admitted) / float64(len(shed))
 }
 
 func setPlan(p *testProxy, share float64) {
@@ -65,7 +65,7 @@
 	p := newReadyProxy(t, testConfig(), 4)
 	setPlan(p, 0.5)
 	first := requestOnce(p, 400, classAny)
-	same, turned := 0, 0
+	same, admittedClients := 0, 0
 	for range 5 {
 		p.advance(20 * ms)
 		for i, x := range requestOnce(p, 400, classAny) {
@@ -77,21 +77,21 @@
 	if same < 5*400*97/100 { // a few are drawn anew in this time
 		t.Errorf("%d of 2000 retries had the result of the first try", same)
 	}
-	ever := make([]bool, 400)
+	admitted := make([]bool, 400)
 	for range 12 {
 		p.now += redrawInterval
 		p.advance(10 * ms)
 		for i, x := range requestOnce(p, 400, classAny) {
-			ever[i] = ever[i] || !x
+			admitted[i] = admitted[i] || !x
 		}
 	}
-	for _, x := range ever {
+	for _, x := range admitted {
 		if x {
-			turned++
+			admittedClients++
 		}
 	}
-	if turned < 395 {
-		t.Errorf("%d of 400 clients were admitted within three minutes", turned)
+	if admittedClients < 395 {
+		t.Errorf("%d of 400 clients were admitted within three minutes", admittedClients)
 	}
 }
 
@@ -138,11 +138,11 @@
 		p.router.Request(p.now, Request{ID: p.nextID, Class: classAny, ClientKey: uint64(i + 1), Deadline: p.now + 8*time.Second})
 	}
 	seen := map[time.Duration]bool{}
-	for id, how := range p.finals {
-		if h := p.hints[id]; how != "refused" || h < 200*ms || h > min(600*ms, p.router.cfg.MaxRetryAfter) {
-			t.Fatalf("%s, hint %v", how, h)
+	for id, answer := range p.finals {
+		if hint := p.hints[id]; answer != "refused" || hint < 200*ms || hint > min(600*ms, p.router.cfg.MaxRetryAfter) {
+			t.Fatalf("%s, hint %v", answer, hint)
 		} else {
-			seen[h] = true
+			seen[hint] = true
 		}
 	}
 	if len(seen) < 50 {
--- a/logic/refusal_test.go
+++ b/logic/refusal_test.go
@@ -100,7 +100,7 @@
 // the databases serve it.
 func TestFewProxiesRefuseAllWhileDatabasesServe(t *testing.T) {
 	const proxies, members = 300, 6
-	for name, c := range map[string]func(p *thinProxy){
+	for name, inject := range map[string]func(p *thinProxy){
 		"it has just started": func(p *thinProxy) {},
 		"all answers came late": func(p *thinProxy) {
 			p.result, p.answerDelay = TimedOut, 1500*ms
@@ -118,12 +118,12 @@
 			p.result, p.pingsLost = ConnectFailed, true
 			p.run(1500 * ms)
 		},
-		"it stood still": func(p *thinProxy) { p.now += 5 * time.Second },
+		"the proxy stalled": func(p *thinProxy) { p.now += 5 * time.Second },
 		"members were full": func(p *thinProxy) {
 			p.result = Rejected
 			p.run(8 * time.Second)
 		},
-		"members are full all the while": func(p *thinProxy) {
+		"members stay full": func(p *thinProxy) {
 			p.result, p.faultStays = Rejected, true
 		},
 		"members were full for a moment": func(p *thinProxy) {
@@ -140,7 +140,7 @@
 		},
 		"half of the members have just started": func(p *thinProxy) { p.restart(1, 2, 3) },
 		"all members have just started":         func(p *thinProxy) { p.restart(1, 2, 3, 4, 5, 6) },
-		"peers told of failures everywhere": func(p *thinProxy) {
+		"peers reported failures everywhere": func(p *thinProxy) {
 			for range 10 {
 				var reports []peers.Report
 				for id := range MemberID(members) {
@@ -152,7 +152,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			over, none := 0, time.Duration(0)
+			stuck, longest := 0, time.Duration(0)
 			const seeds = 100
 			for seed := range uint64(seeds) {
 				cfg := manyProxies()
@@ -164,16 +164,16 @@
 				if name != "it has just started" {
 					p.run(10 * time.Second)
 				}
-				c(p)
+				inject(p)
 				p.measure()
 				p.run(20 * time.Second)
-				if none = max(none, p.longest); p.longest >= refusalSpan {
-					over++
+				if longest = max(longest, p.longest); p.longest >= refusalSpan {
+					stuck++
 				}
 			}
-			t.Logf("%d of %d proxies refused everything for over %v; longest %v", over, seeds, refusalSpan, none)
-			if over*refusalDivisor > seeds {
-				t.Errorf("%d of %d proxies refused everything for %v", over, seeds, refusalSpan)
+			t.Logf("%d of %d proxies refused everything for over %v; longest %v", stuck, seeds, refusalSpan, longest)
+			if stuck*refusalDivisor > seeds {
+				t.Errorf("%d of %d proxies refused everything for %v", stuck, seeds, refusalSpan)
 			}
 		})
 	}
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -16,7 +16,7 @@
 	t            *testing.T
 	rng          *rand.Rand
 	cfg          Config
-	r            *Router
+	router       *Router
 	now          time.Duration
 	members      []*simMember
 	requests     map[RequestID]*simRequest
@@ -189,27 +189,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.r = r
+	s.router = r
 	s.listMembers(ListCached)
 	return s
 }
 
 func (s *simulation) listMembers(kind ListKind) {
-	l := MemberList{Kind: kind}
+	list := MemberList{Kind: kind}
 	for _, m := range s.members {
-		e := Member{ID: m.id, Group: m.group, State: m.state}
+		entry := Member{ID: m.id, Group: m.group, State: m.state}
 		// A list may only name a member as primary that has been one; in this simulation it is right or names
 		// none.
-		e.Primary = s.cfg.ListRole != ListRoleNone && m.role == RolePrimary
+		entry.Primary = s.cfg.ListRole != ListRoleNone && m.role == RolePrimary
 		m.drained = m.state == Draining || m.drained && m.state != Ready
 		if m.state != Gone || kind == ListDelta {
-			l.Entries = append(l.Entries, e)
+			list.Entries = append(list.Entries, entry)
 		}
 	}
 	if kind == ListFull && s.rng.IntN(3) == 0 { // a member that does not exist, and one listed twice
-		l.Entries = append(l.Entries, Member{ID: 900, Group: 1, State: Ready}, l.Entries[0])
+		list.Entries = append(list.Entries, Member{ID: 900, Group: 1, State: Ready}, list.Entries[0])
 	}
-	s.r.Members(s.now, l)
+	s.router.Members(s.now, list)
 }
 
 // injectFault changes the true state: lag, silence, drains, restarts, changes of primary.
@@ -218,7 +218,7 @@
 	switch s.rng.IntN(8) {
 	case 6: // the list names no members although they run; without IgnoreGone that is binding
 		if s.cfg.IgnoreGone {
-			s.r.Members(s.now, MemberList{Kind: ListFull})
+			s.router.Members(s.now, MemberList{Kind: ListFull})
 		}
 	case 7:
 		s.advance(time.Duration(300+s.rng.IntN(1700)) * ms)
@@ -261,7 +261,7 @@
 		q.token = s.commits[in.Session]
 	}
 	s.requests[q.ID] = q
-	s.r.Request(s.now, q.Request)
+	s.router.Request(s.now, q.Request)
 }
 
 func (s *simulation) finishDue() {
@@ -314,7 +314,7 @@
 		}
 	}
 	o.Finished = q.done
-	s.r.Outcome(s.now, o)
+	s.router.Outcome(s.now, o)
 }
 
 func (s *simulation) run(steps int) string {
@@ -323,7 +323,7 @@
 		s.advance(time.Duration(1+s.rng.IntN(10)) * ms)
 		for len(s.timers) > 0 && s.timers[0] <= s.now {
 			s.timers = s.timers[1:]
-			s.r.Timer(s.now, tickTimer)
+			s.router.Timer(s.now, tickTimer)
 		}
 		probed := s.probes
 		s.probes = nil
@@ -333,14 +333,14 @@
 			if m.silent {
 				end = ProbeEnd{Member: id, Result: TimedOut, Elapsed: 250 * ms}
 			}
-			s.r.Probed(s.now, end)
+			s.router.Probed(s.now, end)
 		}
 		s.finishDue()
 		if s.rng.IntN(40) == 0 {
 			s.injectFault()
 		}
 		if s.rng.IntN(100) == 0 {
-			s.r.Members(s.now, MemberList{Kind: ListFailed})
+			s.router.Members(s.now, MemberList{Kind: ListFailed})
 		}
 		for n := s.rng.IntN(3); n > 0 && i < steps-1800; n-- {
 			s.submit()
@@ -354,7 +354,7 @@
 			}
 		}
 	}
-	if s.violation == "" && len(s.r.requests) != 0 {
+	if s.violation == "" && len(s.router.requests) != 0 {
 		s.fail("requests kept after all have ended")
 	}
 	return s.violation
@@ -363,8 +363,8 @@
 func TestInvariantsInRandomSimulations(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		s := newSimulation(t, seed)
-		if broken := s.run(4000); broken != "" {
-			t.Errorf("seed %d: %s at %v", seed, broken, s.now)
+		if violation := s.run(4000); violation != "" {
+			t.Errorf("seed %d: %s at %v", seed, violation, s.now)
 		}
 		if s.sends < 250 {
 			t.Errorf("seed %d: only %d sends, too few for a test", seed, s.sends)
@@ -375,8 +375,8 @@
 func FuzzRules(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		if broken := newSimulation(t, seed).run(3000); broken != "" {
-			t.Errorf("seed %d: %s", seed, broken)
+		if violation := newSimulation(t, seed).run(3000); violation != "" {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 	})
 }
