--- a/logic/api.go
+++ b/logic/api.go
@@ -89,7 +89,7 @@
 type Class struct {
 	Name        string
 	Read        Freshness
-	MaxAge      time.Duration // for Bounded reads
+	MaxAge      time.Duration // staleness bound of Bounded reads
 	Aim         time.Duration // target latency: answers within it earn the full worth
 	Limit       time.Duration // how long the client waits, over all its tries
 	Effect      Effect
@@ -108,9 +108,9 @@
 
 // Config describes the deployment to a new router. The zero value of an optional field means "no" or "none".
 type Config struct {
-	Seed    uint64 // of the router's random number generator
+	Seed    uint64 // seed of the router's random number generator
 	Proxies int    // number of proxies that share the traffic
-	Zone    int    // of this proxy
+	Zone    int    // zone of this proxy
 
 	Classes []Class
 	Tenants []Tenant
@@ -132,7 +132,7 @@
 	LagCheck      LagCheck
 
 	EnableProbes     bool
-	MaxConnections   int // to members, that this proxy may have open at once; 0 = unlimited
+	MaxConnections   int // connections to members that this proxy may have open at once; 0 = unlimited
 	EnableCancel     bool
 	ParallelAttempts bool // two attempts of one request may be in flight at once
 	MaxPeerReports   int  // number of reports in a message to all peers; 0 = proxies exchange no reports
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -27,7 +27,7 @@
 	housekeepingInterval = 10 * time.Millisecond  // interval at which silence, due pings and waiting requests are checked
 	startupHold          = 300 * time.Millisecond // how long a new router waits for first pings, which take milliseconds
 
-	rateWindow         = 10 * time.Second      // over which traffic is averaged
+	rateWindow         = 10 * time.Second      // time over which traffic is averaged
 	pingWait           = 25 * time.Millisecond // a ping takes a few milliseconds; after this wait other members are pinged
 	pingRepeatInterval = 100 * time.Millisecond
 	maxPingRounds      = 2
@@ -56,7 +56,7 @@
 	slowTimeQuantile      = 0.95    // quantile of a class's answer times beyond which an answer is overdue
 	lossWeight            = 0.02    // weight of one attempt in the moving average of lost answers
 	maxLoss               = 0.05    // in normal operation the share stays far below
-	maxSessionEntries     = 1 << 15 // of pins, and of session commits
+	maxSessionEntries     = 1 << 15 // capacity for pins, and for session commits
 	tickTimer             = TimerID(1)
 )
 
--- a/logic/state.go
+++ b/logic/state.go
@@ -27,7 +27,7 @@
 	lastTickAt     time.Duration        // last run of the housekeeping timer
 	stalledAt      time.Duration        // when housekeeping last ran late because this proxy had not been running
 	members        map[MemberID]*member // only for lookups, never iterated
-	groups         map[GroupID]*group   // groups that a list has named; never iterated
+	groups         map[GroupID]*group   // groups that a list has named; only iterated where the order does not matter
 	groupOrder     []GroupID            // keys of groups in order of first listing
 	rounds         rounds               // members that are due for a check
 	activeGroups   []*group             // groups with time-driven work
@@ -48,11 +48,11 @@
 
 	listCalls     limit.CallSchedule // calls for the member list
 	pingSchedule  ping.Schedule
-	coldPriority  limit.ColdPriority // among classes, at cold members
-	gossip        *peers.Gossip      // exchange of reports with the other proxies
+	coldPriority  limit.ColdPriority // priority of the worthiest class at cold members
+	gossip        *peers.Gossip      // exchanges reports with the other proxies
 	refusalCounts [NumRefusalReasons]uint64
 	memberChecks  uint64      // number of time-driven checks of members
-	checkBudget   checkBudget // where the tier shares health checks
+	checkBudget   checkBudget // limits health checks where the tier shares them
 }
 
 // member is this proxy's view of one process.
@@ -70,11 +70,11 @@
 	unresponsive bool                // an attempt is overdue, and the member has answered none since
 	peerAliveAt  time.Duration       // when it last answered a peer, as the peer reported
 	verdict      healthcheck.Verdict // latest verdict of the tier's checkers
-	ejected      bool                // by the verdict
+	ejected      bool                // the latest verdict is an ejection
 	inSubset     bool                // this proxy keeps connections to it
 	firstPingAt  time.Duration       // when its first ping is due
 	positionAt   time.Duration       // when its position was last reported
-	lag          time.Duration       // of its position at the time of its own last report; 0 = no report yet
+	lag          time.Duration       // how old its position was at its own last report; 0 = no report yet
 	nextCheckAt  time.Duration       // no check is needed before, unless an event occurs
 	active       bool                // it is in rounds.active
 	visitedAt    time.Duration       // tick at which it was last visited
@@ -90,18 +90,18 @@
 type group struct {
 	members  []*member
 	handover *handover.Group // the primary, and the requests held for one
-	primary  *member         // cached from handover
+	primary  *member         // the primary that handover names, cached
 	active   bool            // it is in Router.activeGroups
 
 	inRounds     bool // it is in rounds.inUse,
 	roundsUntil  time.Duration
 	meanWork     float64 // service time per request, moving average
-	meanLongWork float64 // the part of it due to long reads
+	meanLongWork float64 // part of meanWork due to long reads
 	meanWorth    float64 // worth per request, moving average
 	rate         decayingCount
 
-	admission []Admission   // by class; empty = everything is admitted
-	counts    []ClassCounts // by class
+	admission []Admission   // admission plan by class; empty = everything is admitted
+	counts    []ClassCounts // counts by class
 	demand    demandTracker
 }
 
@@ -113,7 +113,7 @@
 	attempts        []*attempt
 	maxAttempts     int    // Config.MaxAttempts when it arrived; 0 = unlimited
 	mayHaveRun      bool   // some attempt may have been executed
-	lastResult      Result // of the last attempt that ended
+	lastResult      Result // result of the last attempt that ended
 	arrivedAt       time.Duration
 	done            bool
 	overQuota       bool // it exceeds its tenant's quota
@@ -187,7 +187,7 @@
 	concurrency := 0
 	price := q.group.workPrice()
 	if p := q.group.primary; p != nil {
-		concurrency = int(p.MaxInFlight / 2) // of the attempts that may be in flight there, a part queues
+		concurrency = int(p.MaxInFlight / 2) // assumes that half of the attempts allowed in flight are queued
 	}
 	return handover.HeldRequest{ID: uint64(q.ID), ReceivedAt: q.arrivedAt, Deadline: q.Deadline, ServiceTime: serviceTime, SlowServiceTime: usualTime, Aim: q.class.Aim, LateFactor: q.class.Late,
 		Worth: q.class.Worth, ShadowPrice: price, Size: q.Size, MayHaveRun: q.mayHaveRun, AlreadyHeld: q.awaitingPrimary, QueuedAhead: ahead, Concurrency: concurrency}
