--- a/logic/logic.go
+++ b/logic/logic.go
@@ -27,7 +27,7 @@
 	housekeepingInterval = 10 * time.Millisecond  // interval at which silence, due pings and waiting requests are checked
 	startupHold          = 300 * time.Millisecond // how long a new router waits for first pings, which take milliseconds
 
-	rateWindow         = 10 * time.Second      // over which traffic is averaged
+	rateWindow         = 10 * time.Second      // time over which traffic is averaged
 	pingWait           = 25 * time.Millisecond // a ping takes a few milliseconds; after this wait other members are pinged
 	pingRepeatInterval = 100 * time.Millisecond
 	maxPingRounds      = 2
@@ -56,7 +56,7 @@
 	slowTimeQuantile      = 0.95    // quantile of a class's answer times beyond which an answer is overdue
 	lossWeight            = 0.02    // weight of one attempt in the moving average of lost answers
 	maxLoss               = 0.05    // in normal operation the share stays far below
-	maxSessionEntries     = 1 << 15 // of pins, and of session commits
+	maxSessionEntries     = 1 << 15 // capacity for pins, and for session commits
 	tickTimer             = TimerID(1)
 )
 
@@ -110,6 +110,7 @@
 	r.retryAwaitingPing(now)
 }
 
+// updateMember applies an entry of the list, which may name a new or a restarted member.
 func (r *Router) updateMember(now time.Duration, entry Member) {
 	m := r.members[entry.ID]
 	known := m != nil
@@ -258,6 +259,7 @@
 	}
 }
 
+// lossy reports whether answers are being lost although the member answers in time.
 func (r *Router) lossy(m *member) bool {
 	return r.loss > maxLoss && m.LatencyRatio < limit.HighLatencyRatio
 }
@@ -295,6 +297,7 @@
 	}
 }
 
+// tryStart makes the first attempt of a request. If no member can be chosen, the request is held or answered.
 func (r *Router) tryStart(now time.Duration, q *request) {
 	if ok, retryAfter := r.route(now, q); !ok && !q.awaitingPing && !q.hasOpenAttempt() {
 		r.holdOrFinish(now, q, retryAfter, q.group.handover.HeldCount())
@@ -350,6 +353,7 @@
 	return min(q.Deadline, r.handover.Config().ResendDeadline(a.sentAt, q.class.DedupWindow, r.slowTime[q.Class]))
 }
 
+// holdForPing holds a request until retryAwaitingPing tries it again.
 func (r *Router) holdForPing(q *request) {
 	if !q.awaitingPing {
 		q.awaitingPing = true
