--- a/internal/subset/api.go
+++ b/internal/subset/api.go
@@ -1,6 +1,6 @@
-// Package subset decides which databases a proxy is concerned with, where a tier has too many of both for every proxy to check and to
-// connect to every database: which databases it checks on behalf of the tier (Assignment), and which it keeps connections to
-// (Connections). It carries nothing out, knows nothing of health, and is pure: everything is computed from what is handed in.
+// Package subset selects the databases that one proxy works with, for tiers that are too large for every proxy to check and to connect to
+// every database. Assignment selects which databases a proxy checks on behalf of the tier, Connections which it keeps connections to. The
+// package does no I/O and holds no health state: results depend only on the arguments.
 //
 // Checkers are chosen by rendezvous hashing (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998), with the
 // checkers of one database in different zones. Connections follow the idea of deterministic subsetting (Google's SRE book, "Load
@@ -26,13 +26,13 @@
 	Primary
 )
 
-// Proxy is a member of the tier. Proxies whose zone is not known have the empty one in common.
+// Proxy is a member of the tier. Proxies of unknown zone count as members of one zone with an empty name.
 type Proxy struct {
 	ID   ProxyID
 	Zone string
 }
 
-// Database is a database as the list and the health view have it.
+// Database is a database as described by discovery and the health view.
 type Database struct {
 	ID     DatabaseID
 	Group  GroupID
@@ -41,22 +41,22 @@
 	Usable bool // neither draining nor ejected
 }
 
-// Config holds what all proxies of a tier must have in common, so that they come to the same assignment.
+// Config holds the settings of an Assignment. All proxies of a tier must use the same ones, so that they compute the same assignment.
 type Config struct {
-	Checkers int    // for each database
-	Seed     uint64 // of the tier
+	Checkers int    // number of proxies that check each database
+	Seed     uint64 // of the tier's hashes
 }
 
-// Traffic is what a proxy sends to one group.
+// Traffic is the load that a proxy sends to one group.
 type Traffic struct {
 	Group          GroupID
 	ReadsPerSecond float64
 }
 
-// ConnectionConfig says how many replicas are enough.
+// ConnectionConfig determines how many replicas of a group a proxy connects to.
 type ConnectionConfig struct {
-	ReadsPerReplica float64 // reads a second that one replica is given at most before another is connected to; 0 = any number
-	MinReplicas     int     // of each group in use
-	Proxies         int     // that choose alike: few of them need more replicas each, so that all replicas get even shares; 0 = that is no matter
-	Seed            uint64  // of the tier
+	ReadsPerReplica float64 // reads per second from which on another replica is used; 0 = any number
+	MinReplicas     int     // least number for each group in use
+	Proxies         int     // proxies that select replicas in the same way: the fewer they are, the more replicas each uses, for even shares of the reads; 0 = ignored
+	Seed            uint64  // of the tier's hashes
 }
--- a/internal/subset/assignment.go
+++ b/internal/subset/assignment.go
@@ -8,20 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Assignment says which proxies check which database. A change of one proxy is applied in place: the databases that it does not concern
-// are not computed again, and each of the others exchanges one checker.
+// Assignment maps each database to the proxies that check it. A change of one proxy is applied incrementally: only the databases that it
+// affects are recomputed, and each of them exchanges one checker.
 type Assignment struct {
 	config    Config
 	proxies   []Proxy // by ID
 	databases map[DatabaseID][]Proxy
 }
 
-// NewAssignment makes one without proxies and databases.
+// NewAssignment returns an assignment without proxies and databases.
 func NewAssignment(config Config) *Assignment {
 	return &Assignment{config: config, databases: map[DatabaseID][]Proxy{}}
 }
 
-// SetProxies makes the tier consist of these proxies. It gives how many duties have moved to another checker.
+// SetProxies sets the proxies of the tier. It returns how many duties, each of one proxy to check one database, have moved to another proxy.
 func (a *Assignment) SetProxies(proxies []Proxy) (moved int) {
 	wanted := make(map[Proxy]bool, len(proxies))
 	for _, p := range proxies {
@@ -41,7 +41,7 @@
 	return moved
 }
 
-// turnover counts the proxies that come or go.
+// turnover returns how many proxies are added or removed.
 func (a *Assignment) turnover(wanted map[Proxy]bool) int {
 	kept := 0
 	for _, p := range a.proxies {
@@ -52,26 +52,26 @@
 	return len(wanted) + len(a.proxies) - 2*kept
 }
 
-// rebuild computes every database anew.
+// rebuild replaces the proxies and recomputes the checkers of every database.
 func (a *Assignment) rebuild(proxies []Proxy) (moved int) {
 	a.proxies = slices.Clone(proxies)
 	slices.SortFunc(a.proxies, func(x, y Proxy) int { return cmp.Compare(x.ID, y.ID) })
 	a.proxies = slices.Compact(a.proxies)
 	for id, before := range a.databases {
-		after := a.pick(id, a.proxies)
+		after := a.selectCheckers(id, a.proxies)
 		moved += movedBetween(before, after)
 		a.databases[id] = after
 	}
 	return moved
 }
 
-// SetDatabases makes the list consist of these databases.
+// SetDatabases sets the databases that are to be checked.
 func (a *Assignment) SetDatabases(databases []DatabaseID) {
 	listed := make(map[DatabaseID]bool, len(databases))
 	for _, id := range databases {
 		listed[id] = true
 		if _, known := a.databases[id]; !known {
-			a.databases[id] = a.pick(id, a.proxies)
+			a.databases[id] = a.selectCheckers(id, a.proxies)
 		}
 	}
 	for id := range a.databases {
@@ -81,10 +81,10 @@
 	}
 }
 
-// Checkers gives the proxies that check a database, valid until the next change.
+// Checkers returns the proxies that check a database. The slice must not be changed and is valid until the next change.
 func (a *Assignment) Checkers(id DatabaseID) []Proxy { return a.databases[id] }
 
-// Duties gives the databases that a proxy checks, sorted.
+// Duties returns the databases that a proxy checks, in ascending order.
 func (a *Assignment) Duties(id ProxyID) (duties []DatabaseID) {
 	for database, checkers := range a.databases {
 		if slices.ContainsFunc(checkers, func(p Proxy) bool { return p.ID == id }) {
@@ -104,11 +104,11 @@
 		moved += a.removeProxy(a.proxies[i])
 	}
 	a.proxies = slices.Insert(a.proxies, i, p)
-	// Who is not chosen without p is not chosen with it: only p and the present checkers are candidates.
+	// A proxy that was not selected without p is not selected with it, so that only p and the present checkers are candidates.
 	candidates := make([]Proxy, 0, a.config.Checkers+1)
 	for id, before := range a.databases {
 		candidates = append(append(candidates[:0], before...), p)
-		after := a.pick(id, candidates)
+		after := a.selectCheckers(id, candidates)
 		moved += movedBetween(before, after)
 		a.databases[id] = after
 	}
@@ -123,7 +123,7 @@
 	a.proxies = slices.Delete(a.proxies, i, i+1)
 	for id, before := range a.databases {
 		if slices.Contains(before, p) {
-			after := a.pick(id, a.proxies)
+			after := a.selectCheckers(id, a.proxies)
 			moved += movedBetween(before, after)
 			a.databases[id] = after
 		}
@@ -135,7 +135,7 @@
 	return slices.BinarySearchFunc(a.proxies, id, func(p Proxy, id ProxyID) int { return cmp.Compare(p.ID, id) })
 }
 
-// movedBetween counts the checkers of after that are not among those of before.
+// movedBetween returns the number of checkers in after that are not in before.
 func movedBetween(before, after []Proxy) (moved int) {
 	for _, p := range after {
 		if !slices.Contains(before, p) {
@@ -145,7 +145,7 @@
 	return moved
 }
 
-// ranked is a candidate with its rendezvous weight.
+// ranked is a candidate with its rendezvous hashing weight.
 type ranked struct {
 	proxy  Proxy
 	weight uint64
@@ -158,23 +158,23 @@
 	return cmp.Compare(x.proxy.ID, y.proxy.ID)
 }
 
-// zoneRank holds the candidates of one zone that rank highest, the first one first.
+// zoneRank holds the highest-ranked candidates of one zone, the highest first.
 type zoneRank struct {
 	zone string
 	best []ranked
 }
 
-// pick chooses the checkers of a database: the best candidate of each zone, the best zones first; where there are fewer zones than
-// checkers, then the second of each zone, and so on.
-func (a *Assignment) pick(id DatabaseID, candidates []Proxy) []Proxy {
+// selectCheckers selects the checkers of a database: the best candidate of each zone in descending order of weight; then, if there are fewer
+// zones than checkers, the second best of each zone, and so on.
+func (a *Assignment) selectCheckers(id DatabaseID, candidates []Proxy) []Proxy {
 	zones := a.rankByZone(id, candidates)
 	chosen := make([]Proxy, 0, a.config.Checkers)
 	var round []ranked
-	for place := 0; place < a.config.Checkers && len(chosen) < a.config.Checkers; place++ {
+	for rank := 0; rank < a.config.Checkers && len(chosen) < a.config.Checkers; rank++ {
 		round = round[:0]
 		for _, z := range zones {
-			if place < len(z.best) {
-				round = append(round, z.best[place])
+			if rank < len(z.best) {
+				round = append(round, z.best[rank])
 			}
 		}
 		slices.SortFunc(round, byWeight)
@@ -188,12 +188,12 @@
 func (a *Assignment) rankByZone(id DatabaseID, candidates []Proxy) []zoneRank {
 	var zones []zoneRank
 	for _, p := range candidates {
-		at := slices.IndexFunc(zones, func(z zoneRank) bool { return z.zone == p.Zone })
-		if at < 0 {
-			at = len(zones)
+		index := slices.IndexFunc(zones, func(z zoneRank) bool { return z.zone == p.Zone })
+		if index < 0 {
+			index = len(zones)
 			zones = append(zones, zoneRank{zone: p.Zone})
 		}
-		z := &zones[at]
+		z := &zones[index]
 		r := ranked{p, weight(a.config.Seed, id, p.ID)}
 		i, _ := slices.BinarySearchFunc(z.best, r, byWeight)
 		if i < a.config.Checkers {
@@ -204,7 +204,7 @@
 	return zones
 }
 
-// weight is the rendezvous weight of a proxy for a database.
+// weight returns the rendezvous hashing weight of a proxy for a database.
 func weight(seed uint64, id DatabaseID, proxy ProxyID) uint64 {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:], seed)
--- a/internal/subset/connections.go
+++ b/internal/subset/connections.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Connections gives the databases that a proxy keeps connections to, in the order of the list: in each group that it sends traffic to
-// the primary, and as many replicas as its reads ask for, those of its own zone first. Beyond the zone the order is each proxy's own,
-// by rendezvous hashing, so that a replica that comes or goes changes one entry.
+// Connections returns the databases that a proxy keeps connections to, in the order of databases: of each group that it sends traffic to, the
+// primary and as many replicas as its reads need, those of its own zone first. Otherwise each proxy has its own order of replicas, by rendezvous
+// hashing, so that the addition or removal of a replica changes one entry.
 func Connections(self Proxy, databases []Database, traffic []Traffic, config ConnectionConfig) []DatabaseID {
 	reads := make(map[GroupID]float64, len(traffic))
 	for _, t := range traffic {
@@ -23,21 +23,22 @@
 	for group, members := range groups {
 		keepInGroup(kept, self, members, reads[group], config)
 	}
-	out := make([]DatabaseID, 0, len(kept))
+	ids := make([]DatabaseID, 0, len(kept))
 	for _, d := range databases {
 		if kept[d.ID] {
-			out = append(out, d.ID)
+			ids = append(ids, d.ID)
 		}
 	}
-	return out
+	return ids
 }
 
-// maxImbalance is the standard deviation of a replica's share of the reads, as a part of its mean, that the proxies' choices may leave.
+// maxImbalance is the highest accepted standard deviation of a replica's share of the reads, relative to the mean, that results from the
+// proxies' selections.
 const maxImbalance = 0.1
 
-// replicasForBalance gives how many of a group's replicas each proxy has to use, so that the shares of the replicas differ by
-// maxImbalance. Where each of P proxies draws k of n replicas, a replica has P k/n of them in the mean, with the variance of a binomial
-// distribution: (n/k - 1) / P relative to the square of the mean.
+// replicasForBalance returns how many of a group's replicas each proxy has to use so that the imbalance is at most maxImbalance. If each of P
+// proxies selects k of n replicas at random, a replica is used by P k/n proxies on average. The variance is that of a binomial distribution,
+// (n/k - 1) / P relative to the square of the mean.
 func replicasForBalance(replicas, proxies int) int {
 	if proxies <= 0 {
 		return 0
@@ -45,6 +46,7 @@
 	return int(math.Ceil(float64(replicas) / (1 + maxImbalance*maxImbalance*float64(proxies))))
 }
 
+// keepInGroup adds the members of one group that are used to kept.
 func keepInGroup(kept map[DatabaseID]bool, self Proxy, members []Database, reads float64, config ConnectionConfig) {
 	needed := config.MinReplicas
 	if config.ReadsPerReplica > 0 {
@@ -54,7 +56,7 @@
 	var replicas []Database
 	for _, d := range members {
 		switch {
-		case d.Role == Primary: // also where it is ejected: nobody can stand in for it
+		case d.Role == Primary: // also if it is ejected, as no other member can replace it
 			kept[d.ID] = true
 			primaryKnown = true
 		case d.Usable:
@@ -71,7 +73,7 @@
 	}
 }
 
-// compareForProxy orders replicas by how much a proxy prefers them.
+// compareForProxy orders replicas by a proxy's preference, the most preferred first.
 func compareForProxy(self Proxy, x, y Database, seed uint64) int {
 	if xOwn, yOwn := x.Zone == self.Zone, y.Zone == self.Zone; xOwn != yOwn {
 		if xOwn {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -31,8 +31,8 @@
 	return out, ids
 }
 
-// Whatever comes and goes: each database has as many checkers as there may be, in as many zones; a change in place gives the same as
-// a new computation; and one proxy's change moves one duty a database at most.
+// For any sequence of changes, each database has the configured number of checkers, if there are as many proxies, in as many zones as possible;
+// an incremental change has the same result as a rebuild; and a change of one proxy moves at most one duty of each database.
 func TestAssignmentUnderChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{Checkers: rapid.IntRange(1, 4).Draw(t, "checkers"), Seed: rapid.Uint64().Draw(t, "seed")}
@@ -50,7 +50,7 @@
 				members = append(members, p)
 			}
 			if moved := a.SetProxies(members); moved > len(ids) {
-				t.Fatalf("one proxy's change moved %d duties of %d databases", moved, len(ids))
+				t.Fatalf("a change of one proxy moved %d duties of %d databases", moved, len(ids))
 			}
 			checkAssignment(t, a, config, members, ids)
 		}
@@ -58,29 +58,29 @@
 }
 
 func checkAssignment(t *rapid.T, a *Assignment, config Config, members []Proxy, ids []DatabaseID) {
-	anew := NewAssignment(config)
-	anew.rebuild(members)
-	anew.SetDatabases(ids)
-	inTier := map[string]bool{}
+	rebuilt := NewAssignment(config)
+	rebuilt.rebuild(members)
+	rebuilt.SetDatabases(ids)
+	tierZones := map[string]bool{}
 	for _, p := range members {
-		inTier[p.Zone] = true
+		tierZones[p.Zone] = true
 	}
 	for _, id := range ids {
 		got := a.Checkers(id)
-		if !slices.Equal(got, anew.Checkers(id)) {
-			t.Fatalf("database %d: %v in place, %v anew", id, got, anew.Checkers(id))
+		if !slices.Equal(got, rebuilt.Checkers(id)) {
+			t.Fatalf("database %d: checkers %v after changes, %v after a rebuild", id, got, rebuilt.Checkers(id))
 		}
 		zones := map[string]bool{}
 		for _, p := range got {
 			zones[p.Zone] = true
 		}
-		if len(got) != min(config.Checkers, len(members)) || len(zones) != min(len(got), len(inTier)) {
-			t.Fatalf("database %d has checkers %v of %d proxies in %d zones", id, got, len(members), len(inTier))
+		if len(got) != min(config.Checkers, len(members)) || len(zones) != min(len(got), len(tierZones)) {
+			t.Fatalf("database %d has checkers %v of %d proxies in %d zones", id, got, len(members), len(tierZones))
 		}
 	}
 }
 
-func TestDutiesMoveLittleAtTheTarget(t *testing.T) {
+func TestFewDutiesMoveInLargeTier(t *testing.T) {
 	proxies, checkers := makeProxies(820, 5), 3
 	_, ids := makeDatabases(1300, 4, 5)
 	a := NewAssignment(Config{Checkers: checkers, Seed: 1})
@@ -94,13 +94,13 @@
 			continue
 		}
 		if moved := a.SetProxies(slices.Delete(slices.Clone(proxies), i, i+1)); moved != own {
-			t.Errorf("proxy %d had %d duties, %d moved as it left", p.ID, own, moved)
+			t.Errorf("proxy %d had %d duties, %d moved when it left", p.ID, own, moved)
 		}
 		a.SetProxies(proxies)
 	}
-	t.Logf("duties a proxy: mean %.2f, most %d", float64(sum)/float64(len(proxies)), most)
+	t.Logf("duties of a proxy: mean %.2f, most %d", float64(sum)/float64(len(proxies)), most)
 	if sum != checkers*len(ids) || most > 20 {
-		t.Errorf("%d duties in all, %d at one proxy", sum, most)
+		t.Errorf("%d duties in total, %d at one proxy", sum, most)
 	}
 }
 
@@ -114,12 +114,12 @@
 		got := Connections(self, databases, used, config)
 		replicas := min(max(int(math.Ceil(reads/30)), 1), 3)
 		if len(got) != len(used)*(1+replicas) {
-			t.Fatalf("%v for %v reads a second", got, reads)
+			t.Fatalf("connections %v for %v reads per second", got, reads)
 		}
 		for _, group := range []GroupID{2, 5} {
 			for _, d := range databases {
-				must := d.Group == group && (d.Role == Primary || d.Zone == self.Zone && replicas > 1)
-				if must && !slices.Contains(got, d.ID) {
+				required := d.Group == group && (d.Role == Primary || d.Zone == self.Zone && replicas > 1)
+				if required && !slices.Contains(got, d.ID) {
 					t.Fatalf("%+v is missing", d)
 				}
 			}
@@ -127,7 +127,7 @@
 	})
 }
 
-// Few proxies use more replicas each than many do, so that no replica's share differs much from the others'.
+// The fewer proxies there are, the more replicas each uses, so that the replicas' shares differ little.
 func TestReplicasGetEvenShares(t *testing.T) {
 	const groups, members, zones = 50, 4, 5
 	databases, _ := makeDatabases(groups*members, members, zones)
@@ -146,7 +146,7 @@
 			}
 		}
 		if want := c.proxies * groups * (1 + c.replicas); connections != want {
-			t.Errorf("%d proxies: %d connections, %d were expected", c.proxies, connections, want)
+			t.Errorf("%d proxies: %d connections, want %d", c.proxies, connections, want)
 		}
 		squares, count := 0.0, 0
 		mean := float64(c.proxies) / (members - 1)
@@ -162,7 +162,7 @@
 	}
 }
 
-// One replica that is ejected is replaced by one other, and nothing else changes.
+// A replica that is ejected is replaced by one other, and nothing else changes.
 func TestConnectionsChangeByOne(t *testing.T) {
 	databases, _ := makeDatabases(4, 4, 5)
 	config, used := ConnectionConfig{ReadsPerReplica: 30, MinReplicas: 2}, []Traffic{{Group: 0}}
@@ -178,8 +178,8 @@
 	}
 }
 
-// The figures of the design note: connections a database with the subset, against all, on 820 x 1,300 with groups of four.
-func TestConnectionsAtTheTarget(t *testing.T) {
+// Logs the figures of the design note: connections of a database with subsets, for 820 proxies and 1,300 databases in groups of four.
+func TestConnectionsOfLargeTier(t *testing.T) {
 	databases, _ := makeDatabases(1300, 4, 5)
 	proxies, groups, sample := makeProxies(820, 5), 325, 4
 	for _, c := range []struct {
@@ -193,7 +193,7 @@
 		{"a quarter of the groups, two replicas", groups / 4, 40, ConnectionConfig{ReadsPerReplica: 30, MinReplicas: 1}},
 	} {
 		counts := make([]int, len(databases)+1)
-		for i := 0; i < len(proxies); i += sample { // no divisor of the zones: each is sampled alike
+		for i := 0; i < len(proxies); i += sample { // no divisor of the number of zones, so that all zones are sampled equally
 			p := proxies[i]
 			var traffic []Traffic
 			for g := range c.used {
@@ -211,7 +211,7 @@
 				replicas += counts[d.ID]
 			}
 		}
-		t.Logf("%s: %.0f proxies connected to a database (primary %.0f, replica %.0f, most %d), against 820", c.name,
+		t.Logf("%s: %.0f proxies connected to a database (primary %.0f, replica %.0f, most %d), without subsets 820", c.name,
 			float64(primaries+replicas)/1300, float64(primaries)/325, float64(replicas)/975, most)
 		if primaries+replicas >= 820*1300*3/4+1 {
 			t.Errorf("%s: %d connections", c.name, primaries+replicas)
