--- a/internal/takeover/answers.go
+++ b/internal/takeover/answers.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// advanceQuerying replicates a record anew that no replica has, or takes over one that has no owner any more.
+// advanceQuerying begins replication again if no replica has the record, or takes the record over if it has no owner any more.
 func (r *Registry) advanceQuerying(now time.Duration, t *task, sets []replicaSet) {
 	gone := hasQuorum(sets, func(member Member) bool { return t.answeredWith(member, NotFound) })
 	if gone && t.epoch == firstEpoch && t.takenOver == nil && len(t.requests) > 0 { // the record never had its quorum
--- a/internal/takeover/doc.go
+++ b/internal/takeover/doc.go
@@ -1,5 +1,5 @@
 // Package takeover decides how a keyed write survives the loss of the proxy that received it: which proxies store its record, which one may
-// send it, which one takes it over, and what a client that retries with its idempotency key is told. It does no I/O and reads no clock:
+// send it, which one takes it over, and how a client that retries with its idempotency key is answered. It does no I/O and reads no clock:
 // callers pass in events and the time, and carry out the messages and actions that are returned.
 //
 // A record is replicated on 2*Quorum - 1 proxies of the tier, which rendezvous hashing of its key selects among the members (Thaler and
