--- a/internal/lab/command/growth.go
+++ b/internal/lab/command/growth.go
@@ -65,7 +65,7 @@
 	per := func(n uint64) float64 { return float64(n) / float64(max(offered, 1)) }
 	seconds := length.Seconds()
 	return report.Growth{Proxies: s.proxies, Databases: s.databases, Rate: rate, Worth: r.Worth, Probes: per(k.Probes),
-		Misroutes:  per(k.Miss + k.Full + k.TimedOut + k.ConnectFailed + k.Reset),
+		Misroutes:  per(k.Misdirected + k.Rejected + k.TimedOut + k.ConnectFailed + k.Reset),
 		ProbeWork:  float64(k.Probes) / seconds * 300e-6 / float64(3*s.databases),
 		Links:      float64(r.Links) / float64(s.databases),
 		CPU:        r.InProxies.Seconds() / float64(max(offered, 1)) * 1e6,
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -290,7 +290,7 @@
 	part := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 	c := &r.Counters
 	out := map[string]float64{Worth: r.Worth, Worst: r.Worst10, Attempts: part(int(c.Sent), offered), Probes: part(int(c.Probes), offered),
-		Misroutes: part(int(c.Miss+c.Full+c.TimedOut+c.ConnectFailed+c.Reset), offered), Switches: float64(len(r.Switches)), LevelChanges: float64(len(r.Changes))}
+		Misroutes: part(int(c.Misdirected+c.Rejected+c.TimedOut+c.ConnectFailed+c.Reset), offered), Switches: float64(len(r.Switches)), LevelChanges: float64(len(r.Changes))}
 	out[Messages], out[ListCalls], out[Connections] = part(int(r.DeliveredBytes), 256*offered), part(int(r.ListCalls), offered), part(int(c.Opened), offered)
 	p := &s.Prices
 	out[NetWorth] = r.Worth - p.Probe*out[Probes] - p.Connection*out[Connections] - p.List*out[ListCalls] - p.Message*out[Messages]
--- a/internal/lab/scale/recorder.go
+++ b/internal/lab/scale/recorder.go
@@ -130,7 +130,7 @@
 
 // wrongSends counts attempts at members that could not take them.
 func wrongSends(c *state.Counters) uint64 {
-	return c.Miss + c.Full + c.TimedOut + c.ConnectFailed + c.Reset
+	return c.Misdirected + c.Rejected + c.TimedOut + c.ConnectFailed + c.Reset
 }
 
 // increase is by how much a counter has grown; one that is lower than before began anew.
--- a/internal/net/mysql_hard_test.go
+++ b/internal/net/mysql_hard_test.go
@@ -110,7 +110,7 @@
 	if ms, _ := strconv.Atoi(told); ms > int(most/time.Millisecond) || ms < 10000 {
 		t.Errorf("the second server is told of %s ms", told)
 	}
-	if c := counters(front, loop); c.Full != 1 || c.Served != 2 || c.Reset > 0 {
+	if c := counters(front, loop); c.Rejected != 1 || c.Served != 2 || c.Reset > 0 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/state/catalogue.go
+++ b/internal/state/catalogue.go
@@ -40,8 +40,8 @@
 		known := membership.Update{Complete: true}
 		for _, m := range e.membersByName {
 			if m.state != logic.Gone {
-				known.Listings = append(known.Listings, membership.Listing{ID: m.name, Address: m.address, Zone: m.zone, Group: m.group, Health: healthOf(m.state),
-					Weight: m.size, Started: m.started})
+				known.Listings = append(known.Listings, membership.Listing{ID: m.name, Address: m.address, Zone: m.zone, Group: m.group,
+					Health: healthOf(m.state), Weight: m.size, Started: m.started})
 			}
 		}
 		slices.SortFunc(known.Listings, func(a, b membership.Listing) int { return cmp.Compare(a.ID, b.ID) })
@@ -79,7 +79,7 @@
 }
 
 // UpdateCatalogue applies a catalogue's answer.
-func (e *Engine) UpdateCatalogue(source string, n membership.Update) {
+func (e *Engine) UpdateCatalogue(source string, update membership.Update) {
 	if e.membership == nil {
 		return
 	}
@@ -87,7 +87,7 @@
 		delete(e.failingCatalogues, source)
 		slog.Info("catalogue answers again", "source", source)
 	}
-	e.membership.Update(e.clock.Now(), source, n)
+	e.membership.Update(e.clock.Now(), source, update)
 	e.applyMergedChanges()
 }
 
@@ -111,12 +111,12 @@
 
 // updateFromDiscovery applies the discovery service's list as one catalogue among others.
 func (e *Engine) updateFromDiscovery(l List) {
-	n := membership.Update{Complete: l.Kind != logic.ListDelta}
+	update := membership.Update{Complete: l.Kind != logic.ListDelta}
 	for _, entry := range l.Entries {
-		n.Listings = append(n.Listings, membership.Listing{ID: entry.Name, Address: entry.Address, Zone: entry.Zone, Group: entry.Group, Health: healthOf(entry.State),
-			Weight: entry.Size, Started: entry.Started})
+		update.Listings = append(update.Listings, membership.Listing{ID: entry.Name, Address: entry.Address, Zone: entry.Zone, Group: entry.Group,
+			Health: healthOf(entry.State), Weight: entry.Size, Started: entry.Started})
 	}
-	e.membership.Update(e.clock.Now(), DiscoveryCatalogue, n)
+	e.membership.Update(e.clock.Now(), DiscoveryCatalogue, update)
 	if !e.applyMergedChanges() { // the router expects an answer to each call, even without changes
 		e.applyList(List{Kind: logic.ListDelta})
 	}
@@ -130,7 +130,8 @@
 	}
 	l := List{Kind: logic.ListDelta}
 	for _, change := range changes {
-		entry := Entry{Name: change.ID, Address: change.Address, Zone: change.Zone, Group: change.Group, Size: change.Weight, Started: change.Started, ObservedStart: change.RestartedAt}
+		entry := Entry{Name: change.ID, Address: change.Address, Zone: change.Zone, Group: change.Group,
+			Size: change.Weight, Started: change.Started, ObservedStart: change.RestartedAt}
 		entry.State = [...]logic.MemberState{membership.StateRemoved: logic.Gone, membership.StateReady: logic.Ready, membership.StateDraining: logic.Draining}[change.State]
 		m := e.membersByName[change.ID]
 		if m == nil || m.state != entry.State {
--- a/internal/state/catalogue_test.go
+++ b/internal/state/catalogue_test.go
@@ -31,8 +31,8 @@
 // A catalogue that replaces the discovery service lists the same databases under other names. They keep their
 // identity and their attributes, and none is listed twice.
 func TestSameDatabasesUnderOtherNames(t *testing.T) {
-	h, tell := newMergingHarness(t, true)
-	tell(membership.Listing{ID: "other-1", Address: "127.0.0.1:1"}, membership.Listing{ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining})
+	h, report := newMergingHarness(t, true)
+	report(membership.Listing{ID: "other-1", Address: "127.0.0.1:1"}, membership.Listing{ID: "other-2", Address: "127.0.0.1:2", Health: membership.Draining})
 	if len(h.e.membersByName) != 4 { // the addresses a:1 and a:2 are not theirs
 		t.Fatalf("%d members", len(h.e.membersByName))
 	}
@@ -50,15 +50,15 @@
 // A start that is inferred is converted to the router's clock once: later changes of the member must not count as
 // another restart, after which the member would be cold again.
 func TestInferredStartConvertedOnce(t *testing.T) {
-	h, tell := newMergingHarness(t, false)
+	h, report := newMergingHarness(t, false)
 	f := membership.Listing{ID: "m", Address: "127.0.0.1:9"}
-	tell(f)
+	report(f)
 	if e, ok := h.listed("m"); !ok || e.StartedAt != 0 {
 		t.Fatalf("%+v", e)
 	}
 	f.Address = "127.0.0.1:10" // another process
 	h.advance(3 * time.Second)
-	tell(f)
+	report(f)
 	first, _ := h.listed("m")
 	if first.StartedAt != h.now {
 		t.Errorf("started at %v, want %v", first.StartedAt, h.now)
@@ -66,7 +66,7 @@
 	h.advance(3 * time.Second)
 	for i, step := range []time.Duration{2 * time.Millisecond, -2 * time.Millisecond} { // wall clocks are adjusted
 		f.Zone, h.wallClockStep = [...]string{"x", "y"}[i], step
-		tell(f)
+		report(f)
 		if again, _ := h.listed("m"); again.StartedAt != first.StartedAt || again.Zone != i {
 			t.Errorf("%+v, before %+v", again, first)
 		}
@@ -76,22 +76,22 @@
 // The same holds for a start that the discovery service lists, however often the list is sent and by whatever clock.
 func TestListedStartConvertedOnce(t *testing.T) {
 	h := newHarness(t, 9)
-	tell := func(started time.Duration) logic.Member {
+	report := func(started time.Duration) logic.Member {
 		h.e.UpdateList(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Ready, Started: started}}})
 		e, _ := h.listed("one")
 		return e
 	}
 	at := h.Unix() - time.Second
-	first := tell(at)
+	first := report(at)
 	if first.StartedAt != h.now-time.Second {
 		t.Errorf("%+v", first)
 	}
 	for _, step := range []time.Duration{time.Microsecond, -time.Microsecond, -time.Second} {
-		if h.wallClockStep = step; tell(at).StartedAt != first.StartedAt {
+		if h.wallClockStep = step; report(at).StartedAt != first.StartedAt {
 			t.Errorf("a clock adjustment of %v counts as a restart", step)
 		}
 	}
-	if tell(at+500*time.Millisecond).StartedAt <= first.StartedAt {
+	if report(at+500*time.Millisecond).StartedAt <= first.StartedAt {
 		t.Error("a later start does not count as a restart")
 	}
 }
@@ -99,11 +99,11 @@
 // Evidence is passed to the membership: a database that answers stays in use whatever the catalogue's checks say.
 // When merging ends, the discovery service's list is used by itself again.
 func TestEvidencePassedToMembership(t *testing.T) {
-	h, tell := newMergingHarness(t, false)
+	h, report := newMergingHarness(t, false)
 	f := membership.Listing{ID: "m", Address: "127.0.0.1:9"}
-	tell(f)
+	report(f)
 	f.Health = membership.Critical
-	tell(f)
+	report(f)
 	answer := func() {
 		h.e.Probe(h.id("m"))
 		c := h.conns[len(h.conns)-1]
--- a/internal/state/ending.go
+++ b/internal/state/ending.go
@@ -50,7 +50,8 @@
 
 // stale reports, immediately before the first byte of an attempt is written, whether it must not be sent any more.
 // While it waited for a connection, its client may have left, its time may have run out, or its member may have been
-// listed as draining or gone. Nothing has run in that case, and the router may choose another member.
+// listed as draining or gone. Nothing has run in that case, and the router may choose another member. A request whose
+// client has disconnected is abandoned.
 func (e *Engine) stale(a *attempt) bool {
 	if p, ok := a.req.caller.(ClientChecker); ok && !p.ClientConnected() {
 		e.Abandon(a.req.id)
--- a/internal/state/figures.go
+++ b/internal/state/figures.go
@@ -16,8 +16,8 @@
 		if !known {
 			order = append(order, c.Name)
 		}
-		one := e.classCounters[i]
-		sum.Served, sum.Refused, sum.Failed = sum.Served+one.Served, sum.Refused+one.Refused, sum.Failed+one.Failed
+		counts := e.classCounters[i]
+		sum.Served, sum.Refused, sum.Failed = sum.Served+counts.Served, sum.Refused+counts.Refused, sum.Failed+counts.Failed
 		sums[c.Name] = sum
 	}
 	for _, name := range order {
@@ -25,7 +25,7 @@
 		dst = admin.AppendCounter(dst, sums[name].Refused, "handled", name, "dropped")
 		dst = admin.AppendCounter(dst, sums[name].Failed, "handled", name, "bad_gateway")
 	}
-	open, listed, avoided := uint64(e.openStreams), uint64(0), uint64(0)
+	open, listed, excluded := uint64(e.openStreams), uint64(0), uint64(0)
 	for _, req := range e.requests {
 		if req.caller != nil {
 			open++
@@ -38,13 +38,13 @@
 		}
 		listed++
 		if m.state != logic.Ready || e.router != nil && e.router.Excluded(now, m.id) {
-			avoided++
+			excluded++
 		}
 	}
 	dst = admin.AppendCounter(dst, e.Counters.Written, "upstream_tries")
 	dst = admin.AppendGauge(dst, open, "in_progress")
 	dst = admin.AppendGauge(dst, listed, "known_databases")
-	dst = admin.AppendGauge(dst, avoided, "skipped_databases")
+	dst = admin.AppendGauge(dst, excluded, "skipped_databases")
 	for reason, n := range e.router.Refusals() {
 		dst = admin.AppendCounter(dst, n, "refused", logic.RefusalReason(reason).String())
 	}
--- a/internal/state/front.go
+++ b/internal/state/front.go
@@ -24,7 +24,7 @@
 // the request first.
 type Caller interface {
 	Served(body []byte) // the database's answer; valid during the call only
-	Refused(comeBack time.Duration)
+	Refused(retryAfter time.Duration)
 	Failed()
 	BadRequest(body []byte) // the request itself is invalid; body is the database's error, if it sent one
 }
@@ -39,7 +39,7 @@
 
 // Request is a client's request.
 type Request struct {
-	Name       string // unique among open requests; empty = none
+	Name       string // unique for each request; empty = none
 	Class      string
 	Wait       time.Duration // how long the client waits, from when it sent the request
 	ReceivedAt time.Duration // on the engine's clock; 0 = now
@@ -79,7 +79,7 @@
 	opener  Opener
 	watcher Watcher
 	events  logic.Events
-	router  *logic.Router // receives the events, unless a test replaces events
+	router  *logic.Router // the receiver of events, except in tests
 
 	eventQueue  []func() // events that the router has not received yet
 	dispatching bool
@@ -203,7 +203,8 @@
 	e.lastID++
 	e.Counters.Received++
 	e.classCounters[class].Received++
-	req := &request{id: e.lastID, name: input.Name, class: class, group: input.Group, command: input.Command, caller: input.Caller, receivedAt: cmp.Or(input.ReceivedAt, e.clock.Now())}
+	req := &request{id: e.lastID, name: input.Name, class: class, group: input.Group, command: input.Command,
+		caller: input.Caller, receivedAt: cmp.Or(input.ReceivedAt, e.clock.Now())}
 	e.requests[req.id] = req
 	req.deadline = req.receivedAt + max(input.Wait-networkAllowance, 0)
 	if e.finalDeadline > 0 {
@@ -273,8 +274,8 @@
 func failedCount(c *ClassCounters) *uint64  { return &c.Failed }
 
 // Refuse implements logic.Actions.
-func (e *Engine) Refuse(id logic.RequestID, comeBack time.Duration) {
-	e.answer(id, &e.Counters.Refused, refusedCount, func(c Caller) { c.Refused(comeBack) })
+func (e *Engine) Refuse(id logic.RequestID, retryAfter time.Duration) {
+	e.answer(id, &e.Counters.Refused, refusedCount, func(c Caller) { c.Refused(retryAfter) })
 }
 
 // Fail implements logic.Actions.
--- a/internal/state/health.go
+++ b/internal/state/health.go
@@ -26,17 +26,17 @@
 	Assignment *subset.Assignment
 }
 
-// sharedChecks is one proxy's part in the health checks that the proxies of its tier share. All methods without an
-// Engine as receiver may be called on nil.
+// sharedChecks is one proxy's part in the health checks that the proxies of its tier share. updateDatabases, recordCheck
+// and recordAnswer may be called on nil.
 type sharedChecks struct {
 	config    SharedChecksConfig
 	node      *healthcheck.Node // nil = the fleet is so small that each proxy checks all databases
 	tier      []subset.Proxy
 	databases []subset.DatabaseID // as last passed to node, sorted
-	used      []subset.DatabaseID
+	used      []subset.DatabaseID // databases of the groups that this proxy sends requests to
 	choice    subsetChoice
 	members   map[subset.DatabaseID]logic.MemberID
-	usedAt    time.Duration // when usedDatabases was last updated
+	usedAt    time.Duration // when used was last updated
 	timer     Deadline
 	message   []byte
 }
@@ -140,20 +140,20 @@
 		return
 	}
 	clear(s.members)
-	shared := map[subset.DatabaseID]bool{}
+	ambiguous := map[subset.DatabaseID]bool{}
 	for id, m := range e.members {
 		if m.state != logic.Ready {
 			continue
 		}
 		number := logic.ShortID(id)
 		if _, taken := s.members[number]; taken {
-			shared[number] = true
+			ambiguous[number] = true
 		}
 		s.members[number] = id
 	}
 	var databases []subset.DatabaseID
 	for number := range s.members {
-		if shared[number] {
+		if ambiguous[number] {
 			delete(s.members, number)
 			continue
 		}
@@ -181,11 +181,11 @@
 		s.setUsed(e, now)
 		s.chooseSubset(e, now)
 	}
-	orders := s.node.Tick(now)
-	for _, number := range orders.Checks {
+	due := s.node.Tick(now)
+	for _, number := range due.Checks {
 		e.dispatch(func() { e.router.SendCheck(e.clock.Now(), s.members[number]) })
 	}
-	for _, m := range orders.Messages {
+	for _, m := range due.Messages {
 		if m.ToPlanner { // messages to single peers cannot be sent yet
 			s.message = wire.AppendMessage(s.message[:0], e.wireClock(), m)
 			s.config.Sender.SendReports(s.message)
@@ -210,9 +210,9 @@
 
 // forwardVerdicts passes changed verdicts to the router.
 func (s *sharedChecks) forwardVerdicts(e *Engine) {
-	for _, x := range s.node.TakeChangedVerdicts(e.clock.Now()) {
+	for _, change := range s.node.TakeChangedVerdicts(e.clock.Now()) {
 		e.Counters.Verdicts++
-		e.dispatch(func() { e.router.ApplyVerdict(e.clock.Now(), s.members[x.Database], x.Verdict) })
+		e.dispatch(func() { e.router.ApplyVerdict(e.clock.Now(), s.members[change.Database], change.Verdict) })
 	}
 }
 
@@ -221,11 +221,11 @@
 	if s == nil || s.node == nil {
 		return
 	}
-	now, seen := e.clock.Now(), observation(r)
+	now, observed := e.clock.Now(), observation(r)
 	load := e.loadReport(r)
-	seen.ColdStart = seen.Answered && m.startedAt > 0 && now-m.startedAt < e.cfg.Logic.ColdPeriod
-	seen.Role, seen.Position = roleOf(load.Role), load.Position
-	s.node.CompleteCheck(now, logic.ShortID(m.id), seen)
+	observed.ColdStart = observed.Answered && m.startedAt > 0 && now-m.startedAt < e.cfg.Logic.ColdPeriod
+	observed.Role, observed.Position = roleOf(load.Role), load.Position
+	s.node.CompleteCheck(now, logic.ShortID(m.id), observed)
 }
 
 // recordAnswer passes an answer to a request to the node as evidence that the database is alive.
--- a/internal/state/links.go
+++ b/internal/state/links.go
@@ -28,7 +28,7 @@
 	Send(Command, time.Duration) error
 	// Probe requests the load report.
 	Probe() error
-	// Reusable reports whether the next command may be sent: no data has been received that belongs to no command.
+	// Reusable reports whether the next command may be sent: no unexpected data has been received.
 	Reusable() bool
 	Close()
 }
--- a/internal/state/peers.go
+++ b/internal/state/peers.go
@@ -5,18 +5,18 @@
 	wire "havenproxy/internal/wire/peers"
 )
 
-// PeerSender sends messages to all peers. SendToPeers returns at once and may lose the message.
+// PeerSender sends messages to all peers. Broadcast returns at once and may lose the message.
 type PeerSender interface{ Broadcast(message []byte) }
 
 // SetPeerSender sets the sender of messages to peers. Without one, messages are dropped.
-func (e *Engine) SetPeerSender(t PeerSender) { e.peerSender = t }
+func (e *Engine) SetPeerSender(sender PeerSender) { e.peerSender = sender }
 
 // SendToPeers implements logic.Actions.
-func (e *Engine) SendToPeers(facts []peers.Report) {
+func (e *Engine) SendToPeers(reports []peers.Report) {
 	if e.peerSender == nil {
 		return
 	}
-	if e.peerMessage = wire.Append(e.peerMessage[:0], e.clock.Unix(), e.clock.Now(), facts); len(e.peerMessage) > 0 {
+	if e.peerMessage = wire.Append(e.peerMessage[:0], e.clock.Unix(), e.clock.Now(), reports); len(e.peerMessage) > 0 {
 		e.Counters.PeerSent++
 		e.peerSender.Broadcast(e.peerMessage)
 	}
@@ -24,8 +24,8 @@
 
 // ReceivePeerMessage applies a peer's message. It counts messages that cannot be parsed and returns the error.
 func (e *Engine) ReceivePeerMessage(message []byte) error {
-	facts, err := wire.Parse(e.peerReports[:0], message, e.clock.Unix(), e.clock.Now())
-	if e.peerReports = facts; err != nil {
+	reports, err := wire.Parse(e.peerReports[:0], message, e.clock.Unix(), e.clock.Now())
+	if e.peerReports = reports; err != nil {
 		e.Counters.PeerInvalid++
 		return err
 	}
--- a/internal/state/place.go
+++ b/internal/state/place.go
@@ -6,7 +6,7 @@
 	"havenproxy/logic"
 )
 
-// Assignment of attempts to connections, up to the writing of the request. See connections.go for what follows.
+// Assignment of attempts to connections, up to the writing of the request. See links.go for what follows.
 
 // assignConn assigns an idle or new connection to an attempt.
 func (e *Engine) assignConn(a *attempt) {
@@ -39,7 +39,7 @@
 	c.attempt, a.conn = a, c
 }
 
-// openConn opens a connection. At the limit it first evicts an idle one; nil means that this was not possible.
+// openConn opens a connection. At the limit it first evicts another one; it returns nil if there is none to evict.
 func (e *Engine) openConn(m *member) *pooledConn {
 	if e.openConns+e.opener.AbandonedDials() >= e.cfg.MaxConnections && !e.evictConn() {
 		e.Counters.ConnectionsNotOpened++
--- a/internal/state/probes.go
+++ b/internal/state/probes.go
@@ -94,7 +94,8 @@
 		defer overdue.probeAgain()
 	}
 	e.checks.recordCheck(e, m, r)
-	p := logic.ProbeResult{Member: m.id, Result: r.Result, Elapsed: took, Report: e.loadReport(r), ConnOpenedAt: r.connOpenedAt, DialRefused: r.dialRefused}
+	p := logic.ProbeResult{Member: m.id, Result: r.Result, Elapsed: took, Report: e.loadReport(r),
+		ConnOpenedAt: r.connOpenedAt, DialRefused: r.dialRefused}
 	e.dispatch(func() { e.events.ProbeDone(e.clock.Now(), p) })
 }
 
--- a/internal/state/reduced.go
+++ b/internal/state/reduced.go
@@ -87,7 +87,7 @@
 			e.levelChanged(id, r.cfg.Ladder[d.PreviousLevel].Name, d)
 		}
 	}
-	if len(r.groups) > len(e.router.Groups()) { // remove groups that the list no longer contains
+	if len(r.groups) > len(e.router.Groups()) { // remove groups that have long been missing from the list
 		for id := range r.groups {
 			if !slices.Contains(e.router.Groups(), id) {
 				delete(r.groups, id)
--- a/internal/state/reload.go
+++ b/internal/state/reload.go
@@ -10,12 +10,12 @@
 // the rules under which they were submitted; a class that is no longer configured is unknown from now on.
 func (e *Engine) Reload(cfg logic.Config) {
 	e.cfg.Logic.MaxAttempts, e.cfg.Logic.EnableRetryAfter, e.cfg.Logic.MaxRetryAfter = cfg.MaxAttempts, cfg.EnableRetryAfter, cfg.MaxRetryAfter
-	at := e.router.Reload(cfg.Classes, cfg.MaxAttempts, cfg.EnableRetryAfter, cfg.MaxRetryAfter)
+	indexes := e.router.Reload(cfg.Classes, cfg.MaxAttempts, cfg.EnableRetryAfter, cfg.MaxRetryAfter)
 	classes := slices.Clone(e.cfg.Logic.Classes)
 	e.classes = map[string]int{}
 	for i, c := range cfg.Classes {
-		e.classes[c.Name] = at[i]
-		if at[i] == len(classes) {
+		e.classes[c.Name] = indexes[i]
+		if indexes[i] == len(classes) {
 			classes = append(classes, c)
 		}
 	}
--- a/internal/state/show.go
+++ b/internal/state/show.go
@@ -112,8 +112,8 @@
 	}
 	for _, id := range e.router.Groups() {
 		s := groups[id]
-		view := SwitchView{Group: int(id), Phase: s.Phase.String(), Duration: now - s.Since, NewPrimary: name(s.Primary), Rivals: s.RivalPrimaries, HeldRequests: s.Held,
-			HeldBytes: s.HeldBytes, ExpectedRemaining: s.ExpectedWait}
+		view := SwitchView{Group: int(id), Phase: s.Phase.String(), Duration: now - s.Since, NewPrimary: name(s.Primary),
+			Rivals: s.RivalPrimaries, HeldRequests: s.Held, HeldBytes: s.HeldBytes, ExpectedRemaining: s.ExpectedWait}
 		if s.Phase == handover.PhaseUndiscovered { // the time since the group is known is not of interest
 			view.Duration = 0
 		} else if s.Primary == 0 {
@@ -123,8 +123,8 @@
 	}
 	slices.SortFunc(out, func(a, b SwitchView) int { return cmp.Compare(a.Group, b.Group) })
 	for _, s := range ended {
-		out = append(out, SwitchView{Group: s.Group, Phase: "ended", Duration: s.Duration, Cause: s.Cause.String(), OldPrimary: name(s.OldPrimary), NewPrimary: name(s.NewPrimary),
-			HeldRequests: s.MaxHeld, RefusedRequests: s.Refused})
+		out = append(out, SwitchView{Group: s.Group, Phase: "ended", Duration: s.Duration, Cause: s.Cause.String(),
+			OldPrimary: name(s.OldPrimary), NewPrimary: name(s.NewPrimary), HeldRequests: s.MaxHeld, RefusedRequests: s.Refused})
 	}
 	return out
 }
@@ -146,8 +146,8 @@
 func (e *Engine) Pools() (out []PoolView) {
 	for _, m := range e.membersByName {
 		p := PoolView{Name: m.name, Address: m.address, Idle: len(m.idleConns), Opening: len(m.openingConns), Probe: "none"}
-		for l := range m.conns {
-			if l.state == connBusy {
+		for c := range m.conns {
+			if c.state == connBusy {
 				p.Busy++
 			}
 		}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -307,7 +307,7 @@
 
 // Events caused immediately by a router's action must not be passed to the router before its call has returned.
 func TestRouterNotCalledRecursively(t *testing.T) {
-	h, c := newHarness(t, 0), &caller{} // no room for any connection
+	h, c := newHarness(t, 0), &caller{} // no connection may be opened
 	h.onRequest = func() { h.e.Send(1, h.id("one"), time.Second); h.e.Probe(h.id("one")) }
 	if _, err := h.e.Submit(Request{Class: "any", Wait: time.Second, Command: command{}, Caller: c}); err != nil {
 		t.Fatal(err)
--- a/internal/state/subset.go
+++ b/internal/state/subset.go
@@ -40,14 +40,14 @@
 
 // useSubset applies a choice. It is called for an unchanged choice as well, for members that were added since.
 func (s *sharedChecks) useSubset(e *Engine, choice *subsetChoice) {
-	used, kept := choice.used, choice.chosen
+	used, chosen := choice.used, choice.chosen
 	inUse := make(map[subset.GroupID]struct{}, len(used))
 	for _, group := range used {
 		inUse[group.Group] = struct{}{}
 	}
-	ids := make([]logic.MemberID, 0, len(kept))
-	inSubset := make(map[logic.MemberID]struct{}, len(kept))
-	for _, number := range kept {
+	ids := make([]logic.MemberID, 0, len(chosen))
+	inSubset := make(map[logic.MemberID]struct{}, len(chosen))
+	for _, number := range chosen {
 		id := s.members[number]
 		ids = append(ids, id)
 		inSubset[id] = struct{}{}
@@ -58,8 +58,8 @@
 			continue
 		}
 		_, used := inUse[subset.GroupID(m.group)]
-		_, kept := inSubset[id]
-		e.setOutsideSubset(m, used && !kept)
+		_, chosen := inSubset[id]
+		e.setOutsideSubset(m, used && !chosen)
 	}
 	e.dispatch(func() { e.router.SetSubset(ids) })
 }
