--- a/internal/state/audit_test.go
+++ b/internal/state/audit_test.go
@@ -189,7 +189,7 @@
 
 // Send implements Conn. It checks all rules on attempts.
 func (c *auditConn) Send(cmd Command, wait time.Duration) error {
-	a, q := c.auditor, cmd.(auditCommand).request
+	a, req := c.auditor, cmd.(auditCommand).request
 	t := a.t
 	var to Entry
 	for _, e := range a.listed {
@@ -199,39 +199,39 @@
 	}
 	switch {
 	case c.closed || !c.up:
-		t.Errorf("request %d is written to a connection that is not established", q.number)
+		t.Errorf("request %d is written to a connection that is not established", req.number)
 	case c.dirty || c.attempt != nil || c.probing:
-		t.Errorf("request %d is written to a connection with unread data", q.number)
-	case q.abandoned:
-		t.Errorf("request %d is sent %v after its client left", q.number, a.now-q.abandonedAt)
-	case len(q.answers) > 0:
-		t.Errorf("request %d is sent after its answer", q.number)
+		t.Errorf("request %d is written to a connection with unread data", req.number)
+	case req.abandoned:
+		t.Errorf("request %d is sent %v after its client left", req.number, a.now-req.abandonedAt)
+	case len(req.answers) > 0:
+		t.Errorf("request %d is sent after its answer", req.number)
 	case to.Name == "" || to.State != logic.Ready && !(to.State == logic.Gone && a.cfg.IgnoreGone && !a.draining[to.Name]):
-		t.Errorf("request %d is sent to %s, which is listed as %s", q.number, c.address, stateName(to.State))
-	case a.now >= q.deadline || wait <= 0 || a.now+wait > q.deadline:
-		t.Errorf("request %d is sent %v into its wait of %v, with a timeout of %v", q.number, a.now-q.at, q.deadline-q.at, wait)
-	case a.cfg.MaxAttempts > 0 && len(q.attempts) >= a.cfg.MaxAttempts:
-		t.Errorf("request %d has attempt %d", q.number, len(q.attempts)+1)
+		t.Errorf("request %d is sent to %s, which is listed as %s", req.number, c.address, stateName(to.State))
+	case a.now >= req.deadline || wait <= 0 || a.now+wait > req.deadline:
+		t.Errorf("request %d is sent %v into its wait of %v, with a timeout of %v", req.number, a.now-req.at, req.deadline-req.at, wait)
+	case a.cfg.MaxAttempts > 0 && len(req.attempts) >= a.cfg.MaxAttempts:
+		t.Errorf("request %d has attempt %d", req.number, len(req.attempts)+1)
 	}
-	for _, x := range q.attempts {
+	for _, x := range req.attempts {
 		if x.open {
-			t.Errorf("request %d has two open attempts", q.number)
+			t.Errorf("request %d has two open attempts", req.number)
 		}
-		if !x.mayRun || q.class.Effect == logic.Idempotent {
+		if !x.mayRun || req.class.Effect == logic.Idempotent {
 			continue
 		}
-		if q.class.Effect == logic.SingleShot || a.now > x.at+q.class.DedupWindow || x.group != to.Group && q.class.Scope == logic.ScopeCell ||
-			x.zone != to.Zone && q.class.Scope == logic.ScopeZone {
-			t.Errorf("request %d (%s) is sent again %v after an attempt that may have run", q.number, q.class.Name, a.now-x.at)
+		if req.class.Effect == logic.SingleShot || a.now > x.at+req.class.DedupWindow || x.group != to.Group && req.class.Scope == logic.ScopeCell ||
+			x.zone != to.Zone && req.class.Scope == logic.ScopeZone {
+			t.Errorf("request %d (%s) is sent again %v after an attempt that may have run", req.number, req.class.Name, a.now-x.at)
 		}
 	}
 	if a.draw(20) == 1 { // the peer had closed it: the last byte is not written
 		return errors.New("broken")
 	}
 	x := &auditAttempt{at: a.now, zone: to.Zone, group: to.Group, open: true, mayRun: true}
-	q.attempts = append(q.attempts, x)
-	c.attempt, c.request = x, q
-	body := []byte(strconv.Itoa(q.number))
+	req.attempts = append(req.attempts, x)
+	c.attempt, c.request = x, req
+	body := []byte(strconv.Itoa(req.number))
 	role := logic.RoleReplica
 	if to.Name == "m0" || to.Name == "m3" {
 		role = logic.RolePrimary
@@ -270,7 +270,7 @@
 	case 9: // late
 		a.after(10*took, func() { c.notifyAttempt(x, reply(Reply{Result: logic.OK, Body: body, Role: role})) })
 	default:
-		if q.class.Read == logic.Write && role != logic.RolePrimary {
+		if req.class.Read == logic.Write && role != logic.RolePrimary {
 			a.after(took, func() { c.notifyAttempt(x, clean(logic.Misdirected)) })
 			break
 		}
--- a/internal/state/ending_test.go
+++ b/internal/state/ending_test.go
@@ -16,14 +16,14 @@
 		crosses func(h *harness, id logic.RequestID)
 		sent    int
 	}{
-		"nothing": {func(*harness, logic.RequestID) {}, 1},
-		"a drain": {func(h *harness, _ logic.RequestID) { h.e.UpdateList(drains) }, 0},
-		"gone":    {func(h *harness, _ logic.RequestID) { h.e.UpdateList(List{Kind: logic.ListFull}) }, 0},
-		"no client any more": {func(h *harness, id logic.RequestID) {
+		"nothing":  {func(*harness, logic.RequestID) {}, 1},
+		"draining": {func(h *harness, _ logic.RequestID) { h.e.UpdateList(drains) }, 0},
+		"gone":     {func(h *harness, _ logic.RequestID) { h.e.UpdateList(List{Kind: logic.ListFull}) }, 0},
+		"abandoned": {func(h *harness, id logic.RequestID) {
 			h.e.Abandon(id)
 			h.calls = nil
 		}, 0},
-		"no time any more": {func(h *harness, _ logic.RequestID) { h.now += 500 * time.Millisecond }, 0},
+		"timed out": {func(h *harness, _ logic.RequestID) { h.now += 500 * time.Millisecond }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 9)
@@ -36,7 +36,7 @@
 				t.Errorf("%d requests were written, want %d", h.conns[0].sent, c.sent)
 			}
 			if c.sent == 0 {
-				h.wantCalls(outcomeCall(logic.NotSent, name == "no client any more"))
+				h.wantCalls(outcomeCall(logic.NotSent, name == "abandoned"))
 				if busy := h.e.membersByName["one"]; busy != nil && len(busy.openingConns) > 0 {
 					t.Error("the connection still counts as being established")
 				}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -108,19 +108,19 @@
 	}
 }
 
-func newHarness(t *testing.T, links int) *harness {
+func newHarness(t *testing.T, maxConns int) *harness {
 	h := &harness{t: t, now: clockBase}
 	class := func(name string, read logic.Freshness) logic.Class {
 		return logic.Class{Name: name, Read: read, MaxAge: time.Second, Aim: time.Second, Limit: 2 * time.Second}
 	}
-	f, err := New(Config{Logic: logic.Config{Tick: time.Millisecond, Classes: []logic.Class{class("any", logic.Any),
+	e, err := New(Config{Logic: logic.Config{Tick: time.Millisecond, Classes: []logic.Class{class("any", logic.Any),
 		class("session", logic.Session)}}, Zones: []string{"x", "y"}, IdleClose: 10 * time.Second,
-		ConnectTimeout: 250 * time.Millisecond, MaxConnections: links}, h, h)
+		ConnectTimeout: 250 * time.Millisecond, MaxConnections: maxConns}, h, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.e, f.events = f, h
-	f.Start(h, List{Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Ready},
+	h.e, e.events = e, h
+	e.Start(h, List{Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Ready},
 		{Name: "two", Address: "a:2", Zone: "?", State: logic.Ready}}})
 	return h
 }
@@ -181,16 +181,16 @@
 		do   func(h *harness)
 		want logic.Result
 	}{
-		"refused":        {func(h *harness) { h.conns[0].listener.DialRefused() }, logic.ConnectFailed},
-		"reset on dial":  {func(h *harness) { h.conns[0].listener.Down() }, logic.ConnectFailed},
-		"never up":       {func(h *harness) { h.advance(250 * time.Millisecond) }, logic.ConnectFailed},
-		"turned away":    {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Rejected}) }, logic.Rejected},
-		"unwelcome":      {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Failed}) }, logic.ConnectFailed},
-		"not written":    {func(h *harness) { h.conns[0].err = errors.New("broken"); h.conns[0].listener.Up() }, logic.ConnectFailed},
-		"broken behind":  {func(h *harness) { h.conns[0].listener.Up(); h.conns[0].listener.Down() }, logic.Reset},
-		"silent":         {func(h *harness) { h.conns[0].listener.Up(); h.advance(500 * time.Millisecond) }, logic.TimedOut},
-		"called off":     {func(h *harness) { h.conns[0].listener.Up(); h.e.Cancel(1, 0) }, logic.Cancelled},
-		"called off yet": {func(h *harness) { h.e.Cancel(1, 0) }, logic.Cancelled},
+		"refused":             {func(h *harness) { h.conns[0].listener.DialRefused() }, logic.ConnectFailed},
+		"reset on dial":       {func(h *harness) { h.conns[0].listener.Down() }, logic.ConnectFailed},
+		"connect timeout":     {func(h *harness) { h.advance(250 * time.Millisecond) }, logic.ConnectFailed},
+		"rejected on connect": {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Rejected}) }, logic.Rejected},
+		"error before up":     {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Failed}) }, logic.ConnectFailed},
+		"not written":         {func(h *harness) { h.conns[0].err = errors.New("broken"); h.conns[0].listener.Up() }, logic.ConnectFailed},
+		"reset after write":   {func(h *harness) { h.conns[0].listener.Up(); h.conns[0].listener.Down() }, logic.Reset},
+		"silent":              {func(h *harness) { h.conns[0].listener.Up(); h.advance(500 * time.Millisecond) }, logic.TimedOut},
+		"cancelled":           {func(h *harness) { h.conns[0].listener.Up(); h.e.Cancel(1, 0) }, logic.Cancelled},
+		"cancelled before up": {func(h *harness) { h.e.Cancel(1, 0) }, logic.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 9)
