--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,5 @@
-// Command drill hosts routers on the simulator's wire: bytes in, events; actions, bytes out. It decides nothing.
+// Command drill runs routers in the simulator: it reads frames of events from standard input and writes the routers'
+// actions to standard output. It contains no routing logic.
 package main
 
 import (
@@ -16,8 +17,8 @@
 	"havenproxy/logic"
 )
 
-// hold tells whether requests are held while a group has no primary.
-var hold = flag.Bool("hold", false, "hold requests that need a primary while there is none, where that pays")
+// holdRequests makes routers hold requests while their group has no primary.
+var holdRequests = flag.Bool("hold", false, "hold requests that need a primary while there is none, where that pays")
 
 func main() {
 	flag.Parse()
@@ -27,31 +28,33 @@
 	}
 }
 
-// instance is one router and what is needed to read its records.
+// instance is a router with the format of the load reports in its records.
 type instance struct {
-	router *logic.Router // nil where its settings were unusable
-	scale  sim.Scale
+	router *logic.Router // nil if its settings are invalid
+	format sim.ReportFormat
 }
 
-// host holds the instances of this process. They share the reply buffer and nothing else.
+// host runs the instances of this process. They share only the reply buffer.
 type host struct {
 	instances map[uint32]*instance
 	out       sim.Encoder
 }
 
+// run handles batches from in until it ends and writes a reply to out for each. It returns an error for a batch that can't
+// be decoded, or a failed write.
 func run(in io.Reader, out io.Writer) error {
 	h := host{instances: map[uint32]*instance{}}
-	dec, w := sim.NewDecoder(in), bufio.NewWriterSize(out, 1<<16)
+	decoder, writer := sim.NewDecoder(in), bufio.NewWriterSize(out, 1<<16)
 	for {
-		b, err := dec.Next()
+		batch, err := decoder.ReadBatch()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err == nil {
-			err = dec.Each(b, h.scale, func(e sim.Event) error { h.handle(b.Now, e); return nil })
+			err = decoder.Decode(batch, h.reportFormat, func(e sim.Event) error { h.handle(batch.Now, e); return nil })
 		}
 		if err == nil {
-			err = h.out.Flush(w)
+			err = h.out.Flush(writer)
 		}
 		if err != nil {
 			return err
@@ -59,21 +62,23 @@
 	}
 }
 
-func (h *host) scale(id uint32) (sim.Scale, bool) {
+// reportFormat returns the report format of an instance, and whether the instance exists.
+func (h *host) reportFormat(id uint32) (sim.ReportFormat, bool) {
 	in, ok := h.instances[id]
 	if !ok {
-		return sim.Scale{}, false
+		return sim.ReportFormat{}, false
 	}
-	return in.scale, true
+	return in.format, true
 }
 
+// handle passes an event to its instance's router.
 func (h *host) handle(now time.Duration, e sim.Event) {
 	h.out.Instance, h.out.Now = e.Instance, now
 	switch e.Kind {
-	case sim.Hello:
+	case sim.InstanceStart:
 		h.start(e)
 		return
-	case sim.Retire:
+	case sim.InstanceStop:
 		delete(h.instances, e.Instance)
 		return
 	}
@@ -82,37 +87,39 @@
 		return
 	}
 	switch e.Kind {
-	case sim.Members:
-		r.Members(now, e.List)
-	case sim.Submit:
+	case sim.MemberListUpdate:
+		r.Members(now, e.Members)
+	case sim.RequestArrival:
 		r.Request(now, e.Request)
-	case sim.Head:
-		r.ResponseStarted(now, e.ID, e.Attempt)
-	case sim.Outcome:
+	case sim.ResponseStart:
+		r.ResponseStarted(now, e.RequestID, e.Attempt)
+	case sim.AttemptOutcome:
 		r.Outcome(now, e.Outcome)
-	case sim.Probed:
-		r.Probed(now, e.Probed)
-	case sim.Datagram:
-		if facts, err := peers.Parse(nil, e.Message, now, now); err == nil {
-			r.PeerReports(now, facts)
+	case sim.ProbeEnd:
+		r.Probed(now, e.Probe)
+	case sim.PeerMessage:
+		if reports, err := peers.Parse(nil, e.Message, now, now); err == nil {
+			r.PeerReports(now, reports)
 		}
-	case sim.Timer:
+	case sim.TimerExpiry:
 		r.Timer(now, e.Timer)
-	case sim.Abandoned:
-		r.Abandoned(now, e.ID)
+	case sim.RequestAbandoned:
+		r.Abandoned(now, e.RequestID)
 	}
 }
 
+// start creates the instance that e announces. If its settings are invalid, it reports the failure and keeps the instance
+// without a router, so that its later events are ignored.
 func (h *host) start(e sim.Event) {
 	in := &instance{}
 	h.instances[e.Instance] = in
-	s, err := settings.Parse(e.Settings, e.Seed)
+	parsed, err := settings.Parse(e.Settings, e.Seed)
 	if err == nil {
-		s.Config.Handover.Hold = *hold
-		in.scale = sim.Scale{Origin: s.Origin, Fields: s.Fields}
-		in.router, err = logic.New(s.Config, &h.out)
+		parsed.Config.Handover.Hold = *holdRequests
+		in.format = sim.ReportFormat{Origin: parsed.Origin, Fields: parsed.Fields}
+		in.router, err = logic.New(parsed.Config, &h.out)
 	}
 	if err != nil {
-		h.out.GiveIn(err.Error())
+		h.out.ReportFailure(err.Error())
 	}
 }
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// batch encodes a frame of events at 1 s.
 func batch(tail string, records ...[]byte) []byte {
 	var b []byte
 	b = binary.LittleEndian.AppendUint32(b, uint32(16+48*len(records)+len(tail)))
@@ -18,33 +19,34 @@
 	return append(b, tail...)
 }
 
-func hello(settings string) []byte {
+// instanceStart encodes the record that starts instance 4; its settings are at the start of the tail.
+func instanceStart(settings string) []byte {
 	rec := []byte{19, 4, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0}
 	return binary.LittleEndian.AppendUint32(rec, uint32(len(settings)))
 }
 
-func TestUnusableSettingsAreAFault(t *testing.T) {
+func TestInvalidSettingsAreReported(t *testing.T) {
 	for settings, want := range map[string]string{
 		"{":              "not usable JSON",
 		`{"tick": 5000}`: "request_classes",
 		`{"tick": 0, "domain": {"freshness": ["any"]}, "fleet_size": 1, "request_classes": [{"aim": 1, "hard_limit": 2, "name": "a", "effect": "free"}]}`: "tick",
 	} {
 		var out bytes.Buffer
-		if err := run(bytes.NewReader(batch(settings, hello(settings))), &out); err != nil {
+		if err := run(bytes.NewReader(batch(settings, instanceStart(settings))), &out); err != nil {
 			t.Fatal(err)
 		}
 		if got := out.Bytes(); got[8] != 25 || !strings.Contains(string(got), want) {
-			t.Errorf("settings %s: reply %q, want a fault with %q", settings, got, want)
+			t.Errorf("settings %s: reply %q, want a failure report with %q", settings, got, want)
 		}
 	}
 }
 
-func TestARestartWithinABatchStartsAnew(t *testing.T) {
+func TestRestartWithinABatch(t *testing.T) {
 	settings := `{"tick": 5000, "domain": {"freshness": ["any"]}, "fleet_size": 1, "request_classes": [{"aim": 1, "hard_limit": 2, "name": "a", "effect": "free"}]}`
-	retire := []byte{22, 4, 0, 0, 0}
+	stop := []byte{22, 4, 0, 0, 0}
 	timer := []byte{18, 4, 0, 0, 0, 1}
 	var out bytes.Buffer
-	in := append(batch(settings, hello(settings), timer, retire, hello(settings), timer), batch("", timer)...)
+	in := append(batch(settings, instanceStart(settings), timer, stop, instanceStart(settings), timer), batch("", timer)...)
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -53,10 +55,10 @@
 	}
 }
 
-func TestBrokenInputIsAnError(t *testing.T) {
+func TestInvalidInputIsAnError(t *testing.T) {
 	for _, in := range [][]byte{batch("", []byte{18, 9, 0, 0, 0}), {1, 2, 3}, batch("", []byte{99, 4, 0, 0, 0})} {
 		if err := run(bytes.NewReader(in), &bytes.Buffer{}); err == nil {
-			t.Errorf("input % x... passed", in[:3])
+			t.Errorf("input % x... accepted", in[:3])
 		}
 	}
 }
--- a/cmd/havenlab/main.go
+++ b/cmd/havenlab/main.go
@@ -1,4 +1,4 @@
-// Command havenlab is the project's own bench: stand-in databases, load and experiments.
+// Command havenlab is the project's test bench: simulated databases, load generation and experiments.
 package main
 
 import (
--- a/cmd/havenplan/main.go
+++ b/cmd/havenplan/main.go
@@ -1,4 +1,4 @@
-// Havenplan is a planner of a tier of proxies; `havenproxy plan` starts it.
+// Command havenplan is the planner of a tier of proxies. `havenproxy plan` starts it.
 package main
 
 import (
--- a/cmd/havenproxy/main.go
+++ b/cmd/havenproxy/main.go
@@ -1,4 +1,4 @@
-// Command havenproxy is the proxy: it routes reads and writes of its clients to replicated databases.
+// Command havenproxy is a proxy that routes its clients' reads and writes to replicated databases.
 package main
 
 import (
--- a/internal/fixed/fixed.go
+++ b/internal/fixed/fixed.go
@@ -1,5 +1,5 @@
-// Package fixed gives tests the same verdict every time: rapid draws from one seed, and leaves no files of failures behind. It is
-// for TestMain alone.
+// Package fixed makes property-based tests reproducible: rapid uses a fixed seed and writes no failure files. Only
+// TestMain functions use it.
 package fixed
 
 import (
@@ -7,13 +7,14 @@
 	"os"
 	"testing"
 
-	_ "pgregory.net/rapid" // whose flags are set
+	_ "pgregory.net/rapid" // registers the flags that Main sets
 )
 
-// Seed is that of all random draws of tests.
+// Seed is rapid's random seed in all tests.
 const Seed = "20261201"
 
-// Main runs a package's tests, and ends the process.
+// Main sets rapid's flags, runs a package's tests and exits the process with their exit code. It panics if rapid lacks a
+// flag.
 func Main(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": Seed, "rapid.nofailfile": "true"} {
--- a/internal/labclock/on.go
+++ b/internal/labclock/on.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// Variable names the environment variable with the skew, in the form "OFFSET RATE". "200ms 0.9" stands for a wall clock
-// that is 200 ms ahead and a monotonic clock that advances by 0.9 s in a second. Without it, no skew is applied.
-const Variable = "HAVENLAB_CLOCK"
+// EnvVar is the name of the environment variable with the skew, in the form "OFFSET RATE". "200ms 0.9" stands for a wall clock
+// that is 200 ms ahead and a monotonic clock that advances by 0.9 s in a second. If the variable is unset or empty, no skew is applied. If it is
+// malformed, the process exits with status 1.
+const EnvVar = "HAVENLAB_CLOCK"
 
 var (
 	offset time.Duration
@@ -18,18 +19,18 @@
 )
 
 func init() {
-	text := os.Getenv(Variable)
+	text := os.Getenv(EnvVar)
 	if text == "" {
 		return
 	}
-	var by string
-	if _, err := fmt.Sscanf(text, "%s %g", &by, &rate); err == nil {
-		if offset, err = time.ParseDuration(by); err == nil && rate > 0 {
+	var offsetText string
+	if _, err := fmt.Sscanf(text, "%s %g", &offsetText, &rate); err == nil {
+		if offset, err = time.ParseDuration(offsetText); err == nil && rate > 0 {
 			fmt.Fprintln(os.Stderr, "the lab's clock:", offset, rate)
 			return
 		}
 	}
-	fmt.Fprintf(os.Stderr, "%s=%q: \"200ms 0.9\" was expected\n", Variable, text)
+	fmt.Fprintf(os.Stderr, "%s=%q: \"200ms 0.9\" was expected\n", EnvVar, text)
 	os.Exit(1)
 }
 
--- a/internal/wire/sim/frames.go
+++ b/internal/wire/sim/frames.go
@@ -1,5 +1,5 @@
-// Package sim is the simulator's wire: its binary frames become values of package logic, and actions become
-// frames. It decides nothing.
+// Package sim implements the simulator's binary protocol: it decodes frames of events into values of package logic
+// and encodes actions into frames. It contains no routing logic.
 package sim
 
 import (
@@ -16,136 +16,140 @@
 	"havenproxy/logic"
 )
 
-// The codes of events.
+// Event codes, in the first byte of each event record.
 const (
-	codeSheet     = 16
-	codeRoster    = 17
-	codeTimer     = 18
-	codeHello     = 19
-	codePong      = 20
-	codeEnd       = 21
-	codeRetire    = 22
-	codeSubmit    = 23
-	codeHead      = 24
-	codeAbandoned = 25
-	codeDatagram  = 26
+	codeMemberTable      = 16
+	codeMemberList       = 17
+	codeTimerExpiry      = 18
+	codeInstanceStart    = 19
+	codeProbeEnd         = 20
+	codeAttemptOutcome   = 21
+	codeInstanceStop     = 22
+	codeRequestArrival   = 23
+	codeResponseStart    = 24
+	codeRequestAbandoned = 25
+	codePeerMessage      = 26
 )
 
-// The codes of actions.
+// Action codes, in the first byte of each action record.
 const (
-	actDeliver = 16
-	actBusy    = 17
-	actFinish  = 18
-	actRevoke  = 19
-	actAlarm   = 20
-	actProbe   = 21
-	actShut    = 22
-	actShare   = 23
-	actRecord  = 24
-	actGiveIn  = 25
-	actObserve = 26
-	actPull    = 27
+	actionSend        = 16
+	actionRefuse      = 17
+	actionFail        = 18
+	actionCancel      = 19
+	actionSetTimer    = 20
+	actionProbe       = 21
+	actionCloseIdle   = 22
+	actionPeerMessage = 23
+	actionLog         = 24
+	actionFailure     = 25
+	actionWatchList   = 26
+	actionFetchList   = 27
 )
 
 const (
-	eventHead, eventSize  = 16, 48
-	actionHead, actionLen = 8, 24
-	entrySize             = 29
-	maxFrame              = 1 << 30 // far above any batch; a larger length is a broken frame
-	maxSheets             = 16
+	eventHeaderSize, eventRecordSize   = 16, 48
+	actionHeaderSize, actionRecordSize = 8, 24
+	memberSize                         = 29
+	maxFrameSize                       = 1 << 30 // bytes; far above any batch, so a larger length means that the frame is corrupt
+	maxMemberTables                    = 16
 )
 
-// Kind tells which event an Event is.
-type Kind uint8
+// EventKind is the type of an Event.
+type EventKind uint8
 
-// The kinds of events that instances get.
+// The kinds of events delivered to instances.
 const (
-	Hello Kind = iota
-	Retire
-	Members
-	Submit
-	Head
-	Outcome
-	Probed
-	Timer
-	Abandoned
-	Datagram
+	InstanceStart EventKind = iota
+	InstanceStop
+	MemberListUpdate
+	RequestArrival
+	ResponseStart
+	AttemptOutcome
+	ProbeEnd
+	TimerExpiry
+	RequestAbandoned
+	PeerMessage
 )
 
-// Event is one decoded event; only the fields of its Kind are set.
+// Event is a decoded event for one instance. Only the fields that belong to its Kind are set.
 type Event struct {
-	Kind     Kind
-	Instance uint32
-	Seed     uint64
-	Settings []byte
-	List     logic.MemberList
-	Request  logic.Request
-	ID       logic.RequestID
-	Attempt  int
-	Outcome  logic.Outcome
-	Probed   logic.ProbeEnd
-	Timer    logic.TimerID
-	Message  []byte // of a peer
+	Kind      EventKind
+	Instance  uint32
+	Seed      uint64
+	Settings  []byte
+	Members   logic.MemberList
+	Request   logic.Request
+	RequestID logic.RequestID
+	Attempt   int
+	Outcome   logic.Outcome
+	Probe     logic.ProbeEnd
+	Timer     logic.TimerID
+	Message   []byte // sent by a peer instance
 }
 
-// Scale is what an instance's settings say about reading its records.
-type Scale struct {
-	Origin time.Duration
-	Fields []string
+// ReportFormat describes how to decode the load reports and positions in an instance's records. It comes from the
+// instance's settings.
+type ReportFormat struct {
+	Origin time.Duration // time from which positions are counted
+	Fields []string      // names of the values in a load report, in order
 }
 
-// Decoder reads batches. It keeps the numbered member lists, which all instances refer to.
+// Decoder reads and decodes batches of events. It keeps the numbered member tables, which all instances share.
 type Decoder struct {
-	r      *bufio.Reader
-	buf    []byte
-	sheets [maxSheets][]logic.Member
+	r            *bufio.Reader
+	payload      []byte
+	memberTables [maxMemberTables][]logic.Member
 }
 
-// NewDecoder reads from r.
+// NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: bufio.NewReaderSize(r, 1<<16)} }
 
-// Batch is one frame of events.
+// Batch is one frame of events: the simulator's time, fixed-size records, and a tail with the variable-length data that
+// the records refer to.
 type Batch struct {
-	Now   time.Duration
-	Count int
-	body  []byte
-	tail  []byte
+	Now     time.Duration
+	Count   int
+	records []byte
+	tail    []byte
 }
 
-// Next reads one batch; io.EOF means a clean end. The batch is valid until the next call.
-func (d *Decoder) Next() (Batch, error) {
-	var head [eventHead]byte
-	if _, err := io.ReadFull(d.r, head[:]); err != nil {
+// ReadBatch reads one batch, which is valid until the next call. It returns io.EOF if the input ends between two frames,
+// and another error for a truncated frame or a length that can't hold the frame's records.
+func (d *Decoder) ReadBatch() (Batch, error) {
+	var header [eventHeaderSize]byte
+	if _, err := io.ReadFull(d.r, header[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
 			return Batch{}, errors.New("frame: input ends within the 16-byte header")
 		}
 		return Batch{}, err
 	}
-	size := binary.LittleEndian.Uint32(head[:])
-	count := binary.LittleEndian.Uint32(head[12:])
-	if size < eventHead || size > maxFrame || uint64(count)*eventSize > uint64(size)-eventHead {
+	size := binary.LittleEndian.Uint32(header[:])
+	count := binary.LittleEndian.Uint32(header[12:])
+	if size < eventHeaderSize || size > maxFrameSize || uint64(count)*eventRecordSize > uint64(size)-eventHeaderSize {
 		return Batch{}, fmt.Errorf("frame: length %d at byte 0 can't hold %d records", size, count)
 	}
-	if err := d.fill(int(size) - eventHead); err != nil {
+	if err := d.readPayload(int(size) - eventHeaderSize); err != nil {
 		return Batch{}, err
 	}
-	cut := int(count) * eventSize
-	return Batch{Now: micros64(binary.LittleEndian.Uint64(head[4:])), Count: int(count),
-		body: d.buf[:cut], tail: d.buf[cut:]}, nil
+	recordsSize := int(count) * eventRecordSize
+	return Batch{Now: micros64(binary.LittleEndian.Uint64(header[4:])), Count: int(count),
+		records: d.payload[:recordsSize], tail: d.payload[recordsSize:]}, nil
 }
 
-// fill reads n bytes, growing only as they come, so that a false length allocates nothing.
-func (d *Decoder) fill(n int) error {
-	d.buf = d.buf[:0]
-	for len(d.buf) < n {
-		step := min(n-len(d.buf), 1<<16)
-		at := len(d.buf)
-		for cap(d.buf) < at+step {
-			d.buf = append(d.buf[:cap(d.buf)], 0)
+// readPayload reads n bytes into the payload. It grows the buffer only as data arrives, so that a frame with a corrupt length
+// causes no large allocation.
+func (d *Decoder) readPayload(n int) error {
+	d.payload = d.payload[:0]
+	for len(d.payload) < n {
+		chunk := min(n-len(d.payload), 1<<16)
+		start := len(d.payload)
+		for cap(d.payload) < start+chunk {
+			d.payload = append(d.payload[:cap(d.payload)], 0)
 		}
-		d.buf = d.buf[:at+step]
-		if got, err := io.ReadFull(d.r, d.buf[at:]); err != nil {
-			return fmt.Errorf("frame: input ends after %d of %d bytes", eventHead+at+got, eventHead+n)
+		d.payload = d.payload[:start+chunk]
+		if read, err := io.ReadFull(d.r, d.payload[start:]); err != nil {
+			return fmt.Errorf("frame: input ends after %d of %d bytes", eventHeaderSize+start+read, eventHeaderSize+n)
 		}
 	}
 	return nil
@@ -153,137 +157,145 @@
 
 func micros64(v uint64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// record gives access to one record's fields.
+// record is one event or action record. Its methods read and write fields at byte offsets.
 type record []byte
 
-func (r record) u8(at int) uint8   { return r[at] }
-func (r record) u16(at int) uint16 { return binary.LittleEndian.Uint16(r[at:]) }
-func (r record) u32(at int) uint32 { return binary.LittleEndian.Uint32(r[at:]) }
-func (r record) u64(at int) uint64 { return binary.LittleEndian.Uint64(r[at:]) }
-func (r record) f32(at int) float32 {
-	return math.Float32frombits(binary.LittleEndian.Uint32(r[at:]))
+func (r record) u8(offset int) uint8   { return r[offset] }
+func (r record) u16(offset int) uint16 { return binary.LittleEndian.Uint16(r[offset:]) }
+func (r record) u32(offset int) uint32 { return binary.LittleEndian.Uint32(r[offset:]) }
+func (r record) u64(offset int) uint64 { return binary.LittleEndian.Uint64(r[offset:]) }
+func (r record) f32(offset int) float32 {
+	return math.Float32frombits(binary.LittleEndian.Uint32(r[offset:]))
 }
 
-func (r record) micros(at int) time.Duration { return time.Duration(r.u32(at)) * time.Microsecond }
+func (r record) micros(offset int) time.Duration {
+	return time.Duration(r.u32(offset)) * time.Microsecond
+}
 
-// member packs a four-byte address and a port into one opaque id.
-func (r record) member(at int) logic.MemberID {
-	return logic.MemberID(uint64(binary.BigEndian.Uint32(r[at:]))<<16 | uint64(r.u16(at+4)))
+// member decodes an IPv4 address and a port as one opaque member id.
+func (r record) member(offset int) logic.MemberID {
+	return logic.MemberID(uint64(binary.BigEndian.Uint32(r[offset:]))<<16 | uint64(r.u16(offset+4)))
 }
 
-// span cuts length units of size bytes out of the tail.
-func (b Batch) span(offset, length uint32, unit uint64) ([]byte, error) {
-	end := uint64(offset) + uint64(length)*unit
+// slice returns the part of the tail that begins at offset and holds count units of unit bytes each. It returns an
+// error if that part exceeds the tail.
+func (b Batch) slice(offset, count uint32, unit uint64) ([]byte, error) {
+	end := uint64(offset) + uint64(count)*unit
 	if end > uint64(len(b.tail)) {
-		return nil, fmt.Errorf("offset %d with length %d lies outside the tail of %d bytes", offset, length, len(b.tail))
+		return nil, fmt.Errorf("offset %d with length %d lies outside the tail of %d bytes", offset, count, len(b.tail))
 	}
 	return b.tail[offset:end], nil
 }
 
-// Each decodes the events in order and hands them to f. Scale is asked for the reading rules of an instance.
-func (d *Decoder) Each(b Batch, scale func(instance uint32) (Scale, bool), f func(Event) error) error {
+// Decode decodes the events of b in order and calls handle for each. It stores member tables in the Decoder instead.
+// formatOf returns an instance's report format, and whether the instance exists. Decode stops at the first record that
+// can't be decoded or for which handle fails, and returns an error with the record's index and code.
+func (d *Decoder) Decode(b Batch, formatOf func(instance uint32) (ReportFormat, bool), handle func(Event) error) error {
 	for i := 0; i < b.Count; i++ {
-		rec := record(b.body[i*eventSize : (i+1)*eventSize])
-		if rec.u8(0) == codeSheet {
-			if err := d.sheet(b, rec); err != nil {
+		rec := record(b.records[i*eventRecordSize : (i+1)*eventRecordSize])
+		if rec.u8(0) == codeMemberTable {
+			if err := d.decodeMemberTable(b, rec); err != nil {
 				return fmt.Errorf("record %d (code %d): %w", i, rec.u8(0), err)
 			}
 			continue
 		}
 		e := Event{Instance: rec.u32(1)}
-		sc, known := scale(e.Instance)
-		if !known && rec.u8(0) != codeHello {
+		format, ok := formatOf(e.Instance)
+		if !ok && rec.u8(0) != codeInstanceStart {
 			return fmt.Errorf("record %d (code %d): instance %d is unknown", i, rec.u8(0), e.Instance)
 		}
-		if err := d.decode(b, rec, sc, &e); err != nil {
+		if err := d.decodeEvent(b, rec, format, &e); err != nil {
 			return fmt.Errorf("record %d (code %d): %w", i, rec.u8(0), err)
 		}
-		if err := f(e); err != nil {
+		if err := handle(e); err != nil {
 			return fmt.Errorf("record %d (code %d): %w", i, rec.u8(0), err)
 		}
 	}
 	return nil
 }
 
-func (d *Decoder) sheet(b Batch, rec record) error {
-	ref := rec.u8(1)
-	if ref >= maxSheets {
-		return fmt.Errorf("list number %d is above %d", ref, maxSheets-1)
+// decodeMemberTable decodes a member list and stores it under the number in rec.
+func (d *Decoder) decodeMemberTable(b Batch, rec record) error {
+	table := rec.u8(1)
+	if table >= maxMemberTables {
+		return fmt.Errorf("list number %d is above %d", table, maxMemberTables-1)
 	}
-	raw, err := b.span(rec.u32(2), rec.u32(6), entrySize)
+	raw, err := b.slice(rec.u32(2), rec.u32(6), memberSize)
 	if err != nil {
 		return err
 	}
-	list := make([]logic.Member, 0, len(raw)/entrySize)
-	for ; len(raw) > 0; raw = raw[entrySize:] {
-		e := record(raw[:entrySize])
-		m := logic.Member{ID: e.member(0), Zone: int(e.u16(6)), Group: logic.GroupID(e.u16(10)),
-			Primary: e.f32(13) == 1, Size: float64(e.f32(17)), StartedAt: micros64(e.u64(21))}
-		switch e.u8(12) {
+	members := make([]logic.Member, 0, len(raw)/memberSize)
+	for ; len(raw) > 0; raw = raw[memberSize:] {
+		entry := record(raw[:memberSize])
+		member := logic.Member{ID: entry.member(0), Zone: int(entry.u16(6)), Group: logic.GroupID(entry.u16(10)),
+			Primary: entry.f32(13) == 1, Size: float64(entry.f32(17)), StartedAt: micros64(entry.u64(21))}
+		switch entry.u8(12) {
 		case 1:
-			m.State = logic.Ready
+			member.State = logic.Ready
 		case 2:
-			m.State = logic.Draining
+			member.State = logic.Draining
 		}
-		list = append(list, m)
+		members = append(members, member)
 	}
-	d.sheets[ref] = list
+	d.memberTables[table] = members
 	return nil
 }
 
-var scopes = [...]logic.ListKind{logic.ListDelta, logic.ListFull, logic.ListCached, logic.ListFailed}
+// listKinds is indexed by the list scope in a record.
+var listKinds = [...]logic.ListKind{logic.ListDelta, logic.ListFull, logic.ListCached, logic.ListFailed}
 
-func (d *Decoder) decode(b Batch, rec record, sc Scale, e *Event) (err error) {
+// decodeEvent decodes rec into e, whose Instance is already set.
+func (d *Decoder) decodeEvent(b Batch, rec record, format ReportFormat, e *Event) (err error) {
 	switch rec.u8(0) {
-	case codeHello:
-		e.Kind, e.Seed = Hello, rec.u64(5)
-		e.Settings, err = b.span(rec.u32(13), rec.u32(17), 1)
-	case codeRetire:
-		e.Kind = Retire
-	case codeRoster:
-		e.Kind = Members
-		scope, ref := rec.u8(5), rec.u8(10)
-		if int(scope) >= len(scopes) {
-			return fmt.Errorf("list scope %d is unknown", scope)
+	case codeInstanceStart:
+		e.Kind, e.Seed = InstanceStart, rec.u64(5)
+		e.Settings, err = b.slice(rec.u32(13), rec.u32(17), 1)
+	case codeInstanceStop:
+		e.Kind = InstanceStop
+	case codeMemberList:
+		e.Kind = MemberListUpdate
+		kind, table := rec.u8(5), rec.u8(10)
+		if int(kind) >= len(listKinds) {
+			return fmt.Errorf("list scope %d is unknown", kind)
 		}
-		e.List.Kind = scopes[scope]
-		if e.List.Kind != logic.ListFailed {
-			if ref >= maxSheets {
-				return fmt.Errorf("list number %d is above %d", ref, maxSheets-1)
+		e.Members.Kind = listKinds[kind]
+		if e.Members.Kind != logic.ListFailed {
+			if table >= maxMemberTables {
+				return fmt.Errorf("list number %d is above %d", table, maxMemberTables-1)
 			}
-			e.List.Entries = d.sheets[ref]
+			e.Members.Entries = d.memberTables[table]
 		}
-	case codeSubmit:
-		e.Kind = Submit
+	case codeRequestArrival:
+		e.Kind = RequestArrival
 		e.Request = logic.Request{ID: logic.RequestID(rec.u64(5)), Class: int(rec.u16(13)),
 			Tenant: int(rec.u16(15)), Session: logic.SessionID(rec.u64(17)), Deadline: micros64(rec.u64(25)),
-			Group: logic.GroupID(rec.f32(37)), TokenAge: millis(rec.f32(41)), Retry: rec.u8(45)&2 != 0}
-	case codeHead:
-		e.Kind, e.ID, e.Attempt = Head, logic.RequestID(rec.u64(5)), int(rec.u8(13))
-	case codeTimer:
-		e.Kind, e.Timer = Timer, logic.TimerID(rec.u64(5))
-	case codePong:
-		e.Kind = Probed
-		e.Probed = logic.ProbeEnd{Member: rec.member(7), Elapsed: rec.micros(13), Report: sc.report(rec, 17)}
-		e.Probed.Result, err = result(rec.u16(5))
-	case codeEnd:
-		e.Kind = Outcome
+			Group: logic.GroupID(rec.f32(37)), TokenAge: decodeTokenAge(rec.f32(41)), Retry: rec.u8(45)&2 != 0}
+	case codeResponseStart:
+		e.Kind, e.RequestID, e.Attempt = ResponseStart, logic.RequestID(rec.u64(5)), int(rec.u8(13))
+	case codeTimerExpiry:
+		e.Kind, e.Timer = TimerExpiry, logic.TimerID(rec.u64(5))
+	case codeProbeEnd:
+		e.Kind = ProbeEnd
+		e.Probe = logic.ProbeEnd{Member: rec.member(7), Elapsed: rec.micros(13), Report: format.decodeReport(rec, 17)}
+		e.Probe.Result, err = decodeResult(rec.u16(5))
+	case codeAttemptOutcome:
+		e.Kind = AttemptOutcome
 		e.Outcome = logic.Outcome{Request: logic.RequestID(rec.u64(5)), Attempt: int(rec.u8(17)),
-			Member: rec.member(18), Elapsed: rec.micros(24), Finished: rec.u8(28) != 0, Load: sc.report(rec, 31)}
-		e.Outcome.Role, e.Outcome.Position = sc.note(rec.u32(13))
-		e.Outcome.Result, err = result(rec.u16(29))
-	case codeAbandoned:
-		e.Kind, e.ID = Abandoned, logic.RequestID(rec.u64(5))
-	case codeDatagram:
-		e.Kind = Datagram
-		e.Message, err = b.span(rec.u32(9), rec.u32(13), 1)
+			Member: rec.member(18), Elapsed: rec.micros(24), Finished: rec.u8(28) != 0, Load: format.decodeReport(rec, 31)}
+		e.Outcome.Role, e.Outcome.Position = format.decodeNote(rec.u32(13))
+		e.Outcome.Result, err = decodeResult(rec.u16(29))
+	case codeRequestAbandoned:
+		e.Kind, e.RequestID = RequestAbandoned, logic.RequestID(rec.u64(5))
+	case codePeerMessage:
+		e.Kind = PeerMessage
+		e.Message, err = b.slice(rec.u32(9), rec.u32(13), 1)
 	default:
 		return errors.New("unknown event code")
 	}
 	return err
 }
 
-func result(code uint16) (logic.Result, error) {
+func decodeResult(code uint16) (logic.Result, error) {
 	switch code {
 	case 100:
 		return logic.OK, nil
@@ -307,25 +319,27 @@
 	return 0, fmt.Errorf("outcome code %d is unknown", code)
 }
 
-// millis rounds the age of a commit down, so that the commit is never taken for older than it is; anything
-// above zero stays above zero, since zero means that there is none.
-func millis(ms float32) time.Duration {
+// decodeTokenAge converts the age of a commit from milliseconds. It rounds down, so that the commit is never considered
+// older than it is. A positive age stays positive, since zero means that there is no token.
+func decodeTokenAge(ms float32) time.Duration {
 	if !(ms > 0) || ms > 1e12 {
 		return 0
 	}
-	down := float64(math.Nextafter32(ms, 0)) * float64(time.Millisecond)
-	return max(time.Duration(down), 1)
+	rounded := float64(math.Nextafter32(ms, 0)) * float64(time.Millisecond)
+	return max(time.Duration(rounded), 1)
 }
 
-func (sc Scale) note(note uint32) (logic.Role, time.Duration) {
-	role := roleOf(note & 3)
-	if ms := note >> 2; ms != 0 {
-		return role, sc.Origin + time.Duration(ms)*time.Millisecond
+// decodeNote splits the note on an attempt's outcome into the member's role, in the lower 2 bits, and its position, in
+// milliseconds from the origin in the upper 30 bits. The position is 0 if the note has none.
+func (format ReportFormat) decodeNote(note uint32) (logic.Role, time.Duration) {
+	role := decodeRole(note & 3)
+	if sinceOrigin := note >> 2; sinceOrigin != 0 {
+		return role, format.Origin + time.Duration(sinceOrigin)*time.Millisecond
 	}
 	return role, 0
 }
 
-func roleOf(v uint32) logic.Role {
+func decodeRole(v uint32) logic.Role {
 	switch v {
 	case 1:
 		return logic.RolePrimary
@@ -335,146 +349,149 @@
 	return logic.RoleUnknown
 }
 
-// report reads a load report. A position may have been rounded up to a 32-bit float: it is taken one step down.
-func (sc Scale) report(rec record, at int) logic.Report {
-	out := logic.Report{Queue: -1}
-	n := int(rec.u8(at))
-	for i := 0; i < n && i < 4 && i < len(sc.Fields); i++ {
-		v := rec.f32(at + 1 + 4*i)
-		switch sc.Fields[i] {
+// decodeReport decodes a load report of up to four values. A position may have been rounded up to a 32-bit float, so the
+// next smaller float is used.
+func (format ReportFormat) decodeReport(rec record, offset int) logic.Report {
+	report := logic.Report{Queue: -1}
+	count := int(rec.u8(offset))
+	for i := 0; i < count && i < 4 && i < len(format.Fields); i++ {
+		value := rec.f32(offset + 1 + 4*i)
+		switch format.Fields[i] {
 		case "x0":
-			if v > 0 && v < 1e9 {
-				sec := float64(math.Nextafter32(v, 0))
-				out.Position = sc.Origin + time.Duration(sec*float64(time.Second))
+			if value > 0 && value < 1e9 {
+				seconds := float64(math.Nextafter32(value, 0))
+				report.Position = format.Origin + time.Duration(seconds*float64(time.Second))
 			}
 		case "x1":
-			out.Role = logic.RoleReplica
-			if v == 1 {
-				out.Role = logic.RolePrimary
+			report.Role = logic.RoleReplica
+			if value == 1 {
+				report.Role = logic.RolePrimary
 			}
 		case "queue":
-			out.Queue = float64(v)
+			report.Queue = float64(value)
 		}
 	}
-	return out
+	return report
 }
 
-// Encoder gathers the actions of one reply. It implements logic.Actions for one instance at a time.
+// Encoder collects the actions of one reply. It implements logic.Actions on behalf of the instance set in Instance.
 type Encoder struct {
 	Instance uint32
-	Now      time.Duration // of the batch
+	Now      time.Duration // of the current batch
 	message  []byte
 	records  []byte
 	tail     []byte
 	count    uint32
 }
 
-func (e *Encoder) add(code uint8) record {
-	at := len(e.records)
-	e.records = append(e.records, make([]byte, actionLen)...)
-	rec := record(e.records[at:])
+// appendRecord appends a record with the given action code for the current instance and returns it.
+func (e *Encoder) appendRecord(code uint8) record {
+	offset := len(e.records)
+	e.records = append(e.records, make([]byte, actionRecordSize)...)
+	rec := record(e.records[offset:])
 	rec[0] = code
 	binary.LittleEndian.PutUint32(rec[1:], e.Instance)
 	e.count++
 	return rec
 }
 
-func (r record) putU32(at int, v uint32) { binary.LittleEndian.PutUint32(r[at:], v) }
-func (r record) putU64(at int, v uint64) { binary.LittleEndian.PutUint64(r[at:], v) }
-func (r record) putMember(at int, m logic.MemberID) {
-	binary.BigEndian.PutUint32(r[at:], uint32(m>>16))
-	binary.LittleEndian.PutUint16(r[at+4:], uint16(m))
+func (r record) putU32(offset int, v uint32) { binary.LittleEndian.PutUint32(r[offset:], v) }
+func (r record) putU64(offset int, v uint64) { binary.LittleEndian.PutUint64(r[offset:], v) }
+func (r record) putMember(offset int, m logic.MemberID) {
+	binary.BigEndian.PutUint32(r[offset:], uint32(m>>16))
+	binary.LittleEndian.PutUint16(r[offset+4:], uint16(m))
 }
 
-func (r record) putMicros(at int, d time.Duration) {
-	r.putU32(at, uint32(min(max(d/time.Microsecond, 0), math.MaxUint32)))
+func (r record) putMicros(offset int, d time.Duration) {
+	r.putU32(offset, uint32(min(max(d/time.Microsecond, 0), math.MaxUint32)))
 }
 
 // Send implements logic.Actions.
-func (e *Encoder) Send(id logic.RequestID, to logic.MemberID, timeout time.Duration) {
-	rec := e.add(actDeliver)
+func (e *Encoder) Send(id logic.RequestID, member logic.MemberID, timeout time.Duration) {
+	rec := e.appendRecord(actionSend)
 	rec.putU64(5, uint64(id))
-	rec.putMember(13, to)
+	rec.putMember(13, member)
 	rec.putMicros(19, timeout)
 }
 
 // Probe implements logic.Actions.
-func (e *Encoder) Probe(to logic.MemberID) { e.add(actProbe).putMember(5, to) }
+func (e *Encoder) Probe(member logic.MemberID) { e.appendRecord(actionProbe).putMember(5, member) }
 
 // Refuse implements logic.Actions.
-func (e *Encoder) Refuse(id logic.RequestID, comeBack time.Duration) {
-	rec := e.add(actBusy)
+func (e *Encoder) Refuse(id logic.RequestID, retryAfter time.Duration) {
+	rec := e.appendRecord(actionRefuse)
 	rec.putU64(5, uint64(id))
-	rec.putMicros(13, comeBack)
+	rec.putMicros(13, retryAfter)
 }
 
 // Fail implements logic.Actions.
-func (e *Encoder) Fail(id logic.RequestID) { e.add(actFinish).putU64(5, uint64(id)) }
+func (e *Encoder) Fail(id logic.RequestID) { e.appendRecord(actionFail).putU64(5, uint64(id)) }
 
 // Cancel implements logic.Actions.
 func (e *Encoder) Cancel(id logic.RequestID, attempt int) {
-	rec := e.add(actRevoke)
+	rec := e.appendRecord(actionCancel)
 	rec.putU64(5, uint64(id))
 	rec[13] = uint8(attempt)
 }
 
 // SetTimer implements logic.Actions.
-func (e *Encoder) SetTimer(id logic.TimerID, at time.Duration) {
-	rec := e.add(actAlarm)
+func (e *Encoder) SetTimer(id logic.TimerID, offset time.Duration) {
+	rec := e.appendRecord(actionSetTimer)
 	rec.putU64(5, uint64(id))
-	rec.putU64(13, uint64((at+time.Microsecond-1)/time.Microsecond))
+	rec.putU64(13, uint64((offset+time.Microsecond-1)/time.Microsecond))
 }
 
 // WatchList implements logic.Actions.
-func (e *Encoder) WatchList(on bool) {
-	if rec := e.add(actObserve); on {
+func (e *Encoder) WatchList(watch bool) {
+	if rec := e.appendRecord(actionWatchList); watch {
 		rec[5] = 1
 	}
 }
 
 // SendToPeers implements logic.Actions.
-func (e *Encoder) SendToPeers(facts []peers.Report) {
-	if e.message = wirepeers.Append(e.message[:0], e.Now, e.Now, facts); len(e.message) > 0 {
-		e.Share(everyone, string(e.message))
+func (e *Encoder) SendToPeers(reports []peers.Report) {
+	if e.message = wirepeers.Append(e.message[:0], e.Now, e.Now, reports); len(e.message) > 0 {
+		e.SendPeerMessage(allInstances, string(e.message))
 	}
 }
 
-// everyone is the target of what goes to all peers.
-const everyone = math.MaxUint32
+// allInstances is the target number that addresses every peer.
+const allInstances = math.MaxUint32
 
 // FetchList implements logic.Actions.
-func (e *Encoder) FetchList() { e.add(actPull) }
+func (e *Encoder) FetchList() { e.appendRecord(actionFetchList) }
 
 // Log implements logic.Actions.
-func (e *Encoder) Log(text string) { e.text(actRecord, text) }
+func (e *Encoder) Log(text string) { e.appendText(actionLog, text) }
 
-// GiveIn tells the simulator that this instance can't go on.
-func (e *Encoder) GiveIn(text string) { e.text(actGiveIn, text) }
+// ReportFailure reports to the simulator that this instance can't continue; text is the reason.
+func (e *Encoder) ReportFailure(text string) { e.appendText(actionFailure, text) }
 
-// ShutIdle closes the idle connections to a member.
-func (e *Encoder) ShutIdle(m logic.MemberID) { e.add(actShut).putMember(5, m) }
+// CloseIdle closes the idle connections to member m.
+func (e *Encoder) CloseIdle(m logic.MemberID) { e.appendRecord(actionCloseIdle).putMember(5, m) }
 
-// Share sends bytes to the instance numbered target.
-func (e *Encoder) Share(target uint32, contents string) {
-	rec := e.text(actShare, contents)
+// SendPeerMessage sends contents to the instance with the number target, or to all peers for allInstances.
+func (e *Encoder) SendPeerMessage(target uint32, contents string) {
+	rec := e.appendText(actionPeerMessage, contents)
 	copy(rec[9:17], rec[5:13])
 	rec.putU32(5, target)
 }
 
-func (e *Encoder) text(code uint8, text string) record {
-	rec := e.add(code)
+// appendText appends a record whose text is stored in the tail: its offset at byte 5, its length at byte 9.
+func (e *Encoder) appendText(code uint8, text string) record {
+	rec := e.appendRecord(code)
 	rec.putU32(5, uint32(len(e.tail)))
 	rec.putU32(9, uint32(len(text)))
 	e.tail = append(e.tail, text...)
 	return rec
 }
 
-// Flush writes the reply and starts an empty one.
+// Flush writes the reply to w and resets the Encoder for the next one. It returns the writer's error.
 func (e *Encoder) Flush(w *bufio.Writer) error {
-	var head [actionHead]byte
-	binary.LittleEndian.PutUint32(head[:], e.count)
-	binary.LittleEndian.PutUint32(head[4:], uint32(actionHead+len(e.records)+len(e.tail)))
-	w.Write(head[:])
+	var header [actionHeaderSize]byte
+	binary.LittleEndian.PutUint32(header[:], e.count)
+	binary.LittleEndian.PutUint32(header[4:], uint32(actionHeaderSize+len(e.records)+len(e.tail)))
+	w.Write(header[:])
 	w.Write(e.records)
 	w.Write(e.tail)
 	e.records, e.tail, e.count = e.records[:0], e.tail[:0], 0
--- a/internal/wire/sim/sim_test.go
+++ b/internal/wire/sim/sim_test.go
@@ -14,8 +14,8 @@
 	"havenproxy/logic"
 )
 
-// unhex turns a frame written by hand, with blanks, into bytes; each record is filled up to its size.
-func unhex(t testing.TB, size int, parts ...string) []byte {
+// decodeHex converts hand-written hexadecimal records, which may contain spaces, to bytes. It zero-pads each to size bytes.
+func decodeHex(t testing.TB, size int, parts ...string) []byte {
 	t.Helper()
 	var out []byte
 	for _, p := range parts {
@@ -28,29 +28,29 @@
 	return out
 }
 
-// frame makes a batch at clock 0x805c5a of the given records and tail.
-func frame(t testing.TB, tail string, records ...string) []byte {
-	body := unhex(t, eventSize, records...)
-	end := unhex(t, 0, tail)
-	head := make([]byte, eventHead)
-	binary.LittleEndian.PutUint32(head, uint32(eventHead+len(body)+len(end)))
-	binary.LittleEndian.PutUint64(head[4:], 0x805c5a)
-	binary.LittleEndian.PutUint32(head[12:], uint32(len(records)))
-	return append(append(head, body...), end...)
+// encodeBatch returns a batch with the given records and tail at time 0x805c5a.
+func encodeBatch(t testing.TB, tail string, records ...string) []byte {
+	body := decodeHex(t, eventRecordSize, records...)
+	tailBytes := decodeHex(t, 0, tail)
+	header := make([]byte, eventHeaderSize)
+	binary.LittleEndian.PutUint32(header, uint32(eventHeaderSize+len(body)+len(tailBytes)))
+	binary.LittleEndian.PutUint64(header[4:], 0x805c5a)
+	binary.LittleEndian.PutUint32(header[12:], uint32(len(records)))
+	return append(append(header, body...), tailBytes...)
 }
 
-func decodeAll(in []byte, sc Scale) (events []Event, err error) {
+func decodeAll(in []byte, format ReportFormat) (events []Event, err error) {
 	d := NewDecoder(bytes.NewReader(in))
 	for {
-		b, err := d.Next()
+		b, err := d.ReadBatch()
 		if err == io.EOF {
 			return events, nil
 		}
 		if err != nil {
 			return events, err
 		}
-		err = d.Each(b, func(uint32) (Scale, bool) { return sc, true }, func(e Event) error {
-			e.List.Entries = append([]logic.Member(nil), e.List.Entries...)
+		err = d.Decode(b, func(uint32) (ReportFormat, bool) { return format, true }, func(e Event) error {
+			e.Members.Entries = append([]logic.Member(nil), e.Members.Entries...)
 			events = append(events, e)
 			return nil
 		})
@@ -60,13 +60,13 @@
 	}
 }
 
-func TestEventsFromHandMadeFrames(t *testing.T) {
-	in := frame(t, "",
+func TestDecodeEvents(t *testing.T) {
+	in := encodeBatch(t, "",
 		"17 03000000 c4913a5da5d20f00 0100 0200 640ad2557c3bf091 da05840000000000 e02e0000 00003041 0040ce43 03",
 		"12 03000000 4d00000000000000",
 		"19 05000000 192b6f0e71000b00",
 		"15 03000000 8e63000000000000 19000000 00 0a124a07 c32b 44480000 01 6400 00")
-	ev, err := decodeAll(in, Scale{Origin: time.Second})
+	ev, err := decodeAll(in, ReportFormat{Origin: time.Second})
 	if err != nil || len(ev) != 4 {
 		t.Fatalf("%d events, error %v", len(ev), err)
 	}
@@ -74,10 +74,10 @@
 	if ev[0].Instance != 3 || q.ID != 0xfd2a55d3a91c4 || q.Class != 1 || q.Tenant != 2 || q.Group != 11 || !q.Retry ||
 		q.Session != 0x91f03b7c55d20a64 || q.Deadline != 0x8405da*time.Microsecond ||
 		q.TokenAge > 412500*time.Microsecond || q.TokenAge < 412499*time.Microsecond {
-		t.Errorf("Submit: %+v", q)
+		t.Errorf("RequestArrival: %+v", q)
 	}
-	if ev[1].Kind != Timer || ev[1].Timer != 77 || ev[2].Kind != Abandoned || ev[2].ID != 0xb00710e6f2b19 {
-		t.Errorf("Timer %+v, Abandoned %+v", ev[1], ev[2])
+	if ev[1].Kind != TimerExpiry || ev[1].Timer != 77 || ev[2].Kind != RequestAbandoned || ev[2].RequestID != 0xb00710e6f2b19 {
+		t.Errorf("TimerExpiry %+v, RequestAbandoned %+v", ev[1], ev[2])
 	}
 	o := ev[3].Outcome
 	want := logic.Outcome{Request: 25486, Member: 0x074a120a2bc3, Result: logic.OK, Elapsed: 18500 * time.Microsecond,
@@ -85,22 +85,22 @@
 	want.Member = logic.MemberID(0x0a124a07)<<16 | 0x2bc3
 	want.Load.Queue = -1
 	if o != want {
-		t.Errorf("AttemptEnd:\n%+v, want\n%+v", o, want)
+		t.Errorf("AttemptOutcome:\n%+v, want\n%+v", o, want)
 	}
 }
 
-func TestSheetsAreReusedWithinABatch(t *testing.T) {
+func TestMemberTablesAreReplacedWithinABatch(t *testing.T) {
 	a := "0a124a07 c32b 0100 0000 0b00 01 0000803f 0000803f 0000000000000000"
 	b := "0a9011f2 ec2b 0100 0000 0c00 02 00000000 0000c03f 20145d0000000000"
-	in := frame(t, a+b,
+	in := encodeBatch(t, a+b,
 		"10 00 00000000 01000000", "11 03000000 02 29000000 00",
 		"10 00 1d000000 01000000", "11 04000000 01 29000000 00",
 		"11 03000000 03 00000000 09")
-	ev, err := decodeAll(in, Scale{})
+	ev, err := decodeAll(in, ReportFormat{})
 	if err != nil || len(ev) != 3 {
 		t.Fatalf("%d events, error %v", len(ev), err)
 	}
-	x, y := ev[0].List, ev[1].List
+	x, y := ev[0].Members, ev[1].Members
 	if x.Kind != logic.ListCached || len(x.Entries) != 1 || !x.Entries[0].Primary || x.Entries[0].State != logic.Ready ||
 		x.Entries[0].Zone != 1 || x.Entries[0].Group != 11 || x.Entries[0].Size != 1 || x.Entries[0].StartedAt != 0 {
 		t.Errorf("first list: %+v", x)
@@ -109,43 +109,43 @@
 		y.Entries[0].StartedAt != 0x5d1420*time.Microsecond || y.Entries[0].Primary {
 		t.Errorf("second list: %+v", y)
 	}
-	if ev[2].List.Kind != logic.ListFailed || len(ev[2].List.Entries) != 0 {
-		t.Errorf("failed list: %+v", ev[2].List)
+	if ev[2].Members.Kind != logic.ListFailed || len(ev[2].Members.Entries) != 0 {
+		t.Errorf("failed list: %+v", ev[2].Members)
 	}
 }
 
-func TestReportsRoundPositionsDown(t *testing.T) {
+func TestReportPositionsAreRoundedDown(t *testing.T) {
 	x0 := float32(1234.5678)
-	rec := make(record, eventSize)
-	rec[0] = codePong
+	rec := make(record, eventRecordSize)
+	rec[0] = codeProbeEnd
 	binary.LittleEndian.PutUint16(rec[5:], 100)
 	rec[17] = 3
 	rec.putU32(18, math.Float32bits(x0))
 	rec.putU32(22, math.Float32bits(1))
 	rec.putU32(26, math.Float32bits(4))
-	sc := Scale{Origin: time.Hour, Fields: []string{"x0", "x1", "queue"}}
+	format := ReportFormat{Origin: time.Hour, Fields: []string{"x0", "x1", "queue"}}
 	var e Event
-	if err := new(Decoder).decode(Batch{}, rec, sc, &e); err != nil {
+	if err := new(Decoder).decodeEvent(Batch{}, rec, format, &e); err != nil {
 		t.Fatal(err)
 	}
-	got, exact := e.Probed.Report, time.Hour+time.Duration(float64(x0)*1e9)
+	got, exact := e.Probe.Report, time.Hour+time.Duration(float64(x0)*1e9)
 	if got.Role != logic.RolePrimary || got.Queue != 4 || got.Position >= exact || got.Position < exact-time.Millisecond {
 		t.Errorf("%+v, want a position just under %v", got, exact)
 	}
 	rec[17] = 0
-	if err := new(Decoder).decode(Batch{}, rec, sc, &e); err != nil || e.Probed.Report != (logic.Report{Queue: -1}) {
-		t.Errorf("empty report: %+v, error %v", e.Probed.Report, err)
+	if err := new(Decoder).decodeEvent(Batch{}, rec, format, &e); err != nil || e.Probe.Report != (logic.Report{Queue: -1}) {
+		t.Errorf("empty report: %+v, error %v", e.Probe.Report, err)
 	}
 }
 
-func TestBrokenFramesAreNamed(t *testing.T) {
-	ok := frame(t, "", "12 03000000 4d00000000000000")
+func TestDecodeErrors(t *testing.T) {
+	ok := encodeBatch(t, "", "12 03000000 4d00000000000000")
 	short := append([]byte(nil), ok...)
 	binary.LittleEndian.PutUint32(short, 17)
 	huge := append([]byte(nil), ok...)
 	binary.LittleEndian.PutUint32(huge, 0xffffffff)
-	promised := append([]byte(nil), ok...)
-	binary.LittleEndian.PutUint32(promised, maxFrame)
+	overstated := append([]byte(nil), ok...)
+	binary.LittleEndian.PutUint32(overstated, maxFrameSize)
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
@@ -154,30 +154,30 @@
 		"cut body":       {ok[:40], "input ends after"},
 		"length short":   {short, "can't hold"},
 		"length huge":    {huge, "can't hold"},
-		"length a lie":   {promised, "input ends after"},
-		"unknown event":  {frame(t, "", "63 03000000"), "unknown event code"},
-		"outside tail":   {frame(t, "00", "10 00 00000000 01000000"), "outside the tail"},
-		"offset wraps":   {frame(t, "00", "13 03000000 0000000000000000 ffffffff ffffffff"), "outside the tail"},
-		"sheet number":   {frame(t, "", "10 10 00000000 00000000"), "above 15"},
-		"list scope":     {frame(t, "", "11 03000000 07 29000000 00"), "scope 7"},
-		"unknown result": {frame(t, "", "14 03000000 0700"), "outcome code 7"},
+		"length false":   {overstated, "input ends after"},
+		"unknown event":  {encodeBatch(t, "", "63 03000000"), "unknown event code"},
+		"outside tail":   {encodeBatch(t, "00", "10 00 00000000 01000000"), "outside the tail"},
+		"offset wraps":   {encodeBatch(t, "00", "13 03000000 0000000000000000 ffffffff ffffffff"), "outside the tail"},
+		"table number":   {encodeBatch(t, "", "10 10 00000000 00000000"), "above 15"},
+		"list scope":     {encodeBatch(t, "", "11 03000000 07 29000000 00"), "scope 7"},
+		"unknown result": {encodeBatch(t, "", "14 03000000 0700"), "outcome code 7"},
 	} {
-		if _, err := decodeAll(c.in, Scale{}); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := decodeAll(c.in, ReportFormat{}); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
 		}
 	}
-	if ev, err := decodeAll(frame(t, ""), Scale{}); err != nil || len(ev) != 0 {
+	if ev, err := decodeAll(encodeBatch(t, ""), ReportFormat{}); err != nil || len(ev) != 0 {
 		t.Errorf("an empty batch gave %d events and %v", len(ev), err)
 	}
 	d := NewDecoder(bytes.NewReader(ok))
-	b, _ := d.Next()
-	none := func(uint32) (Scale, bool) { return Scale{}, false }
-	if err := d.Each(b, none, nil); err == nil || !strings.Contains(err.Error(), "instance 3 is unknown") {
+	b, _ := d.ReadBatch()
+	none := func(uint32) (ReportFormat, bool) { return ReportFormat{}, false }
+	if err := d.Decode(b, none, nil); err == nil || !strings.Contains(err.Error(), "instance 3 is unknown") {
 		t.Errorf("unknown instance: %v", err)
 	}
 }
 
-func TestActionsMatchThePage(t *testing.T) {
+func TestEncodeActions(t *testing.T) {
 	var e Encoder
 	e.Instance = 3
 	id, m := logic.RequestID(0xfd2a55d3a91c4), logic.MemberID(0x0a124a07)<<16|0x2bc3
@@ -191,10 +191,10 @@
 	e.WatchList(true)
 	e.WatchList(false)
 	e.FetchList()
-	e.ShutIdle(m)
-	e.Share(0xffffffff, "hi 7")
-	e.GiveIn("no")
-	want := unhex(t, actionLen,
+	e.CloseIdle(m)
+	e.SendPeerMessage(0xffffffff, "hi 7")
+	e.ReportFailure("no")
+	want := decodeHex(t, actionRecordSize,
 		"10 03000000 c4913a5da5d20f00 0a124a07 c32b 80380100",
 		"14 03000000 4d00000000000000 7afd870000000000",
 		"18 03000000 00000000 11000000",
@@ -220,11 +220,11 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(frame(f, "", "12 03000000 4d00000000000000"))
-	f.Add(frame(f, "0a124a07c32b010000000b00010000803f0000803f0000000000000000", "10 00 00000000 01000000", "11 03000000 02 29000000 00"))
-	f.Add(frame(f, "7b7d", "13 03000000 0700000000000000 00000000 02000000"))
-	f.Add(frame(f, "", "14 03000000 6400 0a124a07c32b 00010000 04 0000c07f 0000807f 000080ff 00000080"))
+	f.Add(encodeBatch(f, "", "12 03000000 4d00000000000000"))
+	f.Add(encodeBatch(f, "0a124a07c32b010000000b00010000803f0000803f0000000000000000", "10 00 00000000 01000000", "11 03000000 02 29000000 00"))
+	f.Add(encodeBatch(f, "7b7d", "13 03000000 0700000000000000 00000000 02000000"))
+	f.Add(encodeBatch(f, "", "14 03000000 6400 0a124a07c32b 00010000 04 0000c07f 0000807f 000080ff 00000080"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		decodeAll(in, Scale{Fields: []string{"x0", "x1", "queue"}}) // must neither panic nor allocate by a false length
+		decodeAll(in, ReportFormat{Fields: []string{"x0", "x1", "queue"}}) // must not panic, or allocate what a corrupt length claims
 	})
 }
