--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -116,7 +116,7 @@
 	parsed, err := settings.Parse(e.Settings, e.Seed)
 	if err == nil {
 		parsed.Config.Handover.Hold = *holdRequests
-		in.format = sim.ReportFormat{Origin: parsed.Origin, Fields: parsed.Fields}
+		in.format = sim.ReportFormat{Origin: parsed.PositionOrigin, Fields: parsed.ReportFields}
 		in.router, err = logic.New(parsed.Config, &h.out)
 	}
 	if err != nil {
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	p.initialConfig = document.Rest
+	p.initialConfig = document.ConfigJSON
 	if err := p.listenMySQL(operatorFile.MySQL); err != nil {
 		return err
 	}
@@ -279,10 +279,10 @@
 			p.engine.SetPeerSender(peers)
 		}
 	}
-	p.discovery = net.NewDiscovery(p.loop, p.clock, p.engine, cfg.Discovery, cfg.Known.Generation, s.Config.ListMaxDelay)
+	p.discovery = net.NewDiscovery(p.loop, p.clock, p.engine, cfg.Discovery, cfg.KnownDatabases.Generation, s.Config.ListMaxDelay)
 	p.loop.Post(func() {
 		p.startedAt = p.clock.Now()
-		p.engine.Start(p.discovery, net.ListOf(cfg.Known))
+		p.engine.Start(p.discovery, net.ListOf(cfg.KnownDatabases))
 		p.pollReady()
 	})
 	return p, nil
--- a/internal/wire/settings/check.go
+++ b/internal/wire/settings/check.go
@@ -7,87 +7,90 @@
 	"strings"
 )
 
-// mostMicros bounds times and all other figures, far above any that makes sense: some 300 years would not fit a time.Duration.
-const mostMicros = 1e14
+// maxValue limits all numbers, including times in microseconds. It is far above any meaningful value. Without a limit, a
+// time could overflow time.Duration, which holds about 300 years.
+const maxValue = 1e14
 
-// readable puts what JSON says of a text into words that name the key.
-func readable(at string, err error) error {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		field := strings.Trim(at+wrong.Field, ".")
-		want := map[string]string{"float64": "a number", "int": "a whole number", "string": "a text", "bool": "true or false"}[wrong.Type.String()]
+// describeJSONError returns an error that describes a JSON decoding error for operators. For a value of the wrong type, it
+// names the key, with the given prefix.
+func describeJSONError(prefix string, err error) error {
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		field := strings.Trim(prefix+typeError.Field, ".")
+		want := map[string]string{"float64": "a number", "int": "a whole number", "string": "a text", "bool": "true or false"}[typeError.Type.String()]
 		if want == "" {
 			want = "an object or a list"
 		}
 		if field == "" {
-			return fmt.Errorf("a %s, where an object was expected", wrong.Value)
+			return fmt.Errorf("a %s, where an object was expected", typeError.Value)
 		}
-		return fmt.Errorf("%s: a %s, where %s was expected", field, wrong.Value, want)
+		return fmt.Errorf("%s: a %s, where %s was expected", field, typeError.Value, want)
 	}
-	return fmt.Errorf("%snot usable JSON: %w", at, err)
+	return fmt.Errorf("%snot usable JSON: %w", prefix, err)
 }
 
-// check names the key of the first figure that can't be meant. What is left out may be left out, but for what has no harmless default: a class
-// without an effect would be taken for one that may be repeated, a proxy without the tier's size would send a cold database all that it bears.
+// check returns an error that names the key of the first invalid value. A key may be missing unless its default would be
+// harmful: a class without an effect would be considered safe to repeat, and a proxy without the tier's size would alone send
+// a cold database as much load as the database can bear.
 func (j *settingsJSON) check() error {
 	if len(j.Classes) == 0 {
 		return errors.New("request_classes is missing or empty")
 	}
 	var err error
-	least := func(key string, v, from float64, above bool) {
+	atLeast := func(key string, value, minimum float64, exclusive bool) {
 		switch {
 		case err != nil:
-		case above && v <= from:
-			err = fmt.Errorf("%s: %v is missing or not above %v", key, v, from)
-		case v < from:
-			err = fmt.Errorf("%s: %v is below %v", key, v, from)
-		case v > mostMicros:
-			err = fmt.Errorf("%s: %v is too large", key, v)
+		case exclusive && value <= minimum:
+			err = fmt.Errorf("%s: %v is missing or not above %v", key, value, minimum)
+		case value < minimum:
+			err = fmt.Errorf("%s: %v is below %v", key, value, minimum)
+		case value > maxValue:
+			err = fmt.Errorf("%s: %v is too large", key, value)
 		}
 	}
 	names := map[string]bool{}
 	for i, c := range j.Classes {
-		at := fmt.Sprintf("request_classes[%d].", i)
+		path := fmt.Sprintf("request_classes[%d].", i)
 		switch {
 		case err != nil:
 		case c.Name == "" || names[c.Name]:
-			err = fmt.Errorf("%sname: %q is missing, or stands twice", at, c.Name)
+			err = fmt.Errorf("%sname: %q is missing, or stands twice", path, c.Name)
 		case c.Effect == "":
-			err = fmt.Errorf("%seffect is missing", at)
+			err = fmt.Errorf("%seffect is missing", path)
 		}
 		names[c.Name] = true
-		least(at+"aim", c.Aim, 0, true)
-		least(at+"hard_limit", c.Limit, 0, true)
-		least(at+"dedup_window", c.Window, 0, c.Effect == "guarded")
-		least(at+"worth", c.Worth, 0, false)
-		least(at+"late_value", c.Late, 0, false)
+		atLeast(path+"aim", c.Aim, 0, true)
+		atLeast(path+"hard_limit", c.Limit, 0, true)
+		atLeast(path+"dedup_window", c.Window, 0, c.Effect == "guarded")
+		atLeast(path+"worth", c.Worth, 0, false)
+		atLeast(path+"late_value", c.Late, 0, false)
 	}
 	for i, age := range j.Domain.MaxAge {
 		bounded := i < len(j.Domain.Freshness) && j.Domain.Freshness[i] == "bounded"
-		least(fmt.Sprintf("domain.max_age[%d]", i), age, 0, bounded)
+		atLeast(fmt.Sprintf("domain.max_age[%d]", i), age, 0, bounded)
 	}
-	least("fleet_size", float64(j.Fleet), 1, false)
-	least("tick", j.Tick, 0, true)
-	least("zone", float64(j.Zone), 0, false)
+	atLeast("fleet_size", float64(j.Fleet), 1, false)
+	atLeast("tick", j.Tick, 0, true)
+	atLeast("zone", float64(j.Zone), 0, false)
 	if len(j.Zones) > 0 && j.Zone >= len(j.Zones) && err == nil {
 		err = fmt.Errorf("zone: %d, of %d zones", j.Zone, len(j.Zones))
 	}
-	l, s := &j.Limits, &j.Safety
-	least("limits.connect_timeout", l.ConnectTime, 0, false)
-	least("limits.idle_close", l.IdleClose, 0, false)
-	least("limits.max_attempts", float64(l.MaxAttempts), 0, false)
-	least("limits.max_retry_after", l.MaxRetryAfter, 0, false)
-	least("over_share_worth", j.OverShare, 0, false)
-	least("safety.ask_within", s.AskWithin, 0, false)
-	least("safety.stop_sending_within", s.Drain, 0, false)
-	least("safety.cold", s.Cold, 0, false)
-	least("safety.cold_share", s.ColdShare, 0, false)
-	if s.ColdShare > 1 && err == nil {
-		err = fmt.Errorf("safety.cold_share: %v is above 1", s.ColdShare)
+	limits, safety := &j.Limits, &j.Safety
+	atLeast("limits.connect_timeout", limits.ConnectTime, 0, false)
+	atLeast("limits.idle_close", limits.IdleClose, 0, false)
+	atLeast("limits.max_attempts", float64(limits.MaxAttempts), 0, false)
+	atLeast("limits.max_retry_after", limits.MaxRetryAfter, 0, false)
+	atLeast("over_share_worth", j.OverShare, 0, false)
+	atLeast("safety.ask_within", safety.AskWithin, 0, false)
+	atLeast("safety.stop_sending_within", safety.Drain, 0, false)
+	atLeast("safety.cold", safety.Cold, 0, false)
+	atLeast("safety.cold_share", safety.ColdShare, 0, false)
+	if safety.ColdShare > 1 && err == nil {
+		err = fmt.Errorf("safety.cold_share: %v is above 1", safety.ColdShare)
 	}
-	least("safety.fall_multiple", s.Multiple, 0, false)
+	atLeast("safety.fall_multiple", safety.Multiple, 0, false)
 	for i, t := range j.Tenants {
-		least(fmt.Sprintf("tenants[%d].quota_rps", i), t.Quota, 0, false)
+		atLeast(fmt.Sprintf("tenants[%d].quota_rps", i), t.Quota, 0, false)
 	}
 	return err
 }
--- a/internal/wire/settings/config.go
+++ b/internal/wire/settings/config.go
@@ -8,22 +8,22 @@
 	"havenproxy/internal/wire/discovery"
 )
 
-// Config is what one proxy is told at its start.
+// Config is the configuration of one proxy, read at its start and on a reload.
 type Config struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	MemoryMB   int
-	Sockets    int
-	PeerListen string         // where peers' datagrams come; empty = there is no talk
-	Peers      []string       // the proxies of the tier, this one included
-	PeersAll   string         // stands for all of them
-	Admin      string         // the operators' second address; empty = there is none
-	Known      discovery.List // the databases as this proxy last had them; may be old
-	Settings   Settings
+	Name           string
+	Listen         string
+	Discovery      string
+	MemoryMB       int
+	Sockets        int
+	PeerListen     string         // address that receives datagrams from peers; empty disables messages between peers
+	Peers          []string       // the proxies of the tier, this one included
+	PeersAll       string         // address that sends a datagram to all peers
+	Admin          string         // address of a second listener, for operators; empty = none
+	KnownDatabases discovery.List // the last known list of databases; may be outdated
+	Settings       Settings
 }
 
-// ParseConfig reads a proxy's configuration. The error names what is wrong in one line.
+// ParseConfig parses a proxy's configuration. The error describes the first fault in one line.
 func ParseConfig(text []byte) (Config, error) {
 	d, err := Split(text, func() {})
 	if err != nil {
@@ -32,9 +32,9 @@
 	return d.Config()
 }
 
-// Config gives what the document says. The error names what is wrong in one line.
+// Config parses and checks the document. The error describes the first fault in one line.
 func (d *Document) Config() (Config, error) {
-	var j struct {
+	var parsed struct {
 		Name       string   `json:"name"`
 		Listen     string   `json:"listen"`
 		Discovery  string   `json:"discovery"`
@@ -49,30 +49,30 @@
 		} `json:"limits"`
 		Settings json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal(d.Rest, &j); err != nil {
-		return Config{}, fmt.Errorf("configuration: %w", readable("", err))
+	if err := json.Unmarshal(d.ConfigJSON, &parsed); err != nil {
+		return Config{}, fmt.Errorf("configuration: %w", describeJSONError("", err))
 	}
-	c := Config{Name: j.Name, Listen: j.Listen, Discovery: j.Discovery, MemoryMB: j.Limits.MemoryMB,
-		Sockets: j.Limits.Sockets, Known: d.Known, PeerListen: j.PeerListen, Peers: j.Peers, PeersAll: j.PeersAll, Admin: j.Admin}
-	for field, value := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
+	config := Config{Name: parsed.Name, Listen: parsed.Listen, Discovery: parsed.Discovery, MemoryMB: parsed.Limits.MemoryMB,
+		Sockets: parsed.Limits.Sockets, KnownDatabases: d.KnownDatabases, PeerListen: parsed.PeerListen, Peers: parsed.Peers, PeersAll: parsed.PeersAll, Admin: parsed.Admin}
+	for field, value := range map[string]string{"listen": config.Listen, "discovery": config.Discovery} {
 		if value == "" {
-			return c, fmt.Errorf("configuration: %s is missing", field)
+			return config, fmt.Errorf("configuration: %s is missing", field)
 		}
 	}
-	for field, value := range map[string]int{"limits.memory_mb": c.MemoryMB, "limits.sockets": c.Sockets} {
+	for field, value := range map[string]int{"limits.memory_mb": config.MemoryMB, "limits.sockets": config.Sockets} {
 		if value < 0 {
-			return c, fmt.Errorf("configuration: %s: %d is below 0", field, value)
+			return config, fmt.Errorf("configuration: %s: %d is below 0", field, value)
 		}
 	}
-	seed, err := strconv.ParseUint(j.Seed, 16, 64)
+	seed, err := strconv.ParseUint(parsed.Seed, 16, 64)
 	if err != nil {
-		return c, fmt.Errorf("configuration: seed: %q is no hexadecimal number", j.Seed)
+		return config, fmt.Errorf("configuration: seed: %q is no hexadecimal number", parsed.Seed)
 	}
-	if len(j.Settings) == 0 {
-		return c, fmt.Errorf("configuration: settings is missing")
+	if len(parsed.Settings) == 0 {
+		return config, fmt.Errorf("configuration: settings is missing")
 	}
-	if c.Settings, err = Parse(j.Settings, seed); err != nil {
-		return c, fmt.Errorf("configuration: %w", err)
+	if config.Settings, err = Parse(parsed.Settings, seed); err != nil {
+		return config, fmt.Errorf("configuration: %w", err)
 	}
-	return c, nil
+	return config, nil
 }
--- a/internal/wire/settings/document.go
+++ b/internal/wire/settings/document.go
@@ -10,57 +10,58 @@
 	"havenproxy/internal/wire/discovery"
 )
 
-// Document is a configuration's text, split: the list of databases as last known, which may be long, and the rest.
+// Document is a configuration split into the last known list of databases, which may be long, and all other keys.
 type Document struct {
-	Rest  []byte // JSON, without the list
-	Known discovery.List
+	ConfigJSON     []byte // the configuration without the list of databases
+	KnownDatabases discovery.List
 }
 
-// errNoObject tells of a configuration that is no JSON object.
-var errNoObject = errors.New("no object")
+// errNotObject is returned for a configuration that is not a JSON object.
+var errNotObject = errors.New("no object")
 
-// Split reads a configuration's text. Between the parts of a long list it calls pause, as discovery.ParseListInSteps does. The error names what
-// is wrong in one line.
+// Split decodes a configuration's text. It calls pause between the parts of a long list, as discovery.ParseListInSteps does.
+// The error describes the first fault in one line.
 func Split(text []byte, pause func()) (Document, error) {
-	d := Document{Known: discovery.List{Generation: discovery.NoList}}
-	rest, err := d.split(json.NewDecoder(bytes.NewReader(text)), pause)
+	d := Document{KnownDatabases: discovery.List{Generation: discovery.NoList}}
+	values, err := d.decode(json.NewDecoder(bytes.NewReader(text)), pause)
 	if err != nil {
 		return Document{}, fmt.Errorf("configuration: %w", err)
 	}
-	d.Rest, err = json.Marshal(rest)
+	d.ConfigJSON, err = json.Marshal(values)
 	return d, err
 }
 
-func (d *Document) split(decoder *json.Decoder, pause func()) (map[string]json.RawMessage, error) {
+// decode decodes the list of databases into d and returns the values of all other keys.
+func (d *Document) decode(decoder *json.Decoder, pause func()) (map[string]json.RawMessage, error) {
 	if token, err := decoder.Token(); err != nil {
-		return nil, readable("", err)
+		return nil, describeJSONError("", err)
 	} else if token != json.Delim('{') {
-		return nil, fmt.Errorf("not usable JSON: %w", errNoObject)
+		return nil, fmt.Errorf("not usable JSON: %w", errNotObject)
 	}
-	rest := map[string]json.RawMessage{}
+	values := map[string]json.RawMessage{}
 	for decoder.More() {
 		token, err := decoder.Token()
 		if err != nil {
-			return nil, readable("", err)
+			return nil, describeJSONError("", err)
 		}
 		name, _ := token.(string)
 		if name == "known" {
-			if d.Known, err = discovery.DecodeList(decoder, pause); err != nil {
+			if d.KnownDatabases, err = discovery.DecodeList(decoder, pause); err != nil {
 				return nil, fmt.Errorf("known: %w", err)
 			}
 			continue
 		}
 		var value json.RawMessage
 		if err := decoder.Decode(&value); err != nil {
-			return nil, readable("", err)
+			return nil, describeJSONError("", err)
 		}
-		rest[name] = value
+		values[name] = value
 	}
 	if _, err := decoder.Token(); err != nil {
-		return nil, readable("", err)
+		return nil, describeJSONError("", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return nil, errors.New("not usable JSON: text behind its end")
 	}
-	return rest, nil
+	return values, nil
 }
--- a/internal/wire/settings/document_test.go
+++ b/internal/wire/settings/document_test.go
@@ -8,8 +8,8 @@
 	"havenproxy/internal/wire/discovery"
 )
 
-// longKnown is a configuration's text with so many databases as last known.
-func longKnown(databases int) []byte {
+// longDocument returns a configuration whose last known list has the given number of databases.
+func longDocument(databases int) []byte {
 	entries := make([]string, databases)
 	for i := range entries {
 		entries[i] = fmt.Sprintf(`{"instanceId":"s%d","hostPort":"127.0.0.1:1","cell":%d,"lifecycle":"in_service","weight":1}`, i, i/4)
@@ -17,44 +17,44 @@
 	return fmt.Appendf(nil, `{"name":"n","known":{"generation":3,"reset":true,"instances":[%s]},"listen":"a:1"}`, strings.Join(entries, ","))
 }
 
-// Guards against incident 38: a reload parsed the list of thousands of databases four times in one go. It is read once, in steps, and what is
-// kept of the text does not grow with it.
+// Guards against incident 38: a reload parsed a list of thousands of databases four times without a pause. The list must be
+// parsed once, in steps, and the text that is kept must not grow with it.
 func TestALongConfigurationIsReadInSteps(t *testing.T) {
 	const databases = 3200
 	pauses := 0
-	d, err := Split(longKnown(databases), func() { pauses++ })
+	d, err := Split(longDocument(databases), func() { pauses++ })
 	if err != nil {
 		t.Fatal(err)
 	}
 	if pauses < databases/discovery.StepEntries {
 		t.Errorf("%d pauses for %d databases", pauses, databases)
 	}
-	if len(d.Known.Instances) != databases || d.Known.Generation != 3 {
-		t.Errorf("%d databases are known, of generation %d", len(d.Known.Instances), d.Known.Generation)
+	if len(d.KnownDatabases.Instances) != databases || d.KnownDatabases.Generation != 3 {
+		t.Errorf("%d databases are known, of generation %d", len(d.KnownDatabases.Instances), d.KnownDatabases.Generation)
 	}
-	if got := string(d.Rest); got != `{"listen":"a:1","name":"n"}` {
-		t.Errorf("the rest is %s", got)
+	if got := string(d.ConfigJSON); got != `{"listen":"a:1","name":"n"}` {
+		t.Errorf("the configuration without the list is %s", got)
 	}
 }
 
-// A configuration that is not whole, or whose list is unusable, is told in one line.
-func TestUnusableDocuments(t *testing.T) {
-	whole := string(longKnown(3))
-	for what, text := range map[string]string{
-		"empty":              "",
-		"no object":          "[]",
-		"cut short":          whole[:len(whole)-1],
-		"cut in the list":    whole[:len(whole)/2],
-		"text behind it":     whole + "x",
-		"another lifecycle":  strings.Replace(whole, "in_service", "asleep", 1),
-		"a value that isn't": `{"name":nil}`,
+// An incomplete configuration, or one with an invalid list, is reported in one line.
+func TestInvalidDocuments(t *testing.T) {
+	valid := string(longDocument(3))
+	for name, text := range map[string]string{
+		"empty":             "",
+		"no object":         "[]",
+		"cut short":         valid[:len(valid)-1],
+		"cut in the list":   valid[:len(valid)/2],
+		"trailing text":     valid + "x",
+		"unknown lifecycle": strings.Replace(valid, "in_service", "asleep", 1),
+		"invalid value":     `{"name":nil}`,
 	} {
 		_, err := Split([]byte(text), func() {})
 		if err == nil || strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), "configuration: ") {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if d, err := Split([]byte(`{"name":"n"}`), func() {}); err != nil || d.Known.Generation != discovery.NoList {
-		t.Errorf("without a list: generation %d, %v", d.Known.Generation, err)
+	if d, err := Split([]byte(`{"name":"n"}`), func() {}); err != nil || d.KnownDatabases.Generation != discovery.NoList {
+		t.Errorf("without a list: generation %d, %v", d.KnownDatabases.Generation, err)
 	}
 }
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads what a proxy is told: the settings of its deployment, which the adapter gets too, and
-// the configuration round them.
+// Package settings parses a proxy's configuration and the deployment's settings that it contains. The simulator's adapter
+// gets the same settings.
 package settings
 
 import (
@@ -13,6 +13,7 @@
 	"havenproxy/logic"
 )
 
+// classJSON is the JSON form of a request class. Times are in microseconds.
 type classJSON struct {
 	Name   string  `json:"name"`
 	Aim    float64 `json:"aim"`
@@ -25,6 +26,7 @@
 	Late   float64 `json:"late_value"`
 }
 
+// settingsJSON is the JSON form of the settings. Times are in microseconds.
 type settingsJSON struct {
 	Fleet     int         `json:"fleet_size"`
 	Classes   []classJSON `json:"request_classes"`
@@ -71,107 +73,109 @@
 	Zones []string `json:"zones"`
 }
 
-// Settings is what the adapter and the proxy need of an instance's settings text.
+// Settings holds the parsed settings of an instance, as the adapter and the proxy need them.
 type Settings struct {
-	Config logic.Config
-	Origin time.Duration // positions are counted from here
-	Fields []string      // the values of a load report, in order
+	Config         logic.Config
+	PositionOrigin time.Duration // time from which positions are counted
+	ReportFields   []string      // names of the values in a load report, in order
 
 	Zones          []string
-	IdleClose      time.Duration // idle connections to databases are closed after this
+	IdleClose      time.Duration // time after which idle connections to databases are closed
 	ConnectTimeout time.Duration
 }
 
-// word maps a settings word to a value; an absent word gives the zero value.
-func word[T any](field, got string, known map[string]T) (T, error) {
-	v, ok := known[got]
-	if !ok && got != "" {
-		return v, fmt.Errorf("settings: %s: unknown word %q", field, got)
+// parseEnum returns the value of text, or the zero value if text is empty. For an unknown text, it returns an error that names
+// the field.
+func parseEnum[T any](field, text string, values map[string]T) (T, error) {
+	value, ok := values[text]
+	if !ok && text != "" {
+		return value, fmt.Errorf("settings: %s: unknown word %q", field, text)
 	}
-	return v, nil
+	return value, nil
 }
 
 func micros(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// Parse reads an instance's settings. Unknown keys are passed over.
+// Parse parses and checks an instance's settings. It ignores unknown keys. The error names the invalid key.
 func Parse(text []byte, seed uint64) (Settings, error) {
-	var j settingsJSON
-	if err := json.Unmarshal(text, &j); err != nil {
-		return Settings{}, fmt.Errorf("settings: %w", readable("", err))
+	var parsed settingsJSON
+	if err := json.Unmarshal(text, &parsed); err != nil {
+		return Settings{}, fmt.Errorf("settings: %w", describeJSONError("", err))
 	}
-	if err := j.check(); err != nil {
+	if err := parsed.check(); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	d, l, s := &j.Domain, &j.Limits, &j.Safety
-	if len(d.Freshness) != len(j.Classes) {
+	domain, limits, safety := &parsed.Domain, &parsed.Limits, &parsed.Safety
+	if len(domain.Freshness) != len(parsed.Classes) {
 		return Settings{}, fmt.Errorf("settings: domain.freshness has %d entries for %d request_classes",
-			len(d.Freshness), len(j.Classes))
+			len(domain.Freshness), len(parsed.Classes))
 	}
-	if len(d.MaxAge) != 0 && len(d.MaxAge) != len(j.Classes) {
+	if len(domain.MaxAge) != 0 && len(domain.MaxAge) != len(parsed.Classes) {
 		return Settings{}, fmt.Errorf("settings: domain.max_age has %d entries for %d request_classes",
-			len(d.MaxAge), len(j.Classes))
+			len(domain.MaxAge), len(parsed.Classes))
 	}
-	listRole, err1 := word("domain.list_role", d.ListRole, map[string]logic.ListRole{
+	listRole, err1 := parseEnum("domain.list_role", domain.ListRole, map[string]logic.ListRole{
 		"none": logic.ListRoleNone, "start": logic.ListRoleStart, "late": logic.ListRoleLate})
-	checks, err2 := word("domain.server_checks", d.Checks, map[string]logic.LagCheck{
+	lagCheck, err2 := parseEnum("domain.server_checks", domain.Checks, map[string]logic.LagCheck{
 		"none": logic.LagCheckNone, "refuse": logic.LagCheckRefuse, "wait": logic.LagCheckWait})
-	pull, err3 := word("discovery", j.Discovery, map[string]bool{"pushed": false, "on_request": true})
-	carried, err4 := word("domain.session_marks", d.Marks, map[string]bool{"remembered": false, "carried": true})
+	onRequest, err3 := parseEnum("discovery", parsed.Discovery, map[string]bool{"pushed": false, "on_request": true})
+	sessionTokens, err4 := parseEnum("domain.session_marks", domain.Marks, map[string]bool{"remembered": false, "carried": true})
 	if err := errors.Join(err1, err2, err3, err4); err != nil {
 		return Settings{}, err
 	}
 	cfg := logic.Config{
-		Seed: seed, Proxies: j.Fleet, Zone: j.Zone, OverShareWorth: j.OverShare, Tick: micros(j.Tick),
-		ListOnRequest: pull, ListRole: listRole, SessionTokens: carried, LagCheck: checks,
-		EnableProbes: l.Probes, EnableCancel: l.MayCancel, ParallelAttempts: l.Parallel, EnableRetryAfter: l.RetryAfter,
-		MaxAttempts: l.MaxAttempts, MaxRetryAfter: micros(l.MaxRetryAfter),
-		ColdPeriod: micros(s.Cold), ColdShare: s.ColdShare, OverloadMultiple: s.Multiple, IgnoreGone: s.DrainOnly,
+		Seed: seed, Proxies: parsed.Fleet, Zone: parsed.Zone, OverShareWorth: parsed.OverShare, Tick: micros(parsed.Tick),
+		ListOnRequest: onRequest, ListRole: listRole, SessionTokens: sessionTokens, LagCheck: lagCheck,
+		EnableProbes: limits.Probes, EnableCancel: limits.MayCancel, ParallelAttempts: limits.Parallel, EnableRetryAfter: limits.RetryAfter,
+		MaxAttempts: limits.MaxAttempts, MaxRetryAfter: micros(limits.MaxRetryAfter),
+		ColdPeriod: micros(safety.Cold), ColdShare: safety.ColdShare, OverloadMultiple: safety.Multiple, IgnoreGone: safety.DrainOnly,
 	}
-	cfg.ListMaxDelay = listBound(pull, micros(s.AskWithin), micros(s.Drain))
-	if l.Peers {
+	cfg.ListMaxDelay = listMaxDelay(onRequest, micros(safety.AskWithin), micros(safety.Drain))
+	if limits.Peers {
 		cfg.MaxPeerReports = peers.MaxFacts
 	}
-	for i, c := range j.Classes {
-		class, err := parseClass(c, d.Freshness[i])
+	for i, c := range parsed.Classes {
+		class, err := parseClass(c, domain.Freshness[i])
 		if err != nil {
 			return Settings{}, fmt.Errorf("settings: request_classes[%d]: %w", i, err)
 		}
-		if len(d.MaxAge) != 0 {
-			class.MaxAge = micros(d.MaxAge[i])
+		if len(domain.MaxAge) != 0 {
+			class.MaxAge = micros(domain.MaxAge[i])
 		}
 		cfg.Classes = append(cfg.Classes, class)
 	}
-	for _, t := range j.Tenants {
+	for _, t := range parsed.Tenants {
 		cfg.Tenants = append(cfg.Tenants, logic.Tenant{Name: t.Name, Quota: t.Quota})
 	}
-	return Settings{Config: cfg, Origin: micros(d.Origin), Fields: j.Reporting.Fields,
-		Zones: j.Zones, IdleClose: micros(l.IdleClose), ConnectTimeout: micros(l.ConnectTime)}, nil
+	return Settings{Config: cfg, PositionOrigin: micros(domain.Origin), ReportFields: parsed.Reporting.Fields,
+		Zones: parsed.Zones, IdleClose: micros(limits.IdleClose), ConnectTimeout: micros(limits.ConnectTime)}, nil
 }
 
-// listBound gives by when a change of the list has to be known. A service that is asked has askWithin between two calls, four times as
-// long behind one that failed, and never more than the platform's bound. An agent on the own machine has told what it has got, so there
-// the time in which a drain has to be heeded runs from that moment, and asking it costs nothing.
-func listBound(asked bool, askWithin, drain time.Duration) time.Duration {
+// listMaxDelay returns the time within which a change of the member list must be known. A polled service is called every
+// pollInterval, and after four times as long if a call failed, but the delay never exceeds the platform's bound. An agent on
+// the same machine pushes changes as it gets them, so the time allowed for a drain starts at that moment, and polling the
+// agent costs nothing.
+func listMaxDelay(polled bool, pollInterval, drainDelay time.Duration) time.Duration {
 	bound := limit.DefaultMaxDelay
-	if asked && askWithin > 0 {
-		bound = min(bound, askAgain*askWithin)
-	} else if !asked && drain > 0 {
-		bound = min(bound, drain)
+	if polled && pollInterval > 0 {
+		bound = min(bound, failedPollIntervals*pollInterval)
+	} else if !polled && drainDelay > 0 {
+		bound = min(bound, drainDelay)
 	}
-	return max(bound, leastBound)
+	return max(bound, minListDelay)
 }
 
 const (
-	askAgain   = 4                      // so many times askWithin holds the list behind a call that failed
-	leastBound = 300 * time.Millisecond // below, calls would follow each other without a pause
+	failedPollIntervals = 4                      // the list stays valid for so many poll intervals after a failed call
+	minListDelay        = 300 * time.Millisecond // with a shorter delay, calls would follow each other without a pause
 )
 
 func parseClass(c classJSON, freshness string) (logic.Class, error) {
-	read, err1 := word("freshness", freshness, map[string]logic.Freshness{"any": logic.Any,
+	read, err1 := parseEnum("freshness", freshness, map[string]logic.Freshness{"any": logic.Any,
 		"bounded": logic.Bounded, "session": logic.Session, "fresh": logic.Fresh, "write": logic.Write})
-	effect, err2 := word("effect", c.Effect, map[string]logic.Effect{
+	effect, err2 := parseEnum("effect", c.Effect, map[string]logic.Effect{
 		"free": logic.Idempotent, "guarded": logic.Guarded, "single_shot": logic.SingleShot})
-	scope, err3 := word("key_scope", c.Scope, map[string]logic.KeyScope{
+	scope, err3 := parseEnum("key_scope", c.Scope, map[string]logic.KeyScope{
 		"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell})
 	if err := errors.Join(err1, err2, err3); err != nil {
 		return logic.Class{}, err
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -30,7 +30,7 @@
 		c.LagCheck != logic.LagCheckWait || c.ListRole != logic.ListRoleLate ||
 		c.Classes[0].MaxAge != 800*time.Millisecond || c.Classes[1].Scope != logic.ScopeCell ||
 		c.Classes[1].DedupWindow != 1200*time.Millisecond || c.Tenants[0].Quota != 12.5 ||
-		c.OverloadMultiple != 3 || s.Origin != 613484020636*time.Microsecond || len(s.Fields) != 2 {
+		c.OverloadMultiple != 3 || s.PositionOrigin != 613484020636*time.Microsecond || len(s.ReportFields) != 2 {
 		t.Errorf("%+v", s)
 	}
 	for want, text := range map[string]string{
@@ -49,13 +49,13 @@
 const config = `{"name": "n3", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
  "limits": {"memory_mb": 192, "sockets": 1024}, "settings": ` + sample + `}`
 
-// The configuration that the README starts the proxy with.
+// The README starts the proxy with this configuration.
 func TestExampleIsUsable(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/example.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c, err := ParseConfig(text); err != nil || len(c.Known.Instances) != 1 || len(c.Settings.Config.Classes) != 5 ||
+	if c, err := ParseConfig(text); err != nil || len(c.KnownDatabases.Instances) != 1 || len(c.Settings.Config.Classes) != 5 ||
 		c.Settings.IdleClose != 30*time.Second || c.Settings.ConnectTimeout != 250*time.Millisecond {
 		t.Errorf("%+v, error %v", c, err)
 	}
@@ -63,7 +63,7 @@
 
 func TestConfig(t *testing.T) {
 	c, err := ParseConfig([]byte(config))
-	if err != nil || c.Settings.Config.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.Known.Generation != discovery.NoList {
+	if err != nil || c.Settings.Config.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.KnownDatabases.Generation != discovery.NoList {
 		t.Errorf("%+v, error %v", c, err)
 	}
 	for want, text := range map[string]string{
@@ -80,7 +80,7 @@
 	}
 }
 
-// Each setting that can't be meant is told in one line that names its key.
+// Each invalid setting is reported in one line that names its key.
 func TestASettingThatCantBeMeantIsNamed(t *testing.T) {
 	for _, c := range []struct{ want, from, to string }{
 		{"request_classes", `"request_classes": [`, `"request_classes": [], "others": [`},
@@ -124,19 +124,19 @@
 	}
 }
 
-// The time in which a change has to be known comes of the settings.
+// The maximum delay of list changes depends on the settings.
 func TestTheBoundOnListsComesOfTheSettings(t *testing.T) {
-	for want, c := range map[time.Duration]struct {
-		asked          bool
-		within, drains time.Duration
+	for want, test := range map[time.Duration]struct {
+		polled          bool
+		interval, drain time.Duration
 	}{
 		6 * time.Second:        {true, 10 * time.Second, 2 * time.Second},
 		2 * time.Second:        {true, 500 * time.Millisecond, 5 * time.Second},
 		time.Second:            {false, 10 * time.Second, time.Second},
 		300 * time.Millisecond: {false, 0, 10 * time.Millisecond},
 	} {
-		if got := listBound(c.asked, c.within, c.drains); got != want {
-			t.Errorf("%+v: %v, want %v", c, got, want)
+		if got := listMaxDelay(test.polled, test.interval, test.drain); got != want {
+			t.Errorf("%+v: %v, want %v", test, got, want)
 		}
 	}
 }
--- a/internal/wire/sim/frames.go
+++ b/internal/wire/sim/frames.go
@@ -160,21 +160,19 @@
 // record is one event or action record. Its methods read and write fields at byte offsets.
 type record []byte
 
-func (r record) u8(offset int) uint8   { return r[offset] }
-func (r record) u16(offset int) uint16 { return binary.LittleEndian.Uint16(r[offset:]) }
-func (r record) u32(offset int) uint32 { return binary.LittleEndian.Uint32(r[offset:]) }
-func (r record) u64(offset int) uint64 { return binary.LittleEndian.Uint64(r[offset:]) }
-func (r record) f32(offset int) float32 {
-	return math.Float32frombits(binary.LittleEndian.Uint32(r[offset:]))
+func (r record) u8(off int) uint8   { return r[off] }
+func (r record) u16(off int) uint16 { return binary.LittleEndian.Uint16(r[off:]) }
+func (r record) u32(off int) uint32 { return binary.LittleEndian.Uint32(r[off:]) }
+func (r record) u64(off int) uint64 { return binary.LittleEndian.Uint64(r[off:]) }
+func (r record) f32(off int) float32 {
+	return math.Float32frombits(binary.LittleEndian.Uint32(r[off:]))
 }
 
-func (r record) micros(offset int) time.Duration {
-	return time.Duration(r.u32(offset)) * time.Microsecond
-}
+func (r record) micros(off int) time.Duration { return time.Duration(r.u32(off)) * time.Microsecond }
 
 // member decodes an IPv4 address and a port as one opaque member id.
-func (r record) member(offset int) logic.MemberID {
-	return logic.MemberID(uint64(binary.BigEndian.Uint32(r[offset:]))<<16 | uint64(r.u16(offset+4)))
+func (r record) member(off int) logic.MemberID {
+	return logic.MemberID(uint64(binary.BigEndian.Uint32(r[off:]))<<16 | uint64(r.u16(off+4)))
 }
 
 // slice returns the part of the tail that begins at offset and holds count units of unit bytes each. It returns an
@@ -395,15 +393,15 @@
 	return rec
 }
 
-func (r record) putU32(offset int, v uint32) { binary.LittleEndian.PutUint32(r[offset:], v) }
-func (r record) putU64(offset int, v uint64) { binary.LittleEndian.PutUint64(r[offset:], v) }
-func (r record) putMember(offset int, m logic.MemberID) {
-	binary.BigEndian.PutUint32(r[offset:], uint32(m>>16))
-	binary.LittleEndian.PutUint16(r[offset+4:], uint16(m))
+func (r record) putU32(off int, v uint32) { binary.LittleEndian.PutUint32(r[off:], v) }
+func (r record) putU64(off int, v uint64) { binary.LittleEndian.PutUint64(r[off:], v) }
+func (r record) putMember(off int, m logic.MemberID) {
+	binary.BigEndian.PutUint32(r[off:], uint32(m>>16))
+	binary.LittleEndian.PutUint16(r[off+4:], uint16(m))
 }
 
-func (r record) putMicros(offset int, d time.Duration) {
-	r.putU32(offset, uint32(min(max(d/time.Microsecond, 0), math.MaxUint32)))
+func (r record) putMicros(off int, d time.Duration) {
+	r.putU32(off, uint32(min(max(d/time.Microsecond, 0), math.MaxUint32)))
 }
 
 // Send implements logic.Actions.
