--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -18,7 +18,7 @@
 )
 
 // holdRequests makes routers hold requests while their group has no primary.
-var holdRequests = flag.Bool("hold", false, "hold requests that need a primary while there is none, where that pays")
+var holdRequests = flag.Bool("hold", false, "hold requests that need a primary while there is none, if that is expected to pay off")
 
 func main() {
 	flag.Parse()
--- a/internal/wire/settings/replacement.go
+++ b/internal/wire/settings/replacement.go
@@ -54,7 +54,7 @@
 }
 
 // checkCovered returns an error if next lacks a key of old, also in nested objects, or has a value of another type. Each
-// object in a list must have the keys that all objects of the old list have.
+// entry of a list must have the keys that all entries of the old list have; lists of anything but objects are not compared.
 func checkCovered(path string, old, next any) error {
 	switch before := old.(type) {
 	case map[string]any:
--- a/internal/wire/sim/frames.go
+++ b/internal/wire/sim/frames.go
@@ -433,10 +433,10 @@
 }
 
 // SetTimer implements logic.Actions.
-func (e *Encoder) SetTimer(id logic.TimerID, offset time.Duration) {
+func (e *Encoder) SetTimer(id logic.TimerID, at time.Duration) {
 	rec := e.appendRecord(actionSetTimer)
 	rec.putU64(5, uint64(id))
-	rec.putU64(13, uint64((offset+time.Microsecond-1)/time.Microsecond))
+	rec.putU64(13, uint64((at+time.Microsecond-1)/time.Microsecond))
 }
 
 // WatchList implements logic.Actions.
