--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -109,7 +109,7 @@
 	s, err := settings.Parse(e.Settings, e.Seed)
 	if err == nil {
 		s.Config.Handover.Hold = *hold
-		in.scale = sim.Scale{Origin: s.Origin, Fields: s.Fields}
+		in.scale = sim.Scale{Origin: s.OriginTime, Fields: s.ReportFields}
 		in.router, err = logic.New(s.Config, &h.out)
 	}
 	if err != nil {
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -144,7 +144,7 @@
 		func(c *cobra.Command, _ *policyFlags, cl *client.Client, args []string) error {
 			n := parseNumber(args[0])
 			for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-				a, err := cl.Do(c.Context(), tier.Ask{Do: tier.DoAbort, Number: n})
+				a, err := cl.Do(c.Context(), tier.OperatorRequest{Action: tier.ActionAbort, Number: n})
 				if err != nil || a.State == nil {
 					continue
 				}
--- a/internal/cli/policy_members.go
+++ b/internal/cli/policy_members.go
@@ -19,7 +19,7 @@
 func expelCommand() *cobra.Command {
 	return plannerCommand("expel NAME", "Remove a proxy that has ended for good from the tier: once its lease has expired, or at once in a tier without leases, so make sure that it has ended",
 		func(c *cobra.Command, _ *policyFlags, cl *client.Client, args []string) error {
-			a, err := cl.Do(c.Context(), tier.Ask{Do: tier.DoExpel, Name: args[0]})
+			a, err := cl.Do(c.Context(), tier.OperatorRequest{Action: tier.ActionExpel, Name: args[0]})
 			if err != nil {
 				return err
 			}
@@ -69,7 +69,7 @@
 						return nil
 					}
 					if !asked {
-						a, err := cl.Do(c.Context(), tier.Ask{Do: tier.DoReplace, Number: rollout.Number(old), Nonce: id, Name: address})
+						a, err := cl.Do(c.Context(), tier.OperatorRequest{Action: tier.ActionReplace, Number: rollout.Number(old), Nonce: id, Name: address})
 						if err != nil {
 							continue
 						}
--- a/internal/cli/policy_propose.go
+++ b/internal/cli/policy_propose.go
@@ -57,7 +57,7 @@
 		}
 	}
 	startedAt, nonce := time.Now(), rand.Uint64()|1
-	answer, err := cl.Propose(ctx, tier.Ask{Do: tier.DoPropose, Policy: text, Why: why, Nonce: nonce, Hash: policy.Hash(text)}, f.wait)
+	answer, err := cl.Propose(ctx, tier.OperatorRequest{Action: tier.ActionPropose, Policy: text, Comment: why, Nonce: nonce, Hash: policy.Hash(text)}, f.wait)
 	if err != nil {
 		return exitError{exitUndecided, err.Error()}
 	}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -87,8 +87,8 @@
 		switch {
 		case err != nil:
 			return "", fmt.Errorf("no console at %s: the proxy's operator's file must enable it with console(enabled = True): %w", address, err)
-		case rows.Err != "":
-			return "", fmt.Errorf("%w: %s", errUsage, rows.Err)
+		case rows.ErrorText != "":
+			return "", fmt.Errorf("%w: %s", errUsage, rows.ErrorText)
 		}
 		if i > 0 {
 			fmt.Fprintln(&out)
@@ -100,7 +100,7 @@
 }
 
 // writeTable formats a result set.
-func writeTable(out io.Writer, r *pg.Rows) {
+func writeTable(out io.Writer, r *pg.ResultSet) {
 	if len(r.Rows) == 0 {
 		fmt.Fprintln(out, "  (nothing)")
 		return
@@ -119,12 +119,12 @@
 }
 
 // query sends a message and reads the answer up to ReadyForQuery.
-func (c *consoleConn) query(message []byte) (*pg.Rows, error) {
+func (c *consoleConn) query(message []byte) (*pg.ResultSet, error) {
 	if _, err := c.conn.Write(message); err != nil {
 		return nil, err
 	}
-	r := &pg.Rows{}
-	for !r.Ended {
+	r := &pg.ResultSet{}
+	for !r.Complete {
 		m, n, err := pg.Next(c.buf)
 		if err != nil {
 			return nil, err
@@ -139,8 +139,8 @@
 		chunk := make([]byte, 8192)
 		n, err = c.conn.Read(chunk)
 		if err != nil {
-			if r.Err != "" {
-				return nil, fmt.Errorf("%s: %s", r.Code, r.Err)
+			if r.ErrorText != "" {
+				return nil, fmt.Errorf("%s: %s", r.ErrorCode, r.ErrorText)
 			}
 			return nil, err
 		}
--- a/internal/lab/largefleet/clients.go
+++ b/internal/lab/largefleet/clients.go
@@ -153,7 +153,7 @@
 			}
 			buf = append(buf, chunk[:got]...)
 			continue
-		case reply.Ready() && (reply.Served() || reply.Code != ""):
+		case reply.Ready() && (reply.Complete() || reply.ErrorCode != ""):
 			return outcomeOf(&reply), nil
 		case reply.Ready():
 			reply.Reset()
@@ -163,10 +163,10 @@
 }
 
 func outcomeOf(reply *pg.Reply) Outcome {
-	switch reply.Code {
+	switch reply.ErrorCode {
 	case "":
 		return Served
-	case pg.CodeTooMany, pg.CodeNotNow:
+	case pg.CodeTooManyConnections, pg.CodeCannotConnectNow:
 		return Refused
 	}
 	return Failed
--- a/internal/lab/load/conn.go
+++ b/internal/lab/load/conn.go
@@ -177,7 +177,7 @@
 		case 'E':
 			code, detail := field(m.Body, 'C'), field(m.Body, 'D')
 			a.kind = failed
-			if code == pg.CodeTooMany || code == pg.CodeNotNow {
+			if code == pg.CodeTooManyConnections || code == pg.CodeCannotConnectNow {
 				a.kind = refused
 			}
 			hint, _ := strconv.Atoi(detail)
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -42,12 +42,12 @@
 					buf = append(buf, chunk[:n]...)
 					for {
 						if !opened {
-							_, n, err := pg.NextOpening(buf)
+							_, n, err := pg.NextStartup(buf)
 							if n == 0 || err != nil {
 								break
 							}
 							opened, buf = true, buf[n:]
-							c.Write(pg.AppendWelcome(nil))
+							c.Write(pg.AppendStartupResponse(nil))
 							continue
 						}
 						m, n, err := pg.Next(buf)
@@ -70,7 +70,7 @@
 }
 
 func row(value string) []byte {
-	return pg.AppendTable(nil, []string{"val"}, [][]string{{value}}, "SELECT 1", 1<<16)
+	return pg.AppendResultSet(nil, []string{"val"}, [][]string{{value}}, "SELECT 1", 1<<16)
 }
 
 func config(address string) Config {
--- a/internal/lab/load/stall_test.go
+++ b/internal/lab/load/stall_test.go
@@ -62,13 +62,13 @@
 		}
 		buf = append(buf, chunk[:n]...)
 		if !opened {
-			_, n, err := pg.NextOpening(buf)
+			_, n, err := pg.NextStartup(buf)
 			if n == 0 || err != nil {
 				return
 			}
 			opened, buf = true, buf[n:]
 			p.stall()
-			c.Write(pg.AppendWelcome(nil))
+			c.Write(pg.AppendStartupResponse(nil))
 		}
 		for {
 			m, n, err := pg.Next(buf)
@@ -91,7 +91,7 @@
 	value := id + "@1"
 	row := append([]byte{0, 1, 0, 0, byte(len(value) >> 8), byte(len(value))}, value...)
 	out := append([]byte{'D', 0, 0, byte((len(row) + 4) >> 8), byte(len(row) + 4)}, row...)
-	return pg.AppendReady(append(out, "C\x00\x00\x00\x0dSELECT 1\x00"...))
+	return pg.AppendReadyForQuery(append(out, "C\x00\x00\x00\x0dSELECT 1\x00"...))
 }
 
 // A proxy that stalls for exactly a second, from 4 s to 5 s of a run of 10 s, asked each 10 ms: 1,000 requests. All but those due
--- a/internal/lab/scale/calculate/messages.go
+++ b/internal/lab/scale/calculate/messages.go
@@ -68,7 +68,7 @@
 func Encode(in Inputs) (m Messages, err error) {
 	m.ProbeQuery = len(pg.AppendQuery(nil, "SHOW load"))
 	const report = "x0=1767225600.123456,x1=0,inflight=12" // as docs/design.md describes an answer to SHOW load
-	m.ProbeReply = len(pg.AppendTable(nil, []string{"val"}, [][]string{{report}}, "SELECT 1", 1<<16))
+	m.ProbeReply = len(pg.AppendResultSet(nil, []string{"val"}, [][]string{{report}}, "SELECT 1", 1<<16))
 	if err := m.encodeLists(in); err != nil {
 		return m, err
 	}
@@ -109,7 +109,7 @@
 
 func (m *Messages) encodePeers() {
 	fact := gossip.Report{Database: 0x5be2a07c, Role: gossip.Replica, At: time.Second, Position: time.Second}
-	facts := make([]gossip.Report, peers.MaxFacts)
+	facts := make([]gossip.Report, peers.MaxReports)
 	for i := range facts {
 		facts[i] = fact
 	}
@@ -140,7 +140,7 @@
 		{&m.MembersChange, rollout.Message{Kind: rollout.Members, Member: exampleMember, MembersVersion: exampleVersion, BaseVersion: exampleVersion - 2,
 			Members: entries[:1], RemovedMembers: []rollout.Member{exampleMember - 1}}},
 	} {
-		frame, err := tier.Append(nil, &tier.Frame{Tier: &x.message})
+		frame, err := tier.Append(nil, &tier.Frame{Rollout: &x.message})
 		if err != nil {
 			return err
 		}
@@ -171,11 +171,11 @@
 		return err
 	}
 	m.State = len(text)
-	answer := tier.Answer{Planner: 1, Leader: 1, State: &state, Planners: []uint64{1, 2, 3}}
+	answer := tier.OperatorResponse{Planner: 1, Leader: 1, State: &state, Planners: []uint64{1, 2, 3}}
 	for _, seat := range state.Members {
 		answer.Members = append(answer.Members, rollout.MemberInfo{Name: seat.Name, Member: seat.Member, Number: exampleNumber, Linked: true, SinceLastMessage: in.Lease / asksInLease, LeaseRemaining: in.Lease})
 	}
-	frame, err := tier.Append(nil, &tier.Frame{Answer: &answer})
+	frame, err := tier.Append(nil, &tier.Frame{Response: &answer})
 	m.Status = len(frame)
 	return err
 }
--- a/internal/lab/scenario/tier.go
+++ b/internal/lab/scenario/tier.go
@@ -28,7 +28,7 @@
 func SetPeers(t *virtual.Tier, on bool) {
 	t.Peers = 0
 	if on {
-		t.Peers = wire.MaxFacts
+		t.Peers = wire.MaxReports
 	}
 }
 
--- a/internal/lab/standin/encode.go
+++ b/internal/lab/standin/encode.go
@@ -34,15 +34,15 @@
 	case fleet.Served:
 		return appendRow(dst, id+"@"+strconv.FormatInt(atMs, 10), role, atMs)
 	case fleet.NotPrimary:
-		dst = append(dst, errorOf(pg.CodeReadOnly, "this is no primary")...)
+		dst = append(dst, errorOf(pg.CodeReadOnlyTransaction, "this is no primary")...)
 	case fleet.TooFarBack:
-		dst = append(dst, errorOf(pg.CodeTooFarBack, "too far behind")...)
+		dst = append(dst, errorOf(pg.CodeSnapshotTooOld, "too far behind")...)
 	case fleet.TurnedAway:
-		dst = append(dst, errorOf(pg.CodeTooMany, "turned away")...)
+		dst = append(dst, errorOf(pg.CodeTooManyConnections, "turned away")...)
 	default:
 		dst = append(dst, errorOf("XX000", "deposed")...)
 	}
-	return pg.AppendReady(appendParams(dst, role, atMs))
+	return pg.AppendReadyForQuery(appendParams(dst, role, atMs))
 }
 
 // Instance is a database as discovery lists it.
@@ -94,7 +94,7 @@
 		return append(b, value...)
 	})
 	dst = message(dst, 'C', func(b []byte) []byte { return append(b, "SELECT 1\x00"...) })
-	return pg.AppendReady(appendParams(dst, role, atMs))
+	return pg.AppendReadyForQuery(appendParams(dst, role, atMs))
 }
 
 func appendParams(dst []byte, role string, atMs int64) []byte {
--- a/internal/lab/standin/postgres.go
+++ b/internal/lab/standin/postgres.go
@@ -112,22 +112,22 @@
 func (s *session) postgres() {
 	w := s.db.w
 	for {
-		opening, err := take(s, func(b []byte) (pg.Opening, int, error) { return pg.NextOpening(b) })
+		opening, err := take(s, func(b []byte) (pg.StartupKind, int, error) { return pg.NextStartup(b) })
 		if err != nil {
 			return
 		}
-		if opening == pg.OpenEncrypted {
+		if opening == pg.StartupEncryption {
 			s.write(pg.AppendRefuseEncryption(nil))
 			continue
 		}
-		if opening == pg.OpenCancel {
+		if opening == pg.StartupCancel {
 			return
 		}
 		s.openingRead = len(s.out)
 		break
 	}
 	if !s.hung() {
-		welcome := pg.AppendWelcome(nil)
+		welcome := pg.AppendStartupResponse(nil)
 		s.openingWritten = len(welcome)
 		s.write(welcome)
 	}
@@ -139,7 +139,7 @@
 			return
 		}
 		if m.Type != pg.TypeQuery {
-			s.write(pg.AppendFatal(nil, pg.CodeProtocol, "simple queries only"))
+			s.write(pg.AppendFatal(nil, pg.CodeProtocolViolation, "simple queries only"))
 			return
 		}
 		text, err := pg.QueryText(m)
@@ -160,7 +160,7 @@
 	w := s.db.w
 	switch trimmed := strings.Trim(text, " \t\r\n;"); {
 	case trimmed == "":
-		s.write(pg.AppendEmpty(nil))
+		s.write(pg.AppendEmptyQueryResponse(nil))
 		return t
 	case strings.EqualFold(trimmed, "SELECT 1"), strings.EqualFold(trimmed, "SHOW load"):
 		s.countQuery(ProbeTraffic, size)
@@ -179,7 +179,7 @@
 	st, err := pg.ParseStatement(text)
 	t, ok := s.submit(&st.Hints, func(class int, r fleet.Reply) { s.answer(RequestTraffic, w.encode(st.ID, class, r)) })
 	if err != nil || !ok {
-		s.write(pg.AppendReady(errorOf("08P01", "not a statement of this deployment")))
+		s.write(pg.AppendReadyForQuery(errorOf("08P01", "not a statement of this deployment")))
 	}
 	return t
 }
@@ -192,12 +192,12 @@
 		return t, false
 	}
 	w.With(func(now time.Duration, f *fleet.Fleet) {
-		q := fleet.Query{Class: class, Key: h.Key, Deadline: now + h.Wait}
-		if !h.Waits {
+		q := fleet.Query{Class: class, Key: h.Key, Deadline: now + h.Timeout}
+		if !h.HasTimeout {
 			q.Deadline = now + w.cfg.Classes[class].Limit
 		}
-		if h.After > 0 {
-			q.After = time.UnixMilli(h.After).Sub(w.start)
+		if h.LastCommit > 0 {
+			q.After = time.UnixMilli(h.LastCommit).Sub(w.start)
 		}
 		t = f.Submit(now, s.db.id, q, func(r fleet.Reply) { answer(class, r) })
 	})
--- a/internal/lab/tier/cost.go
+++ b/internal/lab/tier/cost.go
@@ -117,7 +117,7 @@
 			return err
 		}
 		x.Changes++
-		if a, err := cl.Propose(ctx, tier.Ask{Do: tier.DoPropose, Policy: text, Why: "measured", Nonce: uint64(x.Changes)}, time.Second); err != nil || a.Error != "" {
+		if a, err := cl.Propose(ctx, tier.OperatorRequest{Action: tier.ActionPropose, Policy: text, Comment: "measured", Nonce: uint64(x.Changes)}, time.Second); err != nil || a.Error != "" {
 			return fmt.Errorf("a change was refused: %s %w", a.Error, err)
 		}
 	}
--- a/internal/lab/tier/links.go
+++ b/internal/lab/tier/links.go
@@ -53,7 +53,7 @@
 	var out []byte
 	for _, m := range s.proxy.TakeMessages() {
 		var err error
-		if out, err = tier.Append(out, &tier.Frame{Tier: &m}); err != nil {
+		if out, err = tier.Append(out, &tier.Frame{Rollout: &m}); err != nil {
 			return err
 		}
 	}
@@ -132,12 +132,12 @@
 			r := bufio.NewReader(countReader{conn, &heard})
 			for {
 				f, err := tier.Read(r)
-				if err != nil || f.Tier == nil {
+				if err != nil || f.Rollout == nil {
 					closed.Add(1)
 					return
 				}
 				s.mu.Lock()
-				s.proxy.Receive(time.Since(began), *f.Tier)
+				s.proxy.Receive(time.Since(began), *f.Rollout)
 				switches := s.proxy.TakeSwitches()
 				s.flush(&sent)
 				s.mu.Unlock()
@@ -186,7 +186,7 @@
 	for i := range l.Changes {
 		sleep(ctx, time.Until(from.Add(l.For*time.Duration(i)/time.Duration(l.Changes))))
 		start := time.Now()
-		a, err := cl.Propose(ctx, tier.Ask{Do: tier.DoPropose, Policy: make([]byte, l.Size), Why: "measured", Nonce: rand.Uint64() | 1}, 5*time.Second)
+		a, err := cl.Propose(ctx, tier.OperatorRequest{Action: tier.ActionPropose, Policy: make([]byte, l.Size), Comment: "measured", Nonce: rand.Uint64() | 1}, 5*time.Second)
 		if err != nil || a.Error != "" {
 			return c, errors.Join(err, errors.New("a change was refused"))
 		}
--- a/internal/lab/tier/relay.go
+++ b/internal/lab/tier/relay.go
@@ -177,7 +177,7 @@
 		}
 		buf = append(buf, chunk[:n]...)
 		for {
-			size, err := tier.Whole(buf)
+			size, err := tier.FrameSize(buf)
 			if err != nil {
 				return
 			}
--- a/internal/lab/tier/run.go
+++ b/internal/lab/tier/run.go
@@ -112,7 +112,7 @@
 		if err != nil {
 			return nil, err
 		}
-		a, err := cl.Propose(ctx, tier.Ask{Do: tier.DoPropose, Policy: text, Why: fmt.Sprint("change ", i), Nonce: rng.Uint64() | 1}, time.Second)
+		a, err := cl.Propose(ctx, tier.OperatorRequest{Action: tier.ActionPropose, Policy: text, Comment: fmt.Sprint("change ", i), Nonce: rng.Uint64() | 1}, time.Second)
 		if err == nil && a.State != nil {
 			note(a.State)
 		}
--- a/internal/lab/tier/tier_test.go
+++ b/internal/lab/tier/tier_test.go
@@ -349,7 +349,7 @@
 	if code := <-done; code != 0 {
 		t.Errorf("exit %d of the change that waited", code)
 	}
-	a, err := b.Client().Propose(t.Context(), tier.Ask{Do: tier.DoPropose, Policy: []byte("of a later version"), Why: "later", Nonce: 77}, time.Second)
+	a, err := b.Client().Propose(t.Context(), tier.OperatorRequest{Action: tier.ActionPropose, Policy: []byte("of a later version"), Comment: "later", Nonce: 77}, time.Second)
 	if err != nil || a.Error != "" {
 		t.Fatal(a.Error, err)
 	}
--- a/internal/lab/virtual/codec.go
+++ b/internal/lab/virtual/codec.go
@@ -18,7 +18,7 @@
 var (
 	loadQueryBytes = len(pg.AppendQuery(nil, "SHOW load"))
 	startupBytes   = len(pg.AppendStartup(nil, "client", "core"))
-	welcomeBytes   = len(pg.AppendWelcome(nil))
+	welcomeBytes   = len(pg.AppendStartupResponse(nil))
 	listErrorBytes = httpBytes([]byte("down\n"))
 )
 
--- a/internal/lab/virtual/list.go
+++ b/internal/lab/virtual/list.go
@@ -47,7 +47,7 @@
 
 func (n *node) call() {
 	w := n.w
-	n.count(noDatabase, ListMessage, Sent, listCallBytes(discovery.NoList))
+	n.count(noDatabase, ListMessage, Sent, listCallBytes(discovery.NoGeneration))
 	w.listed(n, func(ok bool) {
 		if _, _, up := w.fleet.List(w.clock.now); !ok || !up {
 			n.listFailed()
--- a/internal/lab/virtual/planner.go
+++ b/internal/lab/virtual/planner.go
@@ -161,7 +161,7 @@
 			kind = LeaseMessage
 		}
 		var err error
-		if p.buffer, err = wire.Append(p.buffer[:0], &wire.Frame{Tier: &m}); err == nil {
+		if p.buffer, err = wire.Append(p.buffer[:0], &wire.Frame{Rollout: &m}); err == nil {
 			l.n.count(noDatabase, kind, d, len(p.buffer))
 		}
 	}
--- a/internal/net/admin.go
+++ b/internal/net/admin.go
@@ -97,7 +97,7 @@
 	}
 }
 
-func (c *adminConn) carryOut(call wire.Call) {
+func (c *adminConn) carryOut(call wire.Request) {
 	s := c.a.steward
 	want := map[string]string{"/v1/readyz": "GET", "/v1/metrics": "GET", "/v1/proxy/drain": "PUT", "/v1/proxy/activate": "PUT"}[call.Path]
 	switch {
@@ -130,7 +130,7 @@
 // answer writes the last word; the connection ends once the other side has had the time to read it.
 func (c *adminConn) answer(status int, body []byte) {
 	c.done = true
-	if _, err := c.conn.Write(wire.AppendAnswer(nil, status, body)); err != nil {
+	if _, err := c.conn.Write(wire.AppendResponse(nil, status, body)); err != nil {
 		c.close()
 		return
 	}
--- a/internal/net/admin_test.go
+++ b/internal/net/admin_test.go
@@ -86,7 +86,7 @@
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(patience))
 	c.Write(pg.AppendStartup(nil, "client", "core"))
-	io.ReadFull(c, make([]byte, len(pg.AppendWelcome(nil))))
+	io.ReadFull(c, make([]byte, len(pg.AppendStartupResponse(nil))))
 	return c
 }
 
@@ -101,7 +101,7 @@
 func TestClientsAreSentAwayAndTakenAgain(t *testing.T) {
 	s, _, loop := proxy(t, "127.0.0.1:1", 8, 4)
 	idle, asking := hello(t, s.Address()), hello(t, s.Address())
-	yes := string(pg.AppendEmpty(nil))
+	yes := string(pg.AppendEmptyQueryResponse(nil))
 	if emptyQuery(idle) != yes || emptyQuery(asking) != yes {
 		t.Fatal("no before anything happened")
 	}
@@ -162,14 +162,14 @@
 	if !<-done {
 		t.Fatal("a shared socket counts as its own")
 	}
-	if got := emptyQuery(kept); got != string(pg.AppendEmpty(nil)) {
+	if got := emptyQuery(kept); got != string(pg.AppendEmptyQueryResponse(nil)) {
 		t.Errorf("a client of the one that leaves has %q", got)
 	}
 	if _, err := kept.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("kept behind its answer: %v", err)
 	}
 	for range 6 {
-		if got := emptyQuery(hello(t, ln.Addr().String())); got != string(pg.AppendEmpty(nil)) {
+		if got := emptyQuery(hello(t, ln.Addr().String())); got != string(pg.AppendEmptyQueryResponse(nil)) {
 			t.Fatalf("%q", got)
 		}
 	}
--- a/internal/net/console.go
+++ b/internal/net/console.go
@@ -101,7 +101,7 @@
 		sl.give(pg.AppendError(nil, "42601", err.Error()))
 		return
 	}
-	sl.give(pg.AppendTable(nil, t.Columns, t.Rows, "SHOW", tableMost))
+	sl.give(pg.AppendResultSet(nil, t.Columns, t.Rows, "SHOW", tableMost))
 }
 
 // queued tells how much the kernel holds that the client's machine has not taken yet.
--- a/internal/net/consul.go
+++ b/internal/net/consul.go
@@ -107,7 +107,7 @@
 }
 
 func (c *Consul) watch(ctx context.Context, s ConsulService, dc string, rng *rand.Rand) {
-	pace := consul.Pace{Agents: len(c.cfg.Agents), Rand: rng}
+	pace := consul.Pacer{Agents: len(c.cfg.Agents), Rand: rng}
 	name := sourceName(s.Name, dc)
 	var last uint64
 	for ctx.Err() == nil {
@@ -122,7 +122,7 @@
 			pause = pace.Failed()
 			c.loop.Post(func() { c.to.CatalogueFailed(name, err) })
 		} else {
-			pause = pace.Answered(time.Since(began), n.Index, n.Index != last)
+			pause = pace.Succeeded(time.Since(began), n.Index, n.Index != last)
 			last = n.Index
 			c.loop.Post(func() { c.to.UpdateCatalogue(name, n) })
 		}
@@ -157,14 +157,14 @@
 		text, _ := io.ReadAll(io.LimitReader(answer.Body, 200))
 		return n, fmt.Errorf("%s: %s", answer.Status, strings.TrimSpace(string(text)))
 	}
-	meta, err := consul.ParseMeta(answer.Header)
+	meta, err := consul.ParseResponseMeta(answer.Header)
 	if err != nil {
 		return n, err
 	}
 	n = membership.Update{Complete: true, Index: meta.Index, Lag: meta.LastContact, NoLeader: meta.NoLeader}
 	mapping := m.WithDefaults()
 	err = consul.Decode(answer.Body, c.cfg.Limits, func(i *consul.Instance) {
-		f, err := mapping.Fact(i)
+		f, err := mapping.Listing(i)
 		if err != nil {
 			n.Skipped++
 			return
--- a/internal/net/database.go
+++ b/internal/net/database.go
@@ -81,7 +81,7 @@
 
 // take implements talker.
 func (db *database) take(buf []byte) (n int, whole bool, err error) {
-	if row, long := pg.NextLongRow(buf); long && db.owes && !db.probing && db.reply.Long() {
+	if row, long := pg.NextStreamedRow(buf); long && db.owes && !db.probing && db.reply.AddStreamedRow() {
 		return 0, false, db.hand(row)
 	}
 	m, n, err := pg.Next(buf)
@@ -100,7 +100,7 @@
 
 // ended implements talker: a fatal error needs nothing behind it.
 func (db *database) ended(err error) (state.Reply, bool) {
-	if err != nil || !db.owes || db.reply.Code == "" {
+	if err != nil || !db.owes || db.reply.ErrorCode == "" {
 		return state.Reply{}, false
 	}
 	return db.outcome(), true
@@ -109,14 +109,14 @@
 // answered implements talker; the first answer ends the start of the session.
 func (db *database) answered() {
 	db.owes = false
-	if !db.up && db.reply.Code == "" {
+	if !db.up && db.reply.ErrorCode == "" {
 		db.up = true
 		db.reply.Reset()
 		db.to.Up()
 		return
 	}
 	r := db.outcome()
-	if r.Result == logic.OK && !db.reply.Served() {
+	if r.Result == logic.OK && !db.reply.Complete() {
 		db.spoilt(errNoRow)
 		return
 	}
@@ -139,15 +139,15 @@
 // outcome puts an answer into the terms of the decisions.
 func (db *database) outcome() state.Reply {
 	r := state.Reply{Result: logic.Failed, Body: db.reply.Body, Position: db.reply.Position, Role: roleOf(db.reply.Role)}
-	switch db.reply.Code {
+	switch db.reply.ErrorCode {
 	case "":
 		r.Result = logic.OK
-	case pg.CodeReadOnly, pg.CodeTooFarBack:
+	case pg.CodeReadOnlyTransaction, pg.CodeSnapshotTooOld:
 		r.Result = logic.Misdirected
-	case pg.CodeTooMany, pg.CodeNotNow:
+	case pg.CodeTooManyConnections, pg.CodeCannotConnectNow:
 		r.Result = logic.Rejected
 	default:
-		r.BadRequest = pg.Unfit(db.reply.Code)
+		r.BadRequest = pg.IsStatementError(db.reply.ErrorCode)
 	}
 	report := db.reply.Load
 	if db.probing && r.Result == logic.OK {
@@ -159,11 +159,11 @@
 
 // loadOf reads a load report.
 func loadOf(report string) state.Load {
-	l := pg.ParseReport(report)
-	if !l.Told {
+	l := pg.ParseLoadReport(report)
+	if !l.Present {
 		return state.Load{}
 	}
-	return state.Load{Known: true, Role: roleOf(l.Role), Position: l.Position, Queue: l.Queue}
+	return state.Load{Known: true, Role: roleOf(l.Role), Position: l.Position, Queue: l.QueueLength}
 }
 
 func roleOf(name string) logic.Role {
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -68,7 +68,7 @@
 
 // Fetch implements state.Watcher.
 func (d *Discovery) Fetch() {
-	d.generation = discovery.NoList
+	d.generation = discovery.NoGeneration
 	d.begin()
 }
 
@@ -175,7 +175,7 @@
 	d.readings++
 	reading := d.readings
 	go func() {
-		l, err := discovery.ParseListInSteps(body, func() { time.Sleep(bodyPause) })
+		l, err := discovery.ParseListWithPauses(body, func() { time.Sleep(bodyPause) })
 		d.loop.Post(func() {
 			if d.reading && reading == d.readings {
 				d.take(l, err, false)
@@ -197,10 +197,10 @@
 	}
 	// A list older than the one in hand would undo drains that are known. The service may as well count anew: then its whole list, asked for
 	// without a generation, is the one that counts.
-	older := d.generation != discovery.NoList && l.Generation < d.generation
+	older := d.generation != discovery.NoGeneration && l.Generation < d.generation
 	if d.first = older; older {
 		slog.Warn("discovery tells an older list than the one in hand; the whole list is asked for", "generation", l.Generation, "in_hand", d.generation)
-		l.Generation = discovery.NoList
+		l.Generation = discovery.NoGeneration
 	}
 	d.generation = l.Generation
 	if d.watching {
@@ -216,7 +216,7 @@
 // ListOf puts a list into the terms of the state.
 func ListOf(l discovery.List) state.List {
 	out := state.List{Kind: logic.ListDelta}
-	if l.Whole {
+	if l.Full {
 		out.Kind = logic.ListFull
 	}
 	for _, e := range l.Instances {
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -111,7 +111,7 @@
 		s.astray++
 	}
 	path := strings.Fields(string(b))[1]
-	l.after = discovery.NoList
+	l.after = discovery.NoGeneration
 	wait := time.Duration(0)
 	if _, query, found := strings.Cut(path, "?"); found {
 		for _, kv := range strings.Split(query, "&") {
@@ -126,7 +126,7 @@
 	}
 	switch s.mood {
 	case answers:
-		if l.after == discovery.NoList || l.after < s.gen {
+		if l.after == discovery.NoGeneration || l.after < s.gen {
 			s.later(s.some(200*time.Millisecond), l.tell)
 			break
 		}
@@ -151,7 +151,7 @@
 func (l *line) tell() {
 	s := l.s
 	entries := []string{}
-	news := l.after == discovery.NoList || l.after < s.gen
+	news := l.after == discovery.NoGeneration || l.after < s.gen
 	for _, name := range s.gone {
 		if !news {
 			break
@@ -238,7 +238,7 @@
 	}
 	s.loop = &Loop{clock: s.clock, deadlines: &s.front.Deadlines, wake: make(chan struct{}, 1)}
 	s.address = "discovery:1"
-	d := NewDiscovery(s.loop, s.clock, s.front, s.address, discovery.NoList, bound)
+	d := NewDiscovery(s.loop, s.clock, s.front, s.address, discovery.NoGeneration, bound)
 	d.dial = s.dial
 	s.discovery = d
 	s.front.Start(d, state.List{})
--- a/internal/net/ending_test.go
+++ b/internal/net/ending_test.go
@@ -88,7 +88,7 @@
 		var queries atomic.Int64
 		database := listen(t, func(conn stdnet.Conn) {
 			<-come
-			conn.Write(pg.AppendWelcome(nil))
+			conn.Write(pg.AppendStartupResponse(nil))
 			in := make([]byte, 4096)
 			for {
 				n, err := conn.Read(in)
--- a/internal/net/long_list_test.go
+++ b/internal/net/long_list_test.go
@@ -38,7 +38,7 @@
 	_, front, loop := proxy(t, "127.0.0.1:1", 4, 4)
 	moved := make(chan struct{})
 	loop.Post(func() {
-		d := NewDiscovery(loop, front.Clock(), front, old, discovery.NoList, 0)
+		d := NewDiscovery(loop, front.Clock(), front, old, discovery.NoGeneration, 0)
 		d.Fetch()
 		var look func()
 		look = func() {
--- a/internal/net/mysql_client.go
+++ b/internal/net/mysql_client.go
@@ -190,17 +190,17 @@
 	if err != nil && m.own(c, text) {
 		return
 	}
-	if len(h.Refs) > 0 {
+	if len(h.ParamRefs) > 0 {
 		err = routing.ErrStatement
 	}
 	if err == nil || len(attributes) > 0 {
 		err = attribute(&h, attributes)
 	}
-	if err != nil || h.Class == "" || !h.Grouped {
+	if err != nil || h.Class == "" || !h.HasGroup {
 		m.refuse(c, mysql.ErrFailed, errNoHints.Error())
 		return
 	}
-	m.take(c, &h, &mysqlQuery{text: text, waitAt: h.WaitAt, waitEnd: h.WaitEnd, rows: asksRows(text)})
+	m.take(c, &h, &mysqlQuery{text: text, waitAt: h.TimeoutStart, waitEnd: h.TimeoutEnd, rows: asksRows(text)})
 }
 
 // asksRows tells that a text asks for rows for sure: then an OK is none of its answers. SELECT ... INTO has no rows, and
@@ -232,11 +232,11 @@
 
 // take gives a request to the front. What it doesn't say has a default: a name of its own, the class's limit, no session.
 func (m *mysqlSpeaker) take(c *client, h *routing.Hints, cmd state.Command) bool {
-	wait := h.Wait
-	if !h.Waits {
+	wait := h.Timeout
+	if !h.HasTimeout {
 		wait = c.s.front.ClassLimit(h.Class)
 	}
-	err := c.take(&slot{c: c}, state.Request{Name: h.ID, Class: h.Class, Wait: wait, Session: h.Session, Group: h.Group, LastCommit: h.After,
+	err := c.take(&slot{c: c}, state.Request{Name: h.ID, Class: h.Class, Wait: wait, Session: h.Session, Group: h.Group, LastCommit: h.LastCommit,
 		Retry: h.Retry, Command: cmd})
 	if err != nil {
 		m.refuse(c, mysql.ErrFailed, err.Error())
@@ -250,7 +250,7 @@
 		return
 	}
 	h, err := routing.Parse(text)
-	if err != nil || h.Class == "" || !h.Grouped {
+	if err != nil || h.Class == "" || !h.HasGroup {
 		m.refuse(c, mysql.ErrFailed, errFixedGroup.Error())
 		return
 	}
@@ -262,7 +262,7 @@
 	}
 	// Preparing has no session and no key: whoever may run it may prepare it.
 	m.preparing = st
-	ask := routing.Hints{Class: h.Class, Group: h.Group, Wait: h.Wait, Waits: h.Waits}
+	ask := routing.Hints{Class: h.Class, Group: h.Group, Timeout: h.Timeout, HasTimeout: h.HasTimeout}
 	if !m.take(c, &ask, &mysqlPrepare{text}) {
 		m.preparing = nil
 	}
@@ -309,8 +309,8 @@
 		return nil
 	}
 	cmd := &mysqlExecute{text: st.text, params: st.params, x: x, long: st.long, wait: -1}
-	for _, r := range h.Refs {
-		if r.Word == "d" {
+	for _, r := range h.ParamRefs {
+		if r.Name == "d" {
 			cmd.wait = r.Param
 		}
 	}
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -113,11 +113,11 @@
 	t.Helper()
 	return listen(t, func(conn stdnet.Conn) {
 		peer := &peer{conn: conn}
-		if _, err := peer.next(func(b []byte) (int, error) { _, n, err := pg.NextOpening(b); return n, err }); err != nil {
+		if _, err := peer.next(func(b []byte) (int, error) { _, n, err := pg.NextStartup(b); return n, err }); err != nil {
 			return
 		}
 		up()
-		conn.Write(pg.AppendWelcome(nil))
+		conn.Write(pg.AppendStartupResponse(nil))
 		for {
 			m, err := peer.message()
 			if err != nil {
@@ -134,7 +134,7 @@
 func row(text string) []byte {
 	value := append([]byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, text...)
 	out := append([]byte{'D', 0, 0, byte((len(value) + 4) >> 8), byte(len(value) + 4)}, value...)
-	return pg.AppendReady(append(out, "C\x00\x00\x00\x0dSELECT 1\x00"...))
+	return pg.AppendReadyForQuery(append(out, "C\x00\x00\x00\x0dSELECT 1\x00"...))
 }
 
 func echo(conn stdnet.Conn, text string) bool {
@@ -246,7 +246,7 @@
 	p := dial(t, s)
 	in := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), strings.Replace(query("a"), "d=15000", "d=0", 1))
 	p.conn.Write(pg.AppendQuery(in, query("b")))
-	if types, bodies := p.said(len(welcome) + 5); types != welcome+"EZDCZ" || !strings.Contains(bodies[6], "C"+pg.CodeTooMany) {
+	if types, bodies := p.said(len(welcome) + 5); types != welcome+"EZDCZ" || !strings.Contains(bodies[6], "C"+pg.CodeTooManyConnections) {
 		t.Errorf("%q, %q", types, bodies)
 	}
 }
@@ -261,7 +261,7 @@
 		in := append(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("a")), junk...)
 		p.conn.Write(append(in, bytes.Repeat([]byte("x"), 1000)...))
 		types, bodies := p.said(99)
-		if types != welcome+"DCZE!" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
+		if types != welcome+"DCZE!" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocolViolation) {
 			t.Errorf("after %q: %q, %q", junk, types, bodies)
 		}
 	}
@@ -369,7 +369,7 @@
 	}
 	skip(s, queryPatience)
 	for i, p := range ends {
-		if types, bodies := p.said(99); !strings.HasSuffix(types, "E!") || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
+		if types, bodies := p.said(99); !strings.HasSuffix(types, "E!") || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocolViolation) {
 			t.Errorf("client %d got %q", i, types)
 		}
 	}
@@ -389,7 +389,7 @@
 	}
 	second := dial(t, s)
 	second.conn.Write(start)
-	if types, bodies := second.said(99); types != "E!" || !strings.Contains(bodies[0], "C"+pg.CodeTooMany) {
+	if types, bodies := second.said(99); types != "E!" || !strings.Contains(bodies[0], "C"+pg.CodeTooManyConnections) {
 		t.Errorf("the second client got %q", types)
 	}
 	// Its query is counted by its class, also where it comes a little behind: operators' figures told of none that were refused at the door.
@@ -461,7 +461,7 @@
 		"garbage": func(c stdnet.Conn, _ string) bool { c.Write([]byte("\x00\xff\xff\xff\xff nonsense")); return true },
 		"closes":  func(stdnet.Conn, string) bool { return false },
 		"no row": func(c stdnet.Conn, _ string) bool {
-			c.Write(pg.AppendReady([]byte("C\x00\x00\x00\x0dSELECT 1\x00")))
+			c.Write(pg.AppendReadyForQuery([]byte("C\x00\x00\x00\x0dSELECT 1\x00")))
 			return true
 		},
 	} {
@@ -533,7 +533,7 @@
 		}
 	}
 	second.conn.Write(pg.AppendQuery(nil, query("a")))
-	if types, bodies := second.said(1); types != "E" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
+	if types, bodies := second.said(1); types != "E" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocolViolation) {
 		t.Errorf("the second got %q", types)
 	}
 	close(answer)
@@ -638,7 +638,7 @@
 		held = <-got
 	}
 	second.conn.Write(append(start, half...))
-	if types, bodies := second.said(99); types != welcome+"E!" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeTooMany) {
+	if types, bodies := second.said(99); types != welcome+"E!" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeTooManyConnections) {
 		t.Errorf("the second client got %q", types)
 	}
 	first.conn.Close()
@@ -717,7 +717,7 @@
 		io.Copy(io.Discard, conn)
 	}()
 	_, front, loop := proxy(t, "127.0.0.1:1", 8, 1)
-	d := NewDiscovery(loop, state.NewClock(), front, ln.Addr().String(), discovery.NoList, 0)
+	d := NewDiscovery(loop, state.NewClock(), front, ln.Addr().String(), discovery.NoGeneration, 0)
 	loop.Post(func() { d.Watch(true) })
 	for i, want := range []string{"/v1/endpoints", "/v1/endpoints?after=0&wait_ms=3000", "/v1/endpoints?after=5&wait_ms=3000"} {
 		if got := <-calls; got != want {
--- a/internal/net/pieces_test.go
+++ b/internal/net/pieces_test.go
@@ -101,7 +101,7 @@
 		if err != nil {
 			return false
 		}
-		told <- st.Wait
+		told <- st.Timeout
 		if len(told) == 2 {
 			return echo(conn, text)
 		}
--- a/internal/net/postgres_client.go
+++ b/internal/net/postgres_client.go
@@ -46,14 +46,14 @@
 }
 
 func (postgres) startup(c *client, buf []byte) (int, error) {
-	o, n, err := pg.NextOpening(buf)
+	o, n, err := pg.NextStartup(buf)
 	if n == 0 || err != nil {
 		return 0, err
 	}
 	switch {
-	case o == pg.OpenEncrypted:
+	case o == pg.StartupEncryption:
 		c.write(pg.AppendRefuseEncryption(nil))
-	case o == pg.OpenCancel:
+	case o == pg.StartupCancel:
 		c.hangUp()
 	case c.full:
 		class, whole := asked(buf[n:])
@@ -67,9 +67,9 @@
 		c.s.front.CountRejected(class)
 		c.turnAway()
 	default:
-		c.admin = c.s.console && pg.Opened(buf, "database") == console.DatabaseName && c.local()
+		c.admin = c.s.console && pg.StartupParameter(buf, "database") == console.DatabaseName && c.local()
 		c.phase = phaseServing
-		c.write(pg.AppendWelcome(nil))
+		c.write(pg.AppendStartupResponse(nil))
 	}
 	return n, nil
 }
@@ -107,7 +107,7 @@
 		if c.s.away {
 			sl.give(pg.AppendRefused(nil, 0))
 		} else {
-			sl.give(pg.AppendEmpty(nil))
+			sl.give(pg.AppendEmptyQueryResponse(nil))
 		}
 		return nil
 	}
@@ -120,8 +120,8 @@
 	if err != nil {
 		return err
 	}
-	return c.take(sl, state.Request{Name: st.ID, Class: st.Class, Wait: st.Wait, Session: st.Session, Group: st.Group,
-		LastCommit: st.After, Retry: st.Retry, Command: &st})
+	return c.take(sl, state.Request{Name: st.ID, Class: st.Class, Wait: st.Timeout, Session: st.Session, Group: st.Group,
+		LastCommit: st.LastCommit, Retry: st.Retry, Command: &st})
 }
 
 // told begins an answer: with the policy, where clients are told it and the request was taken under one.
@@ -129,10 +129,10 @@
 	if !sl.c.s.policy || !sl.taken {
 		return nil
 	}
-	return pg.AppendParameter(nil, "policy", strconv.FormatUint(sl.policy, 10))
+	return pg.AppendParameterStatus(nil, "policy", strconv.FormatUint(sl.policy, 10))
 }
 
-func (postgres) served(sl *slot, body []byte) []byte { return pg.AppendServed(sl.told(), body) }
+func (postgres) served(sl *slot, body []byte) []byte { return pg.AppendResult(sl.told(), body) }
 
 func (postgres) refused(sl *slot, comeBack time.Duration) []byte {
 	return pg.AppendRefused(sl.told(), comeBack)
@@ -143,9 +143,9 @@
 func (postgres) unfit(sl *slot, _ []byte) []byte { return pg.AppendFailed(sl.told()) }
 
 func (postgres) fatal(why end, text string) []byte {
-	code := pg.CodeTooMany
+	code := pg.CodeTooManyConnections
 	if why == endMalformed {
-		code = pg.CodeProtocol
+		code = pg.CodeProtocolViolation
 	}
 	return pg.AppendFatal(nil, code, text)
 }
--- a/internal/net/stream.go
+++ b/internal/net/stream.go
@@ -106,7 +106,7 @@
 			err = st.db.reply.Add(m)
 		}
 		switch {
-		case err != nil || st.db.reply.Code != "":
+		case err != nil || st.db.reply.ErrorCode != "":
 			st.finish(false)
 			return
 		case n == 0:
@@ -115,7 +115,7 @@
 		st.out = append(st.out, st.db.reply.Body[body:]...)
 		st.tail = st.tail[n:]
 		if st.whole = st.db.reply.Ready(); st.whole {
-			st.out = pg.AppendReady(st.out)
+			st.out = pg.AppendReadyForQuery(st.out)
 		}
 	}
 }
--- a/internal/net/stream_test.go
+++ b/internal/net/stream_test.go
@@ -25,7 +25,7 @@
 	for i := range n {
 		out = append(out, byte(i*7>>3))
 	}
-	return pg.AppendReady(append(out, "C\x00\x00\x00\x0dSELECT 1\x00"...))
+	return pg.AppendReadyForQuery(append(out, "C\x00\x00\x00\x0dSELECT 1\x00"...))
 }
 
 // enter opens a session and asks one thing.
--- a/internal/net/tier.go
+++ b/internal/net/tier.go
@@ -172,8 +172,8 @@
 			break
 		}
 		used += n
-		if f.Tier != nil {
-			t.message(*f.Tier)
+		if f.Rollout != nil {
+			t.message(*f.Rollout)
 		}
 		if f.Health != nil {
 			t.digest(f.Health)
@@ -212,7 +212,7 @@
 func (t *Tier) flush() {
 	t.out = t.out[:0]
 	for _, m := range t.side.TakeMessages() {
-		out, err := tier.Append(t.out, &tier.Frame{Tier: &m})
+		out, err := tier.Append(t.out, &tier.Frame{Rollout: &m})
 		if err == nil {
 			t.out = out
 		}
--- a/internal/net/work.go
+++ b/internal/net/work.go
@@ -257,7 +257,7 @@
 			size += 256
 			to++
 		}
-		frame, err := tier.Append(text, &tier.Frame{Work: &tier.Work{From: l.w.self, To: l.to, Messages: l.out[from:to]}})
+		frame, err := tier.Append(text, &tier.Frame{Takeover: &tier.TakeoverMessages{From: l.w.self, To: l.to, Messages: l.out[from:to]}})
 		if err != nil {
 			l.w.Counters.Dropped += uint64(to - from)
 			slog.Warn("what a proxy was to be told can't be sent", "member", uint64(l.to), "error", err)
@@ -302,7 +302,7 @@
 			break
 		}
 		used += n
-		c.w.heard(f.Work)
+		c.w.heard(f.Takeover)
 	}
 	c.in.cut(used)
 	c.w.Flush()
@@ -310,7 +310,7 @@
 
 // heard takes what another proxy says. Only members are heard, and only what is for this very membership: a proxy that has joined anew has nothing of
 // what was said to it before. One that isn't known yet says it again.
-func (w *Work) heard(x *tier.Work) {
+func (w *Work) heard(x *tier.TakeoverMessages) {
 	if x == nil || w.self == 0 || x.To != w.self || w.where[x.From] == "" || x.From == w.self {
 		w.Counters.Strange++
 		return
--- a/internal/net/work_test.go
+++ b/internal/net/work_test.go
@@ -127,7 +127,7 @@
 	}
 	defer conn.Close()
 	say := func(from, to takeover.Member) {
-		b, err := tier.Append(nil, &tier.Frame{Work: &tier.Work{From: from, To: to, Messages: []takeover.Message{{Kind: takeover.Query, Key: "k"}}}})
+		b, err := tier.Append(nil, &tier.Frame{Takeover: &tier.TakeoverMessages{From: from, To: to, Messages: []takeover.Message{{Kind: takeover.Query, Key: "k"}}}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -225,7 +225,7 @@
 	config := &Consul{Services: map[string]int{}, TokenFile: c.String("token_file", ""), Filter: c.String("filter", ""),
 		WaitTime: c.Duration("wait", 30*time.Second, 100*time.Millisecond, 10*time.Minute),
 		CAFile:   c.String("ca_file", ""), CertFile: c.String("cert_file", ""), KeyFile: c.String("key_file", ""), Exclusive: c.Bool("alone", false),
-		Mapping: consul.Mapping{GroupIn: c.String("group_in", ""), ZoneIn: c.String("zone_in", ""), RoleIn: c.String("role_in", ""), StartIn: c.String("started_in", "")}}
+		Mapping: consul.Mapping{GroupKey: c.String("group_in", ""), ZoneKey: c.String("zone_in", ""), RoleKey: c.String("role_in", ""), StartTimeKey: c.String("started_in", "")}}
 	config.Consistency = consul.Consistency(c.Choice("mode", "default", "default", "stale", "consistent"))
 	if config.Consistency == "default" {
 		config.Consistency = consul.Default
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -161,7 +161,7 @@
 	}
 	c := f.Consul
 	if c.Agents[0] != "https://c:8501" || c.Services["db"] != 2 || c.Consistency != "stale" || len(c.Datacenters) != 2 || !c.Exclusive || c.WaitTime != 30*time.Second ||
-		c.Mapping.ZoneIn != "hall" || f.Members.PanicFraction != 0.3 || f.Members.UnlistedTimeout != 4*time.Second {
+		c.Mapping.ZoneKey != "hall" || f.Members.PanicFraction != 0.3 || f.Members.UnlistedTimeout != 4*time.Second {
 		t.Errorf("%+v, %+v", c, f.Members)
 	}
 	for text, want := range map[string]string{
--- a/internal/planner/client/client.go
+++ b/internal/planner/client/client.go
@@ -29,7 +29,7 @@
 var errNoAnswer = errors.New("no planner answers")
 
 // query sends a request to one planner and returns its answer. It fails after the timeout.
-func (c *Client) query(ctx context.Context, address string, operation tier.Ask, timeout time.Duration) (*tier.Answer, error) {
+func (c *Client) query(ctx context.Context, address string, operation tier.OperatorRequest, timeout time.Duration) (*tier.OperatorResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var dialer net.Dialer
@@ -40,7 +40,7 @@
 	defer conn.Close()
 	deadline, _ := ctx.Deadline()
 	conn.SetDeadline(deadline)
-	request, err := tier.Append(nil, &tier.Frame{Ask: &operation})
+	request, err := tier.Append(nil, &tier.Frame{Request: &operation})
 	if err == nil {
 		_, err = conn.Write(request)
 	}
@@ -48,19 +48,19 @@
 		return nil, err
 	}
 	response, err := tier.Read(bufio.NewReader(conn))
-	if err == nil && response.Answer == nil {
+	if err == nil && response.Response == nil {
 		err = fmt.Errorf("%s sent a frame that is not an answer", address)
 	}
-	return response.Answer, err
+	return response.Response, err
 }
 
 // Status returns the tier's status with the text of the given policy. The leading planner's answer is preferred, since it knows more than
 // the others; otherwise the most recent answer of the others is returned.
-func (c *Client) Status(ctx context.Context, policy rollout.Number) (*tier.Answer, error) {
-	var best *tier.Answer
+func (c *Client) Status(ctx context.Context, policy rollout.Number) (*tier.OperatorResponse, error) {
+	var best *tier.OperatorResponse
 	lastErr := errNoAnswer
 	for range c.Planners {
-		answer, err := c.query(ctx, c.Planners[c.current%len(c.Planners)], tier.Ask{Do: tier.DoStatus, Number: policy}, RequestTimeout)
+		answer, err := c.query(ctx, c.Planners[c.current%len(c.Planners)], tier.OperatorRequest{Action: tier.ActionStatus, Number: policy}, RequestTimeout)
 		switch {
 		case err != nil || answer.State == nil:
 			lastErr = fmt.Errorf("%w: %w", errNoAnswer, errors.Join(err))
@@ -78,7 +78,7 @@
 }
 
 // Do sends a request to the leading planner. The error is ErrNoLeader if the last planner that was tried doesn't lead.
-func (c *Client) Do(ctx context.Context, ask tier.Ask) (*tier.Answer, error) {
+func (c *Client) Do(ctx context.Context, ask tier.OperatorRequest) (*tier.OperatorResponse, error) {
 	lastErr := errNoAnswer
 	for range c.Planners {
 		answer, err := c.query(ctx, c.Planners[c.current%len(c.Planners)], ask, RequestTimeout)
@@ -95,7 +95,7 @@
 
 // Propose repeats a proposal for up to wait until a leader answers. The nonce of the request makes repetitions harmless. If the answer has an
 // error, no change was created.
-func (c *Client) Propose(ctx context.Context, ask tier.Ask, wait time.Duration) (answer *tier.Answer, err error) {
+func (c *Client) Propose(ctx context.Context, ask tier.OperatorRequest, wait time.Duration) (answer *tier.OperatorResponse, err error) {
 	for deadline := time.Now().Add(wait); ; {
 		answer, err = c.Do(ctx, ask)
 		if err == nil || time.Now().After(deadline) || ctx.Err() != nil {
--- a/internal/planner/operator.go
+++ b/internal/planner/operator.go
@@ -20,16 +20,16 @@
 }
 
 // handleOperator handles an operator's request.
-func (s *server) handleOperator(id rollout.Link, request *tier.Ask) {
+func (s *server) handleOperator(id rollout.Link, request *tier.OperatorRequest) {
 	p := s.planner
 	refuse := func(err error) {
-		s.send(id, &tier.Frame{Answer: &tier.Answer{Error: err.Error(), Planner: p.config.ID, Leader: p.leaderID}})
+		s.send(id, &tier.Frame{Response: &tier.OperatorResponse{Error: err.Error(), Planner: p.config.ID, Leader: p.leaderID}})
 	}
 	if p.leader != nil && !p.leader.Leading() { // its term has not begun in the log yet: the client retries
-		s.send(id, &tier.Frame{Answer: &tier.Answer{Error: client.ErrNoLeader.Error(), Planner: p.config.ID, State: p.state.WithoutPolicies(0)}})
+		s.send(id, &tier.Frame{Response: &tier.OperatorResponse{Error: client.ErrNoLeader.Error(), Planner: p.config.ID, State: p.state.WithoutPolicies(0)}})
 		return
 	}
-	if request.Do == tier.DoStatus {
+	if request.Action == tier.ActionStatus {
 		s.sendStatus(id, "", request.Number)
 		return
 	}
@@ -37,31 +37,31 @@
 		refuse(client.ErrNoLeader)
 		return
 	}
-	switch request.Do {
-	case tier.DoPropose:
+	switch request.Action {
+	case tier.ActionPropose:
 		if pending := p.state.Pending(); pending != nil && pending.Nonce != request.Nonce {
 			refuse(undecidedError(pending.Number))
 			return
 		}
 		s.proposals = append(s.proposals, pendingProposal{request.Nonce, id, p.now() + proposalTimeout})
-		p.leader.Propose(rollout.Command{Kind: rollout.Propose, Nonce: request.Nonce, Policy: request.Policy, Comment: request.Why, Hash: request.Hash})
-	case tier.DoAbort:
+		p.leader.Propose(rollout.Command{Kind: rollout.Propose, Nonce: request.Nonce, Policy: request.Policy, Comment: request.Comment, Hash: request.Hash})
+	case tier.ActionAbort:
 		p.leader.Abort(p.now(), request.Number, "by the operator")
 		s.sendStatus(id, "", 0)
-	case tier.DoExpel:
+	case tier.ActionExpel:
 		text := ""
 		if err := p.leader.Expel(p.now(), request.Name); err != nil {
 			text = err.Error()
 		}
 		s.sendStatus(id, text, 0)
-	case tier.DoReplace:
+	case tier.ActionReplace:
 		if err := p.Replace(uint64(request.Number), request.Nonce, request.Name); err != nil {
 			refuse(err)
 			return
 		}
 		s.sendStatus(id, "", 0)
 	default:
-		refuse(errors.New("unknown request " + request.Do))
+		refuse(errors.New("unknown request " + request.Action))
 	}
 }
 
@@ -95,12 +95,12 @@
 
 func (s *server) sendStatus(id rollout.Link, text string, policy rollout.Number) {
 	p := s.planner
-	answer := &tier.Answer{Error: text, Planner: p.config.ID, Leader: p.leaderID, State: p.state.WithoutPolicies(policy), Planners: p.voters()}
+	answer := &tier.OperatorResponse{Error: text, Planner: p.config.ID, Leader: p.leaderID, State: p.state.WithoutPolicies(policy), Planners: p.voters()}
 	if p.leader != nil {
 		if progress, ok := p.leader.Progress(p.now()); ok {
 			answer.Progress = &progress
 		}
 		answer.Members = p.leader.Members(p.now())
 	}
-	s.send(id, &tier.Frame{Answer: answer})
+	s.send(id, &tier.Frame{Response: answer})
 }
--- a/internal/planner/peer_links.go
+++ b/internal/planner/peer_links.go
@@ -130,8 +130,8 @@
 // awaitRejection reads from a link to another planner. That planner sends nothing but the reason why it rejects this one's messages.
 func (s *server) awaitRejection(conn net.Conn, id uint64) {
 	frame, err := tier.Read(bufio.NewReader(conn))
-	if conn.Close(); err == nil && frame.Strange != "" {
-		s.planner.post(func() { s.planner.err = fmt.Errorf("%w: planner %d says: %s", ErrRejected, id, frame.Strange) })
+	if conn.Close(); err == nil && frame.Rejection != "" {
+		s.planner.post(func() { s.planner.err = fmt.Errorf("%w: planner %d says: %s", ErrRejected, id, frame.Rejection) })
 	}
 }
 
@@ -157,7 +157,7 @@
 }
 
 // receiveStart verifies the start record with which a link of another planner begins.
-func (s *server) receiveStart(id rollout.Link, l *link, start *tier.Start) {
+func (s *server) receiveStart(id rollout.Link, l *link, start *tier.StartRecord) {
 	reason, err := s.planner.verifyStart(start)
 	switch {
 	case err != nil:
@@ -175,5 +175,5 @@
 		peer.rejectionLogged = true
 		slog.Error("a planner's messages are not taken", "planner", peerID, "reason", reason)
 	}
-	s.send(id, &tier.Frame{Strange: reason})
+	s.send(id, &tier.Frame{Rejection: reason})
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -114,7 +114,7 @@
 	}
 	p.processID = rand.Uint64() | 1 // never 0
 	start := p.startRecord()
-	p.initialTerm, p.initialLastIndex = start.Term, start.Last
+	p.initialTerm, p.initialLastIndex = start.Term, start.LastIndex
 	if p.server, err = newServer(p, cfg.Listen); err != nil {
 		store.close()
 		return nil, err
@@ -256,7 +256,7 @@
 	}
 	ready := p.leader.TakeReady()
 	for _, envelope := range ready.Messages {
-		p.server.send(envelope.Link, &tier.Frame{Tier: &envelope.Message})
+		p.server.send(envelope.Link, &tier.Frame{Rollout: &envelope.Message})
 	}
 	for i := range ready.Commands {
 		command := &ready.Commands[i]
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -47,7 +47,7 @@
 		{func() {}, 6, 20, 78, "has begun its log anew"},
 	} {
 		test.setup()
-		if reason, err := planner.verifyStart(&tier.Start{Planner: 2, Disk: test.disk, Term: test.term, Last: test.last}); err != nil || (reason == "") != (test.want == "") || !strings.Contains(reason, test.want) {
+		if reason, err := planner.verifyStart(&tier.StartRecord{Planner: 2, DiskID: test.disk, Term: test.term, LastIndex: test.last}); err != nil || (reason == "") != (test.want == "") || !strings.Contains(reason, test.want) {
 			t.Errorf("term %d, entry %d, disk %d: %q, %v", test.term, test.last, test.disk, reason, err)
 		}
 	}
@@ -58,7 +58,7 @@
 func TestOlderCopyIsDetectedAfterLostLink(t *testing.T) {
 	p := openPlanner(t)
 	verify := func(process, initialLast, last uint64) (reason string) {
-		reason, err := p.verifyStart(&tier.Start{Planner: 2, Disk: 77, Term: 3, Last: last, Process: process, BeganTerm: 3, BeganLast: initialLast})
+		reason, err := p.verifyStart(&tier.StartRecord{Planner: 2, DiskID: 77, Term: 3, LastIndex: last, ProcessID: process, InitialTerm: 3, InitialIndex: initialLast})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +128,7 @@
 	if term := receiveHeartbeat(verified, 2, 7); term != 1 {
 		t.Fatalf("term %d from a planner without a start record", term)
 	}
-	p.server.receiveStart(1, verified, &tier.Start{Planner: 2, Disk: 5, Term: 1, Last: 1})
+	p.server.receiveStart(1, verified, &tier.StartRecord{Planner: 2, DiskID: 5, Term: 1, LastIndex: 1})
 	if term := receiveHeartbeat(verified, 3, 8); term != 1 {
 		t.Fatalf("term %d from a planner in another's name", term)
 	}
@@ -136,7 +136,7 @@
 		t.Fatalf("term %d: the message of a verified planner is ignored", term)
 	}
 	otherDisk := &link{}
-	p.server.receiveStart(2, otherDisk, &tier.Start{Planner: 2, Disk: 6, Term: 1, Last: 1})
+	p.server.receiveStart(2, otherDisk, &tier.StartRecord{Planner: 2, DiskID: 6, Term: 1, LastIndex: 1})
 	if term := receiveHeartbeat(otherDisk, 2, 20); term != 9 {
 		t.Errorf("term %d from a planner with another disk", term)
 	}
@@ -164,7 +164,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	request, err := tier.Append(nil, &tier.Frame{Ask: &tier.Ask{Do: tier.DoStatus}})
+	request, err := tier.Append(nil, &tier.Frame{Request: &tier.OperatorRequest{Action: tier.ActionStatus}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,11 +179,11 @@
 		}
 		(<-p.events)()
 		frame, err := tier.Read(answers)
-		if err != nil || frame.Answer == nil {
+		if err != nil || frame.Response == nil {
 			t.Fatalf("%+v, %v", frame, err)
 		}
-		if !slices.Equal(frame.Answer.Planners, test.want) {
-			t.Errorf("voters %v, leaving %v: status has %v, want %v", test.voters, test.leaving, frame.Answer.Planners, test.want)
+		if !slices.Equal(frame.Response.Planners, test.want) {
+			t.Errorf("voters %v, leaving %v: status has %v, want %v", test.voters, test.leaving, frame.Response.Planners, test.want)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 	p, nextLink := openPlannerWithPeer(t)
 	first := nextLink()
 	frame, err := tier.Read(bufio.NewReader(first))
-	if err != nil || frame.Start == nil || frame.Start.Planner != 1 || frame.Start.Process != p.processID || p.processID == 0 {
+	if err != nil || frame.Start == nil || frame.Start.Planner != 1 || frame.Start.ProcessID != p.processID || p.processID == 0 {
 		t.Errorf("%+v, %v, want the start record of process %d", frame.Start, err, p.processID)
 	}
 	index, term := uint64(2), uint64(1)
@@ -229,7 +229,7 @@
 	second := nextLink()
 	defer second.Close()
 	frame, err = tier.Read(bufio.NewReader(second))
-	if err != nil || frame.Start == nil || frame.Start.BeganLast != 1 || frame.Start.Last != 2 || frame.Start.Process != p.processID {
+	if err != nil || frame.Start == nil || frame.Start.InitialIndex != 1 || frame.Start.LastIndex != 2 || frame.Start.ProcessID != p.processID {
 		t.Errorf("%+v, %v, want entry 1 at the start of process %d and entry 2 now", frame.Start, err, p.processID)
 	}
 }
@@ -271,7 +271,7 @@
 		}()
 		return conn
 	}
-	first := send(&tier.Frame{Strange: "nothing that a planner answers"}, maxQueuedEvents+100)
+	first := send(&tier.Frame{Rejection: "nothing that a planner answers"}, maxQueuedEvents+100)
 	for len(p.events) < maxQueuedEvents {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/planner/promises.go
+++ b/internal/planner/promises.go
@@ -25,24 +25,24 @@
 // yet, the term and last entry at the start of the process are checked, since the leader may have brought an older copy up to date before
 // a link of that process reached this planner. It can't have acknowledged anything to this planner in the meantime, since messages of an
 // unverified process are not accepted.
-func (p *Planner) verifyStart(start *tier.Start) (reason string, err error) {
-	diskID, err := p.store.recordPeerDisk(start.Planner, start.Disk)
+func (p *Planner) verifyStart(start *tier.StartRecord) (reason string, err error) {
+	diskID, err := p.store.recordPeerDisk(start.Planner, start.DiskID)
 	if err != nil {
 		return "", err
 	}
 	peer := p.peer(start.Planner)
-	term, last := start.Term, start.Last
-	if start.Process != peer.verifiedProcess && start.Process != 0 {
-		term, last = start.BeganTerm, start.BeganLast
+	term, last := start.Term, start.LastIndex
+	if start.ProcessID != peer.verifiedProcess && start.ProcessID != 0 {
+		term, last = start.InitialTerm, start.InitialIndex
 	}
 	switch {
-	case diskID != start.Disk:
+	case diskID != start.DiskID:
 		return fmt.Sprintf("planner %d has begun its log anew: what it had promised is lost. Put a new one in its place: havenproxy policy replace", start.Planner), nil
 	case term < peer.lastTerm, term == peer.ackedTerm && last < peer.ackedIndex:
 		return fmt.Sprintf("planner %d has an older copy of its log: term %d and entry %d, and it had acknowledged %d and %d. Put a new one in its place: havenproxy policy replace",
 			start.Planner, term, last, max(peer.lastTerm, peer.ackedTerm), peer.ackedIndex), nil
 	}
-	peer.verifiedProcess = start.Process
+	peer.verifiedProcess = start.ProcessID
 	return "", nil
 }
 
@@ -74,9 +74,9 @@
 }
 
 // startRecord returns a description of what this planner's disk holds.
-func (p *Planner) startRecord() *tier.Start {
+func (p *Planner) startRecord() *tier.StartRecord {
 	hard, _, _ := p.store.memory.InitialState()
 	last, _ := p.store.memory.LastIndex()
-	return &tier.Start{Planner: p.config.ID, Disk: p.store.diskID, Term: hard.GetTerm(), Last: last, Process: p.processID,
-		BeganTerm: p.initialTerm, BeganLast: p.initialLastIndex}
+	return &tier.StartRecord{Planner: p.config.ID, DiskID: p.store.diskID, Term: hard.GetTerm(), LastIndex: last, ProcessID: p.processID,
+		InitialTerm: p.initialTerm, InitialIndex: p.initialLastIndex}
 }
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -175,17 +175,17 @@
 		s.receiveStart(id, l, frame.Start)
 	case frame.Raft != nil:
 		s.receiveRaft(id, l, frame.Raft)
-	case frame.Tier != nil:
+	case frame.Rollout != nil:
 		l.isProxy = true
 		if p.leader == nil {
-			s.send(id, &tier.Frame{Tier: &rollout.Message{Kind: rollout.NotLeader}})
+			s.send(id, &tier.Frame{Rollout: &rollout.Message{Kind: rollout.NotLeader}})
 			return
 		}
-		p.leader.Receive(p.now(), id, *frame.Tier)
+		p.leader.Receive(p.now(), id, *frame.Rollout)
 	case frame.Health != nil:
 		s.receiveHealth(id, frame.Health)
-	case frame.Ask != nil:
-		s.handleOperator(id, frame.Ask)
+	case frame.Request != nil:
+		s.handleOperator(id, frame.Request)
 	}
 }
 
--- a/internal/run/endpoints.go
+++ b/internal/run/endpoints.go
@@ -20,7 +20,7 @@
 			attributes = append(attributes, further.key, further.address)
 		}
 	}
-	attributes = append(attributes, "discovery", cfg.Discovery, "databases", len(cfg.Known.Instances), "operator", operatorFile)
+	attributes = append(attributes, "discovery", cfg.Discovery, "databases", len(cfg.KnownList.Instances), "operator", operatorFile)
 	slog.Info("started", attributes...)
 	return addresses.Report()
 }
--- a/internal/run/reload.go
+++ b/internal/run/reload.go
@@ -40,7 +40,7 @@
 	startedAt := p.clock.Now()
 	size, document, err := readDocument(path, func() { time.Sleep(readPause) })
 	if err == nil {
-		err = settings.Whole(p.initialConfig, document.Rest)
+		err = settings.CheckReplacement(p.initialConfig, document.Rest)
 	}
 	if err != nil {
 		fail(err)
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		return 0, d, err
 	}
-	d, err = settings.Split(text, pause)
+	d, err = settings.ParseDocument(text, pause)
 	return len(text), d, err
 }
 
@@ -279,10 +279,10 @@
 			p.engine.SetPeerSender(peers)
 		}
 	}
-	p.discovery = net.NewDiscovery(p.loop, p.clock, p.engine, cfg.Discovery, cfg.Known.Generation, s.Config.ListMaxDelay)
+	p.discovery = net.NewDiscovery(p.loop, p.clock, p.engine, cfg.Discovery, cfg.KnownList.Generation, s.Config.ListMaxDelay)
 	p.loop.Post(func() {
 		p.startedAt = p.clock.Now()
-		p.engine.Start(p.discovery, net.ListOf(cfg.Known))
+		p.engine.Start(p.discovery, net.ListOf(cfg.KnownList))
 		p.pollReady()
 	})
 	return p, nil
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -45,7 +45,7 @@
 			return
 		}
 		defer conn.Close()
-		conn.Write(pg.AppendWelcome(nil))
+		conn.Write(pg.AppendStartupResponse(nil))
 		in := make([]byte, 4096)
 		for got := []byte(nil); !bytes.Contains(got, []byte("SELECT val")); {
 			n, err := conn.Read(in)
@@ -56,7 +56,7 @@
 		}
 		close(asked)
 		<-answer
-		conn.Write(pg.AppendReady([]byte("D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x01vC\x00\x00\x00\x0dSELECT 1\x00")))
+		conn.Write(pg.AppendReadyForQuery([]byte("D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x01vC\x00\x00\x00\x0dSELECT 1\x00")))
 		io.Copy(io.Discard, conn)
 	}()
 	return ln.Addr().String()
@@ -81,7 +81,7 @@
 		conn.SetDeadline(time.Now().Add(20 * time.Second))
 		return conn
 	}
-	ready := pg.AppendEmpty(nil)
+	ready := pg.AppendEmptyQueryResponse(nil)
 	hello := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), "")
 	idle, busy := open(), open()
 	idle.Write(hello)
@@ -91,7 +91,7 @@
 	p.loop.Post(p.stop)
 	late := open()
 	late.Write(hello)
-	want := append(pg.AppendWelcome(nil), ready...)
+	want := append(pg.AppendStartupResponse(nil), ready...)
 	for name, conn := range map[string]net.Conn{"idle": idle, "late": late} {
 		if got, err := io.ReadAll(conn); err != nil || !bytes.Equal(got, want) {
 			t.Errorf("the %s client got %q, error %v", name, got, err)
--- a/internal/run/stop_test.go
+++ b/internal/run/stop_test.go
@@ -100,7 +100,7 @@
 			}
 			go func() {
 				defer conn.Close()
-				conn.Write(pg.AppendWelcome(nil))
+				conn.Write(pg.AppendStartupResponse(nil))
 				in, seen := make([]byte, 4096), []byte(nil)
 				for {
 					n, err := conn.Read(in)
@@ -114,7 +114,7 @@
 							t.Error(err)
 						}
 						seen = nil
-						asked <- st.Wait
+						asked <- st.Timeout
 					}
 				}
 			}()
@@ -268,7 +268,7 @@
 			text := fmt.Sprintf(config, 1024, slowDatabase(t, asked, answer))
 			p, _ := begin(t, strings.Replace(text, `"discovery": "127.0.0.1:1"`, fmt.Sprintf(`"discovery": %q`, address), 1))
 			conn := p.connect(t, pg.AppendQuery(nil, ""))
-			if _, err := io.ReadFull(conn, make([]byte, len(pg.AppendEmpty(pg.AppendWelcome(nil))))); err != nil {
+			if _, err := io.ReadFull(conn, make([]byte, len(pg.AppendEmptyQueryResponse(pg.AppendStartupResponse(nil))))); err != nil {
 				t.Fatalf("the empty query, which the platform uses as a probe, is not answered: %v", err)
 			}
 			conn.Write(ask("1"))
--- a/internal/wire/admin/admin.go
+++ b/internal/wire/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is what operators' tools speak with a proxy: one HTTP/1.1 call a connection, and figures as StatsD lines. It parses and
-// writes bytes; what a call does is not its business.
+// Package admin encodes and decodes what a proxy exchanges with operators' tools: HTTP/1.1 with one request per
+// connection, and metrics as StatsD lines. It handles bytes only and does not carry out requests.
 package admin
 
 import (
@@ -8,40 +8,40 @@
 	"strconv"
 )
 
-// MaxHead is how long a call's head may be, in bytes.
-const MaxHead = 8 << 10
+// MaxHeaderBytes is the maximum length of a request's header section in bytes.
+const MaxHeaderBytes = 8 << 10
 
-// The errors of a call that can't be read.
+// The errors that Next returns. Their texts are sent to clients.
 var (
 	ErrMalformed = errors.New("admin: not an HTTP/1.1 call")
 	ErrTooLong   = errors.New("admin: a head of over 8 KiB")
 )
 
-// Call is one call.
-type Call struct{ Method, Path string }
+// Request is an HTTP request. Path has no query string.
+type Request struct{ Method, Path string }
 
-// Next reads the head of a call; false = it is not there as a whole yet. What stands behind it, a body, is nobody's.
-func Next(buf []byte) (Call, bool, error) {
-	end := bytes.Index(buf, []byte("\r\n\r\n"))
+// Next parses the header section of a request; false means that it is incomplete. A body is ignored.
+func Next(buf []byte) (Request, bool, error) {
+	headerEnd := bytes.Index(buf, []byte("\r\n\r\n"))
 	line, _, found := bytes.Cut(buf, []byte("\r\n"))
-	if found || len(buf) > MaxHead {
+	if found || len(buf) > MaxHeaderBytes {
 		parts := bytes.Split(line, []byte(" "))
 		if !found || len(parts) != 3 || len(parts[0]) == 0 || len(parts[1]) == 0 || parts[1][0] != '/' || !bytes.HasPrefix(parts[2], []byte("HTTP/1.")) {
-			return Call{}, false, ErrMalformed
+			return Request{}, false, ErrMalformed
 		}
-		if end < 0 {
-			if len(buf) > MaxHead {
-				return Call{}, false, ErrTooLong
+		if headerEnd < 0 {
+			if len(buf) > MaxHeaderBytes {
+				return Request{}, false, ErrTooLong
 			}
-			return Call{}, false, nil
+			return Request{}, false, nil
 		}
 		path, _, _ := bytes.Cut(parts[1], []byte("?"))
-		return Call{string(parts[0]), string(path)}, true, nil
+		return Request{string(parts[0]), string(path)}, true, nil
 	}
-	return Call{}, false, nil
+	return Request{}, false, nil
 }
 
-// The statuses of answers.
+// The HTTP status codes of responses.
 const (
 	OK               = 200
 	BadRequest       = 400
@@ -50,35 +50,35 @@
 	Unavailable      = 503
 )
 
-var reasons = map[int]string{OK: "OK", BadRequest: "Bad Request", NotFound: "Not Found", MethodNotAllowed: "Method Not Allowed",
+var statusTexts = map[int]string{OK: "OK", BadRequest: "Bad Request", NotFound: "Not Found", MethodNotAllowed: "Method Not Allowed",
 	Unavailable: "Service Unavailable"}
 
-// AppendAnswer writes an answer, the connection's last words.
-func AppendAnswer(dst []byte, status int, body []byte) []byte {
+// AppendResponse appends a response after which the connection is closed.
+func AppendResponse(dst []byte, status int, body []byte) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
-	dst = append(dst, reasons[status]...)
+	dst = append(dst, statusTexts[status]...)
 	dst = append(dst, "\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\nContent-Length: "...)
 	dst = strconv.AppendInt(dst, int64(len(body)), 10)
 	return append(append(dst, "\r\n\r\n"...), body...)
 }
 
-// AppendCounter writes a figure that only grows, AppendGauge one that is as it is now. The name's parts are joined by dots.
+// AppendCounter appends a StatsD counter. The parts of its name are joined by dots.
 func AppendCounter(dst []byte, value uint64, name ...string) []byte {
-	return figure(dst, value, "|c\n", name)
+	return appendMetric(dst, value, "|c\n", name)
 }
 
-// AppendGauge is as AppendCounter says.
+// AppendGauge appends a StatsD gauge. The parts of its name are joined by dots.
 func AppendGauge(dst []byte, value uint64, name ...string) []byte {
-	return figure(dst, value, "|g\n", name)
+	return appendMetric(dst, value, "|g\n", name)
 }
 
-func figure(dst []byte, value uint64, kind string, name []string) []byte {
+func appendMetric(dst []byte, value uint64, kind string, name []string) []byte {
 	dst = append(dst, "proxy"...)
 	for _, part := range name {
 		dst = append(dst, '.')
-		for _, c := range []byte(part) { // what would end the name, or begin another part
+		for _, c := range []byte(part) { // replaces characters that separate names, parts and values
 			if c <= ' ' || c == ':' || c == '|' || c == '.' || c == '@' || c == '#' {
 				c = '_'
 			}
--- a/internal/wire/admin/admin_test.go
+++ b/internal/wire/admin/admin_test.go
@@ -8,27 +8,27 @@
 	"pgregory.net/rapid"
 )
 
-func TestCalls(t *testing.T) {
+func TestRequests(t *testing.T) {
 	const text = "PUT /v1/proxy/drain?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}"
 	for cut := range len(text) - 2 {
-		if c, whole, err := Next([]byte(text[:cut])); err != nil || whole {
-			t.Fatalf("after %d bytes: %+v %v %v", cut, c, whole, err)
+		if request, complete, err := Next([]byte(text[:cut])); err != nil || complete {
+			t.Fatalf("after %d bytes: %+v %v %v", cut, request, complete, err)
 		}
 	}
-	if c, whole, err := Next([]byte(text)); err != nil || !whole || c != (Call{"PUT", "/v1/proxy/drain"}) {
-		t.Fatalf("%+v %v %v", c, whole, err)
+	if request, complete, err := Next([]byte(text)); err != nil || !complete || request != (Request{"PUT", "/v1/proxy/drain"}) {
+		t.Fatalf("%+v %v %v", request, complete, err)
 	}
-	for _, bad := range []string{"GET\r\n", "GET /x\r\n", "GET x HTTP/1.1\r\n", "GET /x SMTP\r\n", " /x HTTP/1.1\r\n", strings.Repeat("a", MaxHead+1),
-		"GET /x HTTP/1.1\r\n" + strings.Repeat("a", MaxHead)} {
+	for _, bad := range []string{"GET\r\n", "GET /x\r\n", "GET x HTTP/1.1\r\n", "GET /x SMTP\r\n", " /x HTTP/1.1\r\n", strings.Repeat("a", MaxHeaderBytes+1),
+		"GET /x HTTP/1.1\r\n" + strings.Repeat("a", MaxHeaderBytes)} {
 		if _, _, err := Next([]byte(bad)); err == nil {
-			t.Errorf("%.40q is taken", bad)
+			t.Errorf("%.40q was accepted", bad)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) { Next(rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "garbage")) })
 }
 
-func TestAnswersAndFigures(t *testing.T) {
-	if got := string(AppendAnswer(nil, NotFound, []byte("no\n"))); !strings.HasPrefix(got, "HTTP/1.1 404 Not Found\r\n") ||
+func TestResponsesAndMetrics(t *testing.T) {
+	if got := string(AppendResponse(nil, NotFound, []byte("no\n"))); !strings.HasPrefix(got, "HTTP/1.1 404 Not Found\r\n") ||
 		!strings.HasSuffix(got, "Content-Length: 3\r\n\r\nno\n") {
 		t.Errorf("%q", got)
 	}
--- a/internal/wire/consul/consul.go
+++ b/internal/wire/consul/consul.go
@@ -64,15 +64,15 @@
 }
 
 // Meta is what an answer's headers tell.
-type Meta struct {
+type ResponseMeta struct {
 	Index       uint64
 	LastContact time.Duration // of the answering server with its leader
 	NoLeader    bool          // it knows of none
 }
 
 // ParseMeta reads the headers. An index below 1 stands for 1, as the pages on blocking queries ask.
-func ParseMeta(h http.Header) (Meta, error) {
-	var m Meta
+func ParseResponseMeta(h http.Header) (ResponseMeta, error) {
+	var m ResponseMeta
 	index, err := strconv.ParseUint(h.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
 		return m, fmt.Errorf("X-Consul-Index is %q", h.Get("X-Consul-Index"))
@@ -113,17 +113,17 @@
 
 // Limits bound what an answer may cost.
 type Limits struct {
-	Bytes   int64 // of the whole answer; 32 MiB
-	Entries int   // 20,000
+	MaxBytes   int64 // of the whole answer; 32 MiB
+	MaxEntries int   // 20,000
 }
 
 // WithDefaults fills in what is not set.
 func (l Limits) WithDefaults() Limits {
-	if l.Bytes == 0 {
-		l.Bytes = 32 << 20
+	if l.MaxBytes == 0 {
+		l.MaxBytes = 32 << 20
 	}
-	if l.Entries == 0 {
-		l.Entries = 20_000
+	if l.MaxEntries == 0 {
+		l.MaxEntries = 20_000
 	}
 	return l
 }
@@ -153,10 +153,10 @@
 // answer is not whole or none; what was given before is to be forgotten.
 func Decode(in io.Reader, limits Limits, each func(*Instance)) error {
 	limits = limits.WithDefaults()
-	d := json.NewDecoder(&counted{in, limits.Bytes})
+	d := json.NewDecoder(&counted{in, limits.MaxBytes})
 	fail := func(err error) error {
 		if errors.Is(err, ErrTooLong) {
-			return fmt.Errorf("%w: more than %d bytes", ErrTooLong, limits.Bytes)
+			return fmt.Errorf("%w: more than %d bytes", ErrTooLong, limits.MaxBytes)
 		}
 		return fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
@@ -171,8 +171,8 @@
 		return fail(fmt.Errorf("it begins with %v", t))
 	}
 	for n := 0; d.More(); n++ {
-		if n >= limits.Entries {
-			return fmt.Errorf("%w: more than %d instances", ErrTooLong, limits.Entries)
+		if n >= limits.MaxEntries {
+			return fmt.Errorf("%w: more than %d instances", ErrTooLong, limits.MaxEntries)
 		}
 		var i Instance
 		if err := d.Decode(&i); err != nil {
@@ -189,11 +189,11 @@
 // Mapping says how an installation tells group, zone, role and start in Consul. Names are keys of the service's meta, or of the
 // node's where the service has none.
 type Mapping struct {
-	Group   int    // of the service, where meta doesn't tell
-	GroupIn string // "group"
-	ZoneIn  string // "zone"; where there is none, the data centre
-	RoleIn  string // "role"; tags primary, master, leader, replica, secondary and standby tell it as well
-	StartIn string // "started": Unix seconds, or milliseconds where that can't be
+	Group        int    // of the service, where meta doesn't tell
+	GroupKey     string // "group"
+	ZoneKey      string // "zone"; where there is none, the data centre
+	RoleKey      string // "role"; tags primary, master, leader, replica, secondary and standby tell it as well
+	StartTimeKey string // "started": Unix seconds, or milliseconds where that can't be
 }
 
 // WithDefaults fills in what is not set.
@@ -201,7 +201,7 @@
 	for _, x := range []struct {
 		to   *string
 		word string
-	}{{&m.GroupIn, "group"}, {&m.ZoneIn, "zone"}, {&m.RoleIn, "role"}, {&m.StartIn, "started"}} {
+	}{{&m.GroupKey, "group"}, {&m.ZoneKey, "zone"}, {&m.RoleKey, "role"}, {&m.StartTimeKey, "started"}} {
 		if *x.to == "" {
 			*x.to = x.word
 		}
@@ -213,14 +213,14 @@
 	"replica": membership.Replica, "secondary": membership.Replica, "standby": membership.Replica, "slave": membership.Replica}
 
 // Fact turns an entry into what membership knows. The error tells of one that can't be used.
-func (m *Mapping) Fact(i *Instance) (membership.Listing, error) {
+func (m *Mapping) Listing(i *Instance) (membership.Listing, error) {
 	meta := func(key string) string {
 		if v, ok := i.Service.Meta[key]; ok {
 			return v
 		}
 		return i.Node.Meta[key]
 	}
-	f := membership.Listing{ID: i.Service.ID, Zone: meta(m.ZoneIn), Group: m.Group, Weight: 1}
+	f := membership.Listing{ID: i.Service.ID, Zone: meta(m.ZoneKey), Group: m.Group, Weight: 1}
 	if f.ID == "" {
 		return f, errors.New("an instance without an id")
 	}
@@ -239,12 +239,12 @@
 	if f.Zone == "" {
 		f.Zone = i.Node.Datacenter
 	}
-	if text := meta(m.GroupIn); text != "" {
+	if text := meta(m.GroupKey); text != "" {
 		if f.Group, err = strconv.Atoi(text); err != nil || f.Group < 0 {
-			return f, fmt.Errorf("instance %s: %s is %q, a number was expected", f.ID, m.GroupIn, text)
+			return f, fmt.Errorf("instance %s: %s is %q, a number was expected", f.ID, m.GroupKey, text)
 		}
 	}
-	if f.Role = roles[strings.ToLower(meta(m.RoleIn))]; f.Role == membership.NoRole {
+	if f.Role = roles[strings.ToLower(meta(m.RoleKey))]; f.Role == membership.NoRole {
 		for _, t := range i.Service.Tags {
 			if r := roles[strings.ToLower(t)]; r != membership.NoRole {
 				f.Role = r
@@ -252,7 +252,7 @@
 			}
 		}
 	}
-	if text := meta(m.StartIn); text != "" {
+	if text := meta(m.StartTimeKey); text != "" {
 		if n, err := strconv.ParseInt(text, 10, 64); err == nil && n > 0 {
 			if f.Started = time.Duration(n) * time.Second; n > 1e11 { // no second of this age
 				f.Started = time.Duration(n) * time.Millisecond
--- a/internal/wire/consul/consul_test.go
+++ b/internal/wire/consul/consul_test.go
@@ -30,14 +30,14 @@
 
 func TestMeta(t *testing.T) {
 	h := http.Header{"X-Consul-Index": {"42"}, "X-Consul-Lastcontact": {"1500"}, "X-Consul-Knownleader": {"false"}}
-	if m, err := ParseMeta(h); err != nil || m != (Meta{42, 1500 * time.Millisecond, true}) {
+	if m, err := ParseResponseMeta(h); err != nil || m != (ResponseMeta{42, 1500 * time.Millisecond, true}) {
 		t.Errorf("%+v, %v", m, err)
 	}
-	if m, err := ParseMeta(http.Header{"X-Consul-Index": {"0"}}); err != nil || m.Index != 1 {
+	if m, err := ParseResponseMeta(http.Header{"X-Consul-Index": {"0"}}); err != nil || m.Index != 1 {
 		t.Errorf("%+v, %v", m, err)
 	}
 	for _, bad := range []http.Header{{}, {"X-Consul-Index": {"-1"}}, {"X-Consul-Index": {"1"}, "X-Consul-Lastcontact": {"soon"}}} {
-		if _, err := ParseMeta(bad); err == nil {
+		if _, err := ParseResponseMeta(bad); err == nil {
 			t.Errorf("%v passed", bad)
 		}
 	}
@@ -59,7 +59,7 @@
 		t.Fatal(list, err)
 	}
 	m := Mapping{}.WithDefaults()
-	f, err := m.Fact(&list[0])
+	f, err := m.Listing(&list[0])
 	want := membership.Listing{ID: "db-1", Address: "10.1.10.12:5432", Zone: "north", Group: 3, Health: membership.Warning, Role: membership.Primary, Weight: 10,
 		Started: 1700000000 * time.Second}
 	if err != nil || f != want {
@@ -70,7 +70,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return m.Fact(&list[0])
+		return m.Listing(&list[0])
 	}
 	for _, x := range []struct {
 		old, new string
@@ -142,11 +142,11 @@
 func TestAnswersAreBounded(t *testing.T) {
 	e := &endless{}
 	n := 0
-	err := Decode(e, Limits{Bytes: 1 << 20, Entries: 1 << 30}, func(*Instance) { n++ })
+	err := Decode(e, Limits{MaxBytes: 1 << 20, MaxEntries: 1 << 30}, func(*Instance) { n++ })
 	if !errors.Is(err, ErrTooLong) || e.read > 2<<20 || n > 60000 {
 		t.Errorf("%v behind %d bytes and %d instances", err, e.read, n)
 	}
-	if err := Decode(&endless{}, Limits{Entries: 100}, func(*Instance) {}); !errors.Is(err, ErrTooLong) || !strings.Contains(err.Error(), "100 instances") {
+	if err := Decode(&endless{}, Limits{MaxEntries: 100}, func(*Instance) {}); !errors.Is(err, ErrTooLong) || !strings.Contains(err.Error(), "100 instances") {
 		t.Error(err)
 	}
 	one := `[{"Service":{"ID":"` + strings.Repeat("x", 60<<20) + `"}}]`
@@ -159,14 +159,14 @@
 }
 
 func TestPace(t *testing.T) {
-	p := &Pace{Agents: 2, Rand: rand.New(rand.NewPCG(1, 1))}
-	if p.Answered(time.Millisecond, 10, true) != 0 || p.Index() != 10 {
+	p := &Pacer{Agents: 2, Rand: rand.New(rand.NewPCG(1, 1))}
+	if p.Succeeded(time.Millisecond, 10, true) != 0 || p.Index() != 10 {
 		t.Error("the first answer comes at once, and the next call waits for news")
 	}
 	// Answers at once without news: three, then no more than about one a second.
 	quick, waited := 0, time.Duration(0)
 	for range 13 {
-		d := p.Answered(time.Millisecond, 10, false)
+		d := p.Succeeded(time.Millisecond, 10, false)
 		if d == 0 {
 			quick++
 		}
@@ -175,11 +175,11 @@
 	if quick != 2 || waited < 8*time.Second {
 		t.Errorf("%d calls in a tight loop, %v between the others", quick, waited)
 	}
-	if p.Answered(5*time.Second, 10, false) != 0 || p.Answered(time.Millisecond, 11, true) != 0 {
+	if p.Succeeded(5*time.Second, 10, false) != 0 || p.Succeeded(time.Millisecond, 11, true) != 0 {
 		t.Error("one that waits, or tells something new, is followed at once")
 	}
 	// An index that goes back begins anew, and is no reason to spin.
-	if p.Answered(time.Millisecond, 3, true); p.Index() != 0 {
+	if p.Succeeded(time.Millisecond, 3, true); p.Index() != 0 {
 		t.Errorf("index %d behind one that went back", p.Index())
 	}
 	// Failures: the other agent soon, then longer and longer.
@@ -197,7 +197,7 @@
 	if rounds[0] > againMin*5/4+1 || rounds[9] < againMax*3/4 || rounds[9]+otherAgent*5/4 > 1700*time.Millisecond {
 		t.Errorf("between rounds of agents: %v", rounds)
 	}
-	if p.Answered(time.Millisecond, 50, true) != 0 || p.Failed() > otherAgent*5/4+1 {
+	if p.Succeeded(time.Millisecond, 50, true) != 0 || p.Failed() > otherAgent*5/4+1 {
 		t.Error("an answer ends the backing off")
 	}
 }
@@ -207,7 +207,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m := Mapping{}.WithDefaults()
 		Decode(bytes.NewReader(b), Limits{}, func(i *Instance) {
-			if fact, err := m.Fact(i); err == nil && (fact.ID == "" || fact.Address == "") {
+			if fact, err := m.Listing(i); err == nil && (fact.ID == "" || fact.Address == "") {
 				t.Fatal(fmt.Sprint(fact))
 			}
 		})
--- a/internal/wire/consul/pace.go
+++ b/internal/wire/consul/pace.go
@@ -6,7 +6,7 @@
 )
 
 // Pace says when the next call goes out, with which index, and to which agent. It is pure.
-type Pace struct {
+type Pacer struct {
 	Agents int
 	Rand   *rand.Rand
 
@@ -31,14 +31,14 @@
 )
 
 // Index is that for the next call.
-func (p *Pace) Index() uint64 { return p.index }
+func (p *Pacer) Index() uint64 { return p.index }
 
 // Agent is the number of the agent for the next call.
-func (p *Pace) Agent() int { return p.agent }
+func (p *Pacer) Agent() int { return p.agent }
 
 // Answered notes an answer that took so long, and gives the pause before the next call. news tells that it changed something. An
 // index that has gone back begins anew from nothing: the servers were restored, or others answer.
-func (p *Pace) Answered(took time.Duration, index uint64, news bool) (pause time.Duration) {
+func (p *Pacer) Succeeded(took time.Duration, index uint64, news bool) (pause time.Duration) {
 	p.failures = 0
 	back := index < p.index
 	if p.index = index; back {
@@ -57,7 +57,7 @@
 // Failed notes a call without an answer, and gives the pause before the next: short to another agent, longer behind each round of
 // them.
 // What is in hand stays, and the next call asks for the whole: an agent that was started anew may count from elsewhere.
-func (p *Pace) Failed() (pause time.Duration) {
+func (p *Pacer) Failed() (pause time.Duration) {
 	p.failures++
 	p.index = 0
 	p.agent = (p.agent + 1) % max(p.Agents, 1)
@@ -69,6 +69,6 @@
 }
 
 // jitter spreads calls: three quarters to five quarters of a pause.
-func (p *Pace) jitter(d time.Duration) time.Duration {
+func (p *Pacer) jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(p.Rand.Int64N(int64(d)/2+1))
 }
--- a/internal/wire/discovery/http.go
+++ b/internal/wire/discovery/http.go
@@ -1,5 +1,5 @@
-// Package discovery is what the service that lists the databases speaks: HTTP/1.1 and JSON. It reads and
-// writes byte slices and does no input or output of its own.
+// Package discovery encodes requests to the service that lists the databases, and decodes its HTTP/1.1 responses and
+// JSON lists. It handles byte slices only and does no input or output of its own.
 package discovery
 
 import (
@@ -13,119 +13,121 @@
 )
 
 const (
-	maxHead = 16 << 10
-	maxBody = 4 << 20 // some thousand databases
+	maxHeaderBytes = 16 << 10
+	maxBody        = 4 << 20 // enough for some thousand databases
 
-	maxChunkHead = 64
+	maxChunkHeader = 64
 
 	statusOK = 200
 )
 
-// ErrMalformed tells of bytes that are no HTTP answer.
-var ErrMalformed = errors.New("malformed answer from discovery")
+// ErrMalformed is returned for bytes that are not a valid HTTP response of the service.
+var ErrMalformed = errors.New("malformed response from discovery")
 
-// NoList stands for the generation where there is no list yet. Generations count from 0.
-const NoList = -1
+// NoGeneration takes the place of a generation if no list has been received yet. Generations start at 0.
+const NoGeneration = -1
 
-// AppendRequest writes a call: of the whole list, or of what is newer than a generation, waiting so long for it.
+// AppendRequest appends a request to dst: for the whole list if after is NoGeneration, otherwise for what changed
+// after that generation. The service holds back its response for up to wait until there is a change.
 func AppendRequest(dst []byte, host string, after int64, wait time.Duration) []byte {
 	dst = append(dst, "GET /v1/endpoints"...)
-	if after != NoList {
+	if after != NoGeneration {
 		dst = fmt.Appendf(dst, "?after=%d&wait_ms=%d", after, wait.Milliseconds())
 	}
 	return fmt.Appendf(dst, " HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", host)
 }
 
-// Response is one answer.
+// Response is one HTTP response.
 type Response struct {
 	Status int
 	Body   []byte
-	Close  bool // the service ends the connection behind it
+	Close  bool // reports whether the service closes the connection after the response
 }
 
-// Parser reads answers from a buffer that grows. It goes on where it has stopped, so that reading an answer that comes in many pieces takes time
-// in proportion to its length.
+// Parser parses responses from a growing buffer. Each call continues where the last one stopped, so that the time for
+// a response in many pieces is proportional to its length.
 type Parser struct {
-	head    *head
-	at      int    // how far the body has been read, from the start of the buffer
-	chunked []byte // what its chunks have held so far
+	header  *header
+	offset  int    // start of the part of the body that has not been read, in the buffer
+	chunked []byte // the body decoded from chunks so far
 	depth   bracketDepth
 }
 
-// head is what an answer's head says.
-type head struct {
+// header holds what the header section of a response specifies.
+type header struct {
 	status  int
 	close   bool
-	length  int // of the body; negative = not told
+	length  int // of the body; negative = not specified
 	chunked bool
 }
 
-// Next cuts the first answer off buf, in one go.
+// Next parses the first response in buf with a new Parser.
 func Next(buf []byte) (Response, int, error) { return new(Parser).Next(buf) }
 
-// Next cuts the first answer off buf; 0 means that it isn't whole yet. Until it is, buf must begin with the same bytes at each call. The body is
-// valid until the next one.
+// Next parses the first response in buf and returns the number of bytes it takes; 0 means that it is incomplete. Until
+// a response is complete, buf must begin with the same bytes at each call. The body is valid until the next call.
+// The only error is ErrMalformed.
 func (p *Parser) Next(buf []byte) (r Response, n int, err error) {
-	if p.head == nil {
-		if err := p.parseHead(buf); err != nil || p.head == nil {
+	if p.header == nil {
+		if err := p.parseHeader(buf); err != nil || p.header == nil {
 			return r, 0, err
 		}
 	}
-	r, n, err = p.next(buf)
+	r, n, err = p.parseBody(buf)
 	if n > 0 || err != nil {
 		*p = Parser{}
 	}
 	return r, n, err
 }
 
-func (p *Parser) next(buf []byte) (Response, int, error) {
-	h := p.head
+func (p *Parser) parseBody(buf []byte) (Response, int, error) {
+	h := p.header
 	r := Response{Status: h.status, Close: h.close}
 	switch {
 	case h.chunked:
-		return p.chunks(r, buf)
+		return p.readChunks(r, buf)
 	case h.status == 204 || h.status == 304:
-		return r, p.at, nil
+		return r, p.offset, nil
 	case h.length < 0:
 		r.Close = true
-		return p.untilEnd(r, buf)
-	case len(buf) < p.at+h.length:
+		return p.readUntilClose(r, buf)
+	case len(buf) < p.offset+h.length:
 		return r, 0, nil
 	}
-	r.Body = buf[p.at : p.at+h.length]
-	return r, p.at + h.length, nil
+	r.Body = buf[p.offset : p.offset+h.length]
+	return r, p.offset + h.length, nil
 }
 
-// parseHead reads the head, if all of it is there.
-func (p *Parser) parseHead(buf []byte) error {
-	split := bytes.Index(buf, []byte("\r\n\r\n"))
-	if split < 0 {
-		if len(buf) > maxHead {
+// parseHeader parses the header section if it is complete.
+func (p *Parser) parseHeader(buf []byte) error {
+	end := bytes.Index(buf, []byte("\r\n\r\n"))
+	if end < 0 {
+		if len(buf) > maxHeaderBytes {
 			return ErrMalformed
 		}
 		return nil
 	}
-	lines := strings.Split(string(buf[:split]), "\r\n")
+	lines := strings.Split(string(buf[:end]), "\r\n")
 	status := strings.SplitN(lines[0], " ", 3)
-	if split > maxHead || len(status) < 2 || !strings.HasPrefix(status[0], "HTTP/1.") {
+	if end > maxHeaderBytes || len(status) < 2 || !strings.HasPrefix(status[0], "HTTP/1.") {
 		return ErrMalformed
 	}
-	h := &head{length: -1, close: status[0] == "HTTP/1.0"}
+	h := &header{length: -1, close: status[0] == "HTTP/1.0"}
 	var err error
 	if h.status, err = strconv.Atoi(status[1]); err != nil || h.status < 200 || h.status > 599 {
 		return ErrMalformed
 	}
 	for _, line := range lines[1:] {
-		if err := h.field(line); err != nil {
+		if err := h.parseField(line); err != nil {
 			return err
 		}
 	}
-	p.head, p.at = h, split+len("\r\n\r\n")
+	p.header, p.offset = h, end+len("\r\n\r\n")
 	return nil
 }
 
-// field reads a field of the head.
-func (h *head) field(line string) (err error) {
+// parseField parses one header field. Fields that are not used are ignored.
+func (h *header) parseField(line string) (err error) {
 	name, value, ok := strings.Cut(line, ":")
 	if value = strings.TrimSpace(value); !ok {
 		return ErrMalformed
@@ -143,18 +145,19 @@
 	return nil
 }
 
-// untilEnd reads an answer with neither length nor chunks, which the end of the connection bounds (RFC 9112, section 6.3). A reset ends it
-// likewise, half way, so that the end proves nothing: a list is whole where its JSON is. The body of any other status is nobody's.
-func (p *Parser) untilEnd(r Response, buf []byte) (Response, int, error) {
+// readUntilClose reads a body with neither length nor chunks, which ends with the connection (RFC 9112, section 6.3).
+// A connection that is reset halfway ends it as well, so its end does not prove that the body is complete: a list is
+// complete once its JSON is. The body of a response with another status is ignored.
+func (p *Parser) readUntilClose(r Response, buf []byte) (Response, int, error) {
 	if r.Status != statusOK {
 		return r, len(buf), nil
 	}
-	start := p.at
-	text := bytes.TrimLeft(buf[start:], " \t\r\n")
-	if len(buf)-start > maxBody || len(text) > 0 && text[0] != '{' {
+	start := p.offset
+	trimmed := bytes.TrimLeft(buf[start:], " \t\r\n")
+	if len(buf)-start > maxBody || len(trimmed) > 0 && trimmed[0] != '{' {
 		return r, 0, ErrMalformed
 	}
-	p.depth.read(buf[start:])
+	p.depth.scan(buf[start:])
 	if body := buf[start:]; p.depth.closed() && json.Valid(body) {
 		r.Body = body
 		return r, len(buf), nil
@@ -162,17 +165,18 @@
 	return r, 0, nil
 }
 
-// bracketDepth follows the brackets of a JSON text that grows, to tell when its object may be whole.
+// bracketDepth counts the open brackets of a growing JSON text, to detect when its object may be complete.
 type bracketDepth struct {
-	seen              int // bytes
+	scanned           int // number of bytes counted so far
 	depth             int
 	opened            bool
 	inString, escaped bool
 }
 
-// read goes on to the end of a text, of which it has seen the beginning.
-func (d *bracketDepth) read(text []byte) {
-	for _, c := range text[d.seen:] {
+// scan counts the brackets of a text from where the last call stopped; the text must begin with the same bytes at each
+// call.
+func (d *bracketDepth) scan(text []byte) {
+	for _, c := range text[d.scanned:] {
 		switch {
 		case d.escaped:
 			d.escaped = false
@@ -188,41 +192,41 @@
 			d.depth--
 		}
 	}
-	d.seen = len(text)
+	d.scanned = len(text)
 }
 
-// closed tells whether each bracket is closed.
+// closed reports whether the text has had a bracket and all of its brackets are closed.
 func (d *bracketDepth) closed() bool { return d.opened && d.depth <= 0 }
 
-// chunks gathers a body that comes in chunks.
-func (p *Parser) chunks(r Response, buf []byte) (Response, int, error) {
+// readChunks decodes a chunked body.
+func (p *Parser) readChunks(r Response, buf []byte) (Response, int, error) {
 	for {
-		rest := buf[p.at:]
-		line := bytes.Index(rest, []byte("\r\n"))
-		if line < 0 {
-			if len(rest) > maxChunkHead {
+		rest := buf[p.offset:]
+		lineEnd := bytes.Index(rest, []byte("\r\n"))
+		if lineEnd < 0 {
+			if len(rest) > maxChunkHeader {
 				return r, 0, ErrMalformed
 			}
 			return r, 0, nil
 		}
-		digits, _, _ := strings.Cut(string(rest[:line]), ";")
+		digits, _, _ := strings.Cut(string(rest[:lineEnd]), ";")
 		size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 		if err != nil || len(p.chunked)+int(size) > maxBody {
 			return r, 0, ErrMalformed
 		}
-		from := line + 2
-		end := from + int(size) + 2
+		start := lineEnd + 2
+		end := start + int(size) + 2
 		if len(rest) < end {
 			return r, 0, nil
 		}
 		if string(rest[end-2:end]) != "\r\n" {
 			return r, 0, ErrMalformed
 		}
-		p.at += end
+		p.offset += end
 		if size == 0 {
 			r.Body = p.chunked
-			return r, p.at, nil
+			return r, p.offset, nil
 		}
-		p.chunked = append(p.chunked, rest[from:end-2]...)
+		p.chunked = append(p.chunked, rest[start:end-2]...)
 	}
 }
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -8,10 +8,10 @@
 	"io"
 )
 
-// List is the list of databases, or what has changed of it.
+// List is the list of databases or, unless Full is set, the changes to it.
 type List struct {
 	Generation int64
-	Whole      bool
+	Full       bool
 	Instances  []Instance
 }
 
@@ -23,49 +23,49 @@
 	Group     int     `json:"cell"`
 	Lifecycle string  `json:"lifecycle"`
 	Weight    float64 `json:"weight"`
-	StartedMs int64   `json:"startedAtMs"` // Unix time; 0 = long ago
+	StartedMs int64   `json:"startedAtMs"` // Unix milliseconds; 0 = long ago
 }
 
-// The lifecycles.
+// The values of Instance.Lifecycle.
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
 	Terminated  = "terminated"
 )
 
-// StepEntries is how many entries of a list are read between two pauses.
-const StepEntries = 64
+// EntriesPerPause is the number of list entries that are decoded between two pauses.
+const EntriesPerPause = 64
 
-// errTrailing tells of text behind the end of a list.
-var errTrailing = errors.New("text behind the end of the list")
+// errTrailing is returned for text after the end of a list.
+var errTrailing = errors.New("text after the end of the list")
 
-// ParseList reads a list. Unknown names are passed over; an unknown lifecycle makes the list unusable, since
-// either guess, to send or not to, could be wrong.
-func ParseList(text []byte) (List, error) { return ParseListInSteps(text, func() {}) }
+// ParseList parses a list. Unknown JSON names are ignored. An unknown lifecycle makes the list invalid, since it does
+// not tell whether requests may be sent to the database. An entry without an ID is an error too.
+func ParseList(text []byte) (List, error) { return ParseListWithPauses(text, func() {}) }
 
-// ParseListInSteps is ParseList with a pause after each StepEntries entries, so that a caller with a small share of a core does not hold up all
-// else for as long as a list of thousands takes.
-func ParseListInSteps(text []byte, pause func()) (List, error) {
+// ParseListWithPauses is ParseList with a call of pause after each EntriesPerPause entries, so that a process with a
+// small share of a CPU core can do other work while it parses a list of thousands.
+func ParseListWithPauses(text []byte, pause func()) (List, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	l, err := DecodeList(decoder, pause)
+	list, err := DecodeList(decoder, pause)
 	if err == nil {
-		if _, end := decoder.Token(); !errors.Is(end, io.EOF) {
+		if _, trailing := decoder.Token(); !errors.Is(trailing, io.EOF) {
 			err = fmt.Errorf("list of databases: %w", errTrailing)
 		}
 	}
-	return l, err
+	return list, err
 }
 
-// DecodeList reads a list that stands next in a JSON text, as ParseListInSteps says.
-func DecodeList(decoder *json.Decoder, pause func()) (l List, err error) {
-	if err = l.decode(decoder, pause); err != nil {
+// DecodeList decodes the list that comes next in a JSON text, with pauses as in ParseListWithPauses.
+func DecodeList(decoder *json.Decoder, pause func()) (list List, err error) {
+	if err = list.decode(decoder, pause); err != nil {
 		return List{}, fmt.Errorf("list of databases: %w", err)
 	}
-	return l, nil
+	return list, nil
 }
 
 func (l *List) decode(decoder *json.Decoder, pause func()) error {
-	if opened, err := open(decoder, '{'); err != nil || !opened {
+	if opened, err := openBracket(decoder, '{'); err != nil || !opened {
 		return err
 	}
 	for decoder.More() {
@@ -77,7 +77,7 @@
 		case "generation":
 			err = decoder.Decode(&l.Generation)
 		case "reset":
-			err = decoder.Decode(&l.Whole)
+			err = decoder.Decode(&l.Full)
 		case "instances":
 			err = l.decodeInstances(decoder, pause)
 		default:
@@ -93,18 +93,18 @@
 
 func (l *List) decodeInstances(decoder *json.Decoder, pause func()) error {
 	l.Instances = nil
-	if opened, err := open(decoder, '['); err != nil || !opened {
+	if opened, err := openBracket(decoder, '['); err != nil || !opened {
 		return err
 	}
 	for decoder.More() {
-		var e Instance
-		if err := decoder.Decode(&e); err != nil {
+		var instance Instance
+		if err := decoder.Decode(&instance); err != nil {
 			return err
 		}
-		if err := e.check(); err != nil {
+		if err := instance.check(); err != nil {
 			return err
 		}
-		if l.Instances = append(l.Instances, e); len(l.Instances)%StepEntries == 0 {
+		if l.Instances = append(l.Instances, instance); len(l.Instances)%EntriesPerPause == 0 {
 			pause()
 		}
 	}
@@ -112,21 +112,21 @@
 	return err
 }
 
-// open reads the bracket that opens an object or an array; false = null stands in its place.
-func open(decoder *json.Decoder, bracket json.Delim) (bool, error) {
+// openBracket reads the bracket that opens an object or an array; false means that the value is null.
+func openBracket(decoder *json.Decoder, bracket json.Delim) (bool, error) {
 	token, err := decoder.Token()
 	if err != nil || token == nil {
 		return false, err
 	}
 	if token != bracket {
-		return false, fmt.Errorf("%v, where %v was expected", token, bracket)
+		return false, fmt.Errorf("got %v, want %v", token, bracket)
 	}
 	return true, nil
 }
 
 func (e *Instance) check() error {
 	if e.ID == "" {
-		return errors.New("an entry has no instanceId")
+		return errors.New("entry without an instanceId")
 	}
 	switch e.Lifecycle {
 	case InService, Terminating, Terminated:
--- a/internal/wire/pg/message.go
+++ b/internal/wire/pg/message.go
@@ -1,5 +1,5 @@
-// Package pg is the part of PostgreSQL's protocol, version 3, that the proxy speaks: simple queries without a
-// password. It reads and writes byte slices and does no input or output of its own.
+// Package pg encodes and decodes the part of PostgreSQL's protocol, version 3, that the proxy uses: simple queries
+// without a password. It handles byte slices only and does no input or output of its own.
 package pg
 
 import (
@@ -11,9 +11,10 @@
 )
 
 const (
-	// MaxMessage bounds one message: a value of 64 KiB is 128 KiB as hexadecimal text, and some words round it.
+	// MaxMessage is the maximum length of a message. It fits a value of 64 KiB, which has 128 KiB as hexadecimal text, and
+	// the statement around it.
 	MaxMessage = 160 << 10
-	maxStartup = 8 << 10 // startup messages hold a few names
+	maxStartup = 8 << 10 // startup messages hold only a few names
 
 	protocol3  = 3 << 16
 	cancelCode = 1234<<16 | 5678
@@ -21,45 +22,46 @@
 	gssCode    = 1234<<16 | 5680
 )
 
-// The types of message that the proxy reads or writes.
+// The message types that the proxy reads or writes.
 const (
 	TypeQuery     = 'Q'
 	TypeTerminate = 'X'
 
-	typeAuth     = 'R'
-	typeParam    = 'S'
-	typeKeyData  = 'K'
-	typeReady    = 'Z'
-	typeRowDesc  = 'T'
-	typeRow      = 'D'
-	typeComplete = 'C'
-	typeEmpty    = 'I'
-	typeError    = 'E'
-	typeNotice   = 'N'
+	typeAuth            = 'R'
+	typeParameterStatus = 'S'
+	typeBackendKeyData  = 'K'
+	typeReady           = 'Z'
+	typeRowDescription  = 'T'
+	typeRow             = 'D'
+	typeComplete        = 'C'
+	typeEmpty           = 'I'
+	typeError           = 'E'
+	typeNotice          = 'N'
 )
 
-// The SQLSTATE codes that say something to the proxy or its clients.
+// The SQLSTATE codes that the proxy sends or acts on.
 const (
-	CodeProtocol   = "08P01" // malformed input
-	CodeTooMany    = "53300" // turned away unseen, try again
-	CodeNotNow     = "57P03" // likewise
-	CodeReadOnly   = "25006" // a write, and this is no primary
-	CodeTooFarBack = "72000" // the data is too old for the read
-	CodeFailed     = "58000" // the proxy found nobody to answer
+	CodeProtocolViolation   = "08P01" // malformed input
+	CodeTooManyConnections  = "53300" // request refused without being executed; the client may retry
+	CodeCannotConnectNow    = "57P03" // as CodeTooManyConnections
+	CodeReadOnlyTransaction = "25006" // a write was sent to a member that is not the primary
+	CodeSnapshotTooOld      = "72000" // the data is too old for the read
+	CodeSystemError         = "58000" // no member answered the proxy's request
 )
 
-// ErrMalformed tells of bytes that are not the protocol.
+// ErrMalformed is returned for bytes that violate the protocol.
 var ErrMalformed = errors.New("malformed message")
 
-// Message is one message; Body is a part of the buffer that it was cut from.
+// Message is one message. Body and Raw are parts of the buffer that it was parsed from.
 type Message struct {
 	Type byte
 	Body []byte
-	Raw  []byte // all of it, type and length included
+	Raw  []byte // the whole message with type and length
 }
 
-// Next cuts the first message off buf. It gives 0 for a message that isn't there as a whole yet.
-func Next(buf []byte) (m Message, n int, err error) {
+// Next parses the first message in buf and returns its length; 0 means that the message is incomplete. It returns
+// ErrMalformed for an invalid length.
+func Next(buf []byte) (m Message, length int, err error) {
 	if len(buf) < 5 {
 		return m, 0, nil
 	}
@@ -67,180 +69,184 @@
 	if size < 4 || size > MaxMessage {
 		return m, 0, ErrMalformed
 	}
-	if n = int(size) + 1; len(buf) < n {
+	if length = int(size) + 1; len(buf) < length {
 		return m, 0, nil
 	}
-	return Message{Type: buf[0], Body: buf[5:n], Raw: buf[:n]}, n, nil
+	return Message{Type: buf[0], Body: buf[5:length], Raw: buf[:length]}, length, nil
 }
 
 const (
-	// LongRow is from where on a row's value is passed on in pieces rather than held as a whole, in bytes.
-	LongRow = 64<<10 + 1
-	// MaxRow bounds one that is passed on in pieces.
-	MaxRow = 64 << 20
+	// MinStreamedValue is the length in bytes from which a value is forwarded in pieces instead of being buffered.
+	MinStreamedValue = 64<<10 + 1
+	// MaxStreamedRow is the maximum length of a row that is forwarded in pieces, in bytes.
+	MaxStreamedRow = 64 << 20
 
-	rowHead = 11 // type, length, number of columns, length of the first
+	rowHeader = 11 // type, length, number of columns, length of the first column
 )
 
-// NextLongRow tells whether buf begins with a row of one column whose value is long, and how many bytes the row has in all.
-func NextLongRow(buf []byte) (int, bool) {
-	if len(buf) < rowHead || buf[0] != typeRow {
+// NextStreamedRow reports whether buf begins with a row of one column whose value is to be forwarded in pieces, and
+// returns the length of that message in bytes.
+func NextStreamedRow(buf []byte) (int, bool) {
+	if len(buf) < rowHeader || buf[0] != typeRow {
 		return 0, false
 	}
 	size, value := binary.BigEndian.Uint32(buf[1:]), binary.BigEndian.Uint32(buf[7:])
-	if value < LongRow || size > MaxRow || size != value+rowHead-1 || binary.BigEndian.Uint16(buf[5:]) != 1 {
+	if value < MinStreamedValue || size > MaxStreamedRow || size != value+rowHeader-1 || binary.BigEndian.Uint16(buf[5:]) != 1 {
 		return 0, false
 	}
 	return int(size) + 1, true
 }
 
-// Opening is what a client opens its connection with.
-type Opening uint8
+// StartupKind is the kind of a client's first message.
+type StartupKind uint8
 
-// The kinds of opening.
+// The kinds of first messages: a session, a request for encryption, and a cancel request.
 const (
-	OpenSession Opening = iota
-	OpenEncrypted
-	OpenCancel
+	StartupSession StartupKind = iota
+	StartupEncryption
+	StartupCancel
 )
 
-// NextOpening cuts the untyped first message of a client off buf; 0 means that it isn't whole yet.
-func NextOpening(buf []byte) (o Opening, n int, err error) {
+// NextStartup parses the first message of a client, which has no type byte, and returns its length; 0 means that the
+// message is incomplete. It returns ErrMalformed for an invalid length or protocol version.
+func NextStartup(buf []byte) (kind StartupKind, length int, err error) {
 	if len(buf) < 4 {
-		return o, 0, nil
+		return kind, 0, nil
 	}
 	size := binary.BigEndian.Uint32(buf)
 	if size < 8 || size > maxStartup {
-		return o, 0, ErrMalformed
+		return kind, 0, ErrMalformed
 	}
 	if len(buf) < int(size) {
-		return o, 0, nil
+		return kind, 0, nil
 	}
 	switch code := binary.BigEndian.Uint32(buf[4:]); {
 	case code == sslCode || code == gssCode:
-		o = OpenEncrypted
+		kind = StartupEncryption
 	case code == cancelCode:
-		o = OpenCancel
+		kind = StartupCancel
 	case code>>16 != protocol3>>16:
-		return o, 0, ErrMalformed
+		return kind, 0, ErrMalformed
 	}
-	return o, int(size), nil
+	return kind, int(size), nil
 }
 
-// Opened gives a name's value in the startup message that begins buf, such as "database"; NextOpening must have found
-// it whole.
-func Opened(buf []byte, name string) string {
+// StartupParameter returns the value of a parameter, such as "database", in the startup message at the start of buf,
+// or "" if it is not set. NextStartup must have found the message complete.
+func StartupParameter(buf []byte, name string) string {
 	size := int(binary.BigEndian.Uint32(buf))
 	for rest := buf[8:size]; len(rest) > 0; {
-		key, behind, ok := bytes.Cut(rest, []byte{0})
-		value, behind, ok2 := bytes.Cut(behind, []byte{0})
-		if !ok || !ok2 || len(key) == 0 {
+		parameter, after, nameOK := bytes.Cut(rest, []byte{0})
+		value, after, valueOK := bytes.Cut(after, []byte{0})
+		if !nameOK || !valueOK || len(parameter) == 0 {
 			break
 		}
-		if string(key) == name {
+		if string(parameter) == name {
 			return string(value)
 		}
-		rest = behind
+		rest = after
 	}
 	return ""
 }
 
-// QueryText gives the text of a Query message.
-func QueryText(m Message) ([]byte, error) {
-	if len(m.Body) == 0 || bytes.IndexByte(m.Body, 0) != len(m.Body)-1 {
+// QueryText returns the text of a Query message.
+func QueryText(message Message) ([]byte, error) {
+	if len(message.Body) == 0 || bytes.IndexByte(message.Body, 0) != len(message.Body)-1 {
 		return nil, ErrMalformed
 	}
-	return m.Body[:len(m.Body)-1], nil
+	return message.Body[:len(message.Body)-1], nil
 }
 
-// begin starts a message whose length end fills in.
-func begin(dst []byte, kind byte) ([]byte, int) {
-	dst = append(dst, kind, 0, 0, 0, 0)
+// begin appends the type and an empty length field of a message. It returns the position of the length for finish.
+func begin(dst []byte, messageType byte) ([]byte, int) {
+	dst = append(dst, messageType, 0, 0, 0, 0)
 	return dst, len(dst) - 4
 }
 
-func end(dst []byte, at int) []byte {
-	binary.BigEndian.PutUint32(dst[at:], uint32(len(dst)-at))
+// finish fills in the length of the message whose length field is at lengthAt.
+func finish(dst []byte, lengthAt int) []byte {
+	binary.BigEndian.PutUint32(dst[lengthAt:], uint32(len(dst)-lengthAt))
 	return dst
 }
 
+// cstring appends a zero-terminated string.
 func cstring(dst []byte, s string) []byte { return append(append(dst, s...), 0) }
 
-// AppendStartup opens a session at a database.
+// AppendStartup appends the startup message of a session on a database.
 func AppendStartup(dst []byte, user, database string) []byte {
-	at := len(dst)
+	lengthAt := len(dst)
 	dst = append(dst, 0, 0, 0, 0)
 	dst = binary.BigEndian.AppendUint32(dst, protocol3)
 	for _, s := range []string{"user", user, "database", database, ""} {
 		dst = cstring(dst, s)
 	}
-	return end(dst, at)
+	return finish(dst, lengthAt)
 }
 
-// AppendQuery writes a simple query.
+// AppendQuery appends a simple query.
 func AppendQuery(dst []byte, text string) []byte {
-	dst, at := begin(dst, TypeQuery)
-	return end(cstring(dst, text), at)
+	dst, lengthAt := begin(dst, TypeQuery)
+	return finish(cstring(dst, text), lengthAt)
 }
 
-// AppendRefuseEncryption answers a client that asks for encryption: it may go on without.
+// AppendRefuseEncryption answers a request for encryption: the client may continue without it.
 func AppendRefuseEncryption(dst []byte) []byte { return append(dst, 'N') }
 
-// AppendWelcome answers a client's startup message.
-func AppendWelcome(dst []byte) []byte {
-	dst, at := begin(dst, typeAuth)
-	dst = end(binary.BigEndian.AppendUint32(dst, 0), at)
-	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
+// AppendStartupResponse answers a client's startup message: it accepts the session without a password.
+func AppendStartupResponse(dst []byte) []byte {
+	dst, lengthAt := begin(dst, typeAuth)
+	dst = finish(binary.BigEndian.AppendUint32(dst, 0), lengthAt)
+	for _, parameter := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
 		{"client_encoding", "UTF8"}, {"standard_conforming_strings", "on"}} {
-		dst, at = begin(dst, typeParam)
-		dst = end(cstring(cstring(dst, p[0]), p[1]), at)
+		dst, lengthAt = begin(dst, typeParameterStatus)
+		dst = finish(cstring(cstring(dst, parameter[0]), parameter[1]), lengthAt)
 	}
-	return AppendReady(dst)
+	return AppendReadyForQuery(dst)
 }
 
-// AppendParameter writes a ParameterStatus.
-func AppendParameter(dst []byte, name, value string) []byte {
-	dst, at := begin(dst, typeParam)
-	return end(cstring(cstring(dst, name), value), at)
+// AppendParameterStatus appends a ParameterStatus message.
+func AppendParameterStatus(dst []byte, name, value string) []byte {
+	dst, lengthAt := begin(dst, typeParameterStatus)
+	return finish(cstring(cstring(dst, name), value), lengthAt)
 }
 
-// AppendReady tells a client that it may send its next query.
-func AppendReady(dst []byte) []byte {
-	dst, at := begin(dst, typeReady)
-	return end(append(dst, 'I'), at)
+// AppendReadyForQuery appends ReadyForQuery, after which the client may send its next query.
+func AppendReadyForQuery(dst []byte) []byte {
+	dst, lengthAt := begin(dst, typeReady)
+	return finish(append(dst, 'I'), lengthAt)
 }
 
-// AppendEmpty answers an empty query.
-func AppendEmpty(dst []byte) []byte {
-	dst, at := begin(dst, typeEmpty)
-	return AppendReady(end(dst, at))
+// AppendEmptyQueryResponse answers an empty query.
+func AppendEmptyQueryResponse(dst []byte) []byte {
+	dst, lengthAt := begin(dst, typeEmpty)
+	return AppendReadyForQuery(finish(dst, lengthAt))
 }
 
-// AppendServed passes on what a database answered: its row and its completion, as they came.
-func AppendServed(dst, body []byte) []byte { return AppendReady(append(dst, body...)) }
+// AppendResult appends the body of a Reply, unchanged, and ReadyForQuery.
+func AppendResult(dst, body []byte) []byte { return AppendReadyForQuery(append(dst, body...)) }
 
-// AppendRefused turns a request away; comeBack, if any, tells the client after how long to come again. It is
-// rounded up, so that nobody comes before the time.
-func AppendRefused(dst []byte, comeBack time.Duration) []byte {
+// AppendRefused refuses a request. A positive retryAfter tells the client how long to wait before a retry, in
+// milliseconds, rounded up so that no retry comes too early.
+func AppendRefused(dst []byte, retryAfter time.Duration) []byte {
 	detail := ""
-	if comeBack > 0 {
-		detail = strconv.FormatInt(int64((comeBack+time.Millisecond-1)/time.Millisecond), 10)
+	if retryAfter > 0 {
+		detail = strconv.FormatInt(int64((retryAfter+time.Millisecond-1)/time.Millisecond), 10)
 	}
-	return AppendReady(appendError(dst, "ERROR", CodeTooMany, "no member can take this now", detail))
+	return AppendReadyForQuery(appendError(dst, "ERROR", CodeTooManyConnections, "no member can take this now", detail))
 }
 
-// AppendFailed tells that a request failed and that nothing is known of its effect.
+// AppendFailed reports that a request failed and may or may not have taken effect.
 func AppendFailed(dst []byte) []byte {
-	return AppendReady(appendError(dst, "ERROR", CodeFailed, "no member answered in time", ""))
+	return AppendReadyForQuery(appendError(dst, "ERROR", CodeSystemError, "no member answered in time", ""))
 }
 
-// AppendFatal is the last word on a connection.
+// AppendFatal appends a fatal error, the last message on a connection.
 func AppendFatal(dst []byte, code, text string) []byte {
 	return appendError(dst, "FATAL", code, text, "")
 }
 
 func appendError(dst []byte, severity, code, text, detail string) []byte {
-	dst, at := begin(dst, typeError)
+	dst, lengthAt := begin(dst, typeError)
 	dst = cstring(append(dst, 'S'), severity)
 	dst = cstring(append(dst, 'V'), severity)
 	dst = cstring(append(dst, 'C'), code)
@@ -248,5 +254,5 @@
 	if detail != "" {
 		dst = cstring(append(dst, 'D'), detail)
 	}
-	return end(append(dst, 0), at)
+	return finish(append(dst, 0), lengthAt)
 }
--- a/internal/wire/pg/reply.go
+++ b/internal/wire/pg/reply.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// The roles that databases tell.
+// The roles that databases report.
 const (
 	RolePrimary = "primary"
 	RoleReplica = "replica"
 )
 
-// Reply gathers what a database says to one command, up to its ReadyForQuery.
+// Reply collects the messages with which a database answers one command, up to ReadyForQuery.
 type Reply struct {
-	Code     string // the SQLSTATE of an error; empty where there was none
-	Body     []byte // description, row and completion, as they came
-	Role     string // RolePrimary, RoleReplica or nothing
-	Position int64  // Unix milliseconds; 0 = not told
-	Load     string // a load report
+	ErrorCode string // SQLSTATE of an error; empty = no error
+	Body      []byte // row description, row and command completion, unchanged
+	Role      string // RolePrimary, RoleReplica or empty
+	Position  int64  // replication position in Unix milliseconds; 0 = not reported
+	Load      string // load report, for ParseLoadReport
 
 	row      []byte
 	rows     int
@@ -27,54 +27,54 @@
 	ready    bool
 }
 
-// Reset makes the reply ready for the next command. It keeps the room of Body.
+// Reset prepares the reply for the next command. It keeps the memory of Body.
 func (r *Reply) Reset() { *r = Reply{Body: r.Body[:0]} }
 
-// Long notes that a row has come which is passed on in pieces and not kept. It tells whether one is due.
-func (r *Reply) Long() bool {
-	if len(r.Body) == 0 || r.rows > 0 || r.complete || r.Code != "" {
+// AddStreamedRow records a row that is forwarded in pieces and not kept. It returns false if no row is expected.
+func (r *Reply) AddStreamedRow() bool {
+	if len(r.Body) == 0 || r.rows > 0 || r.complete || r.ErrorCode != "" {
 		return false
 	}
 	r.rows++
 	return true
 }
 
-// Ready tells whether the database has finished.
+// Ready reports whether ReadyForQuery has arrived.
 func (r *Reply) Ready() bool { return r.ready }
 
-// Served tells whether a whole answer came: one row and its completion.
-func (r *Reply) Served() bool { return r.Code == "" && r.rows == 1 && r.complete }
+// Complete reports whether the reply is a complete result: one row and its command completion, without an error.
+func (r *Reply) Complete() bool { return r.ErrorCode == "" && r.rows == 1 && r.complete }
 
-// Add takes the next message. An error means that the database's bytes make no sense.
-func (r *Reply) Add(m Message) error {
-	switch m.Type {
+// Add adds the next message. It returns ErrMalformed if the message is invalid or unexpected.
+func (r *Reply) Add(message Message) error {
+	switch message.Type {
 	case typeAuth:
-		if len(m.Body) != 4 || binary.BigEndian.Uint32(m.Body) != 0 {
-			return ErrMalformed // it wants a password, which there is none
+		if len(message.Body) != 4 || binary.BigEndian.Uint32(message.Body) != 0 {
+			return ErrMalformed // the database asks for a password, which is not supported
 		}
-	case typeKeyData, typeNotice, typeEmpty:
-	case typeParam:
-		return r.param(m.Body)
-	case typeRowDesc:
+	case typeBackendKeyData, typeNotice, typeEmpty:
+	case typeParameterStatus:
+		return r.parseParameter(message.Body)
+	case typeRowDescription:
 		if len(r.Body) > 0 {
-			return ErrMalformed // one statement, one answer; more of them would fill the memory
+			return ErrMalformed // a statement has one result; further ones could exhaust the memory
 		}
-		r.Body = append(r.Body, m.Raw...)
+		r.Body = append(r.Body, message.Raw...)
 	case typeRow:
-		value, ok := column(m.Body)
+		value, ok := singleColumn(message.Body)
 		if r.rows++; !ok || r.rows > 1 {
 			return ErrMalformed
 		}
-		r.Body = append(r.Body, m.Raw...)
+		r.Body = append(r.Body, message.Raw...)
 		r.row = r.Body[len(r.Body)-len(value):]
 	case typeComplete:
 		if r.complete {
 			return ErrMalformed
 		}
-		r.Body = append(r.Body, m.Raw...)
+		r.Body = append(r.Body, message.Raw...)
 		r.complete = true
 	case typeError:
-		if r.Code = errorCode(m.Body); r.Code == "" {
+		if r.ErrorCode = errorCode(message.Body); r.ErrorCode == "" {
 			return ErrMalformed
 		}
 	case typeReady:
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (r *Reply) param(body []byte) error {
+func (r *Reply) parseParameter(body []byte) error {
 	parts := bytes.SplitN(body, []byte{0}, 3)
 	if len(parts) != 3 || len(parts[2]) != 0 {
 		return ErrMalformed
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// column gives the value of a row of one column.
-func column(body []byte) ([]byte, bool) {
+// singleColumn returns the value of a row with one column.
+func singleColumn(body []byte) ([]byte, bool) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return nil, false
 	}
@@ -117,14 +117,15 @@
 	return body[6:], int(n) == len(body)-6
 }
 
-// Unfit tells of the codes for a statement that is at fault itself: protocol violations, bad data, bad syntax.
-func Unfit(code string) bool {
-	return code == CodeProtocol || strings.HasPrefix(code, "22") || strings.HasPrefix(code, "42")
+// IsStatementError reports whether a SQLSTATE blames the statement itself: a protocol violation, invalid data or
+// invalid syntax.
+func IsStatementError(code string) bool {
+	return code == CodeProtocolViolation || strings.HasPrefix(code, "22") || strings.HasPrefix(code, "42")
 }
 
 func errorCode(body []byte) string { return errorField(body, 'C') }
 
-// errorField gives a field of an ErrorResponse; empty = it has none.
+// errorField returns a field of an ErrorResponse, or "" if it has no such field.
 func errorField(body []byte, name byte) string {
 	for len(body) > 1 {
 		field, rest, ok := bytes.Cut(body[1:], []byte{0})
@@ -139,38 +140,38 @@
 	return ""
 }
 
-// Report is a load report.
-type Report struct {
-	Told     bool    // there is one
-	Position float64 // Unix seconds; 0 = not told
-	Role     string  // as in Reply
-	Queue    float64 // negative = not told
+// LoadReport is a database's report on its load.
+type LoadReport struct {
+	Present     bool    // reports whether there is a report
+	Position    float64 // Unix seconds; 0 = not reported
+	Role        string  // as in Reply
+	QueueLength float64 // negative = not reported
 }
 
-// ParseReport reads a report of the form "x0=1767225600.123,x1=1,inflight=7". Positions have more digits than
-// a 32-bit float holds.
-func ParseReport(text string) Report {
-	out := Report{Queue: -1}
+// ParseLoadReport parses a report such as "x0=1767225600.123,x1=1,inflight=7". Fields without a number are ignored.
+// Positions have more digits than a 32-bit float holds.
+func ParseLoadReport(text string) LoadReport {
+	report := LoadReport{QueueLength: -1}
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		v, err := strconv.ParseFloat(value, 64)
+		number, err := strconv.ParseFloat(value, 64)
 		if err != nil {
 			continue
 		}
-		out.Told = true
+		report.Present = true
 		switch name {
 		case "x0":
-			out.Position = v
+			report.Position = number
 		case "x1":
-			if out.Role = RoleReplica; v == 1 {
-				out.Role = RolePrimary
+			if report.Role = RoleReplica; number == 1 {
+				report.Role = RolePrimary
 			}
 		case "queue":
-			out.Queue = v
+			report.QueueLength = number
 		}
 	}
-	return out
+	return report
 }
 
-// Row gives the value of the row, which is a part of Body.
+// Row returns the value of the row, which is also a part of Body.
 func (r *Reply) Row() string { return string(r.row) }
--- a/internal/wire/pg/statement.go
+++ b/internal/wire/pg/statement.go
@@ -7,36 +7,38 @@
 	"havenproxy/internal/wire/routing"
 )
 
-// Statement is one request: its text and what the comment at its end says of it.
+// Statement is the text of a statement and the routing hints from the comment at its end.
 type Statement struct {
 	Text string
 	routing.Hints
 }
 
-// ErrStatement tells of a query that is no routable statement.
+// ErrStatement is returned for a statement that can't be routed.
 var ErrStatement = routing.ErrStatement
 
-// ParseStatement reads a statement such as
+// ParseStatement parses a statement such as
 //
 //	SELECT val FROM state WHERE uid = 'KEY' /* id=9b1f03aa,c=basket,d=480,cluster=2,after=1767225600123 */
 //
-// Id, class, time, group and the quoted key must be there. The text is kept as it came.
+// It returns ErrStatement unless ID, class, timeout, group and the quoted session key are given. Parameters are not
+// allowed. The text is kept unchanged.
 func ParseStatement(text string) (Statement, error) {
-	h, err := routing.Parse(text)
-	if err == nil && (h.ID == "" || h.Class == "" || h.WaitEnd == 0 || !h.Grouped || h.Session == 0 || len(h.Refs) > 0) {
+	hints, err := routing.Parse(text)
+	if err == nil && (hints.ID == "" || hints.Class == "" || hints.TimeoutEnd == 0 || !hints.HasGroup || hints.Session == 0 || len(hints.ParamRefs) > 0) {
 		err = ErrStatement
 	}
-	return Statement{text, h}, err
+	return Statement{text, hints}, err
 }
 
-// Size is how many bytes it holds.
+// Size returns the length of the text in bytes.
 func (s *Statement) Size() int { return len(s.Text) }
 
-// AppendTo writes the statement for a database that has so long to answer. Only the number of d is changed; it
-// is rounded down, so that the database never works on what nobody waits for.
-func (s *Statement) AppendTo(dst []byte, wait time.Duration) []byte {
-	dst, at := begin(dst, TypeQuery)
-	dst = append(dst, s.Text[:s.WaitAt]...)
-	dst = strconv.AppendInt(dst, max(int64(wait/time.Millisecond), 1), 10)
-	return end(cstring(dst, s.Text[s.WaitEnd:]), at)
+// AppendTo appends the statement as a Query for a database that may take up to timeout. Only the value of d is
+// replaced; it is rounded down, but not below 1 ms, so that the database does no work after the client has stopped
+// waiting.
+func (s *Statement) AppendTo(dst []byte, timeout time.Duration) []byte {
+	dst, lengthAt := begin(dst, TypeQuery)
+	dst = append(dst, s.Text[:s.TimeoutStart]...)
+	dst = strconv.AppendInt(dst, max(int64(timeout/time.Millisecond), 1), 10)
+	return finish(cstring(dst, s.Text[s.TimeoutEnd:]), lengthAt)
 }
--- a/internal/wire/pg/table.go
+++ b/internal/wire/pg/table.go
@@ -5,80 +5,80 @@
 	"strconv"
 )
 
-const typeText = 25 // the OID of text
+const typeText = 25 // OID of the type text
 
-// AppendTable writes a result set of text columns, with its completion and ReadyForQuery. Rows that would make it
-// longer than most bytes are left out, and a notice tells how many.
-func AppendTable(dst []byte, columns []string, rows [][]string, tag string, most int) []byte {
-	from := len(dst)
-	dst, at := begin(dst, typeRowDesc)
+// AppendResultSet appends a result set of text columns with its command completion and ReadyForQuery. Rows that would
+// make it longer than maxBytes are omitted, and a notice reports their number.
+func AppendResultSet(dst []byte, columns []string, rows [][]string, tag string, maxBytes int) []byte {
+	start := len(dst)
+	dst, lengthAt := begin(dst, typeRowDescription)
 	dst = binary.BigEndian.AppendUint16(dst, uint16(len(columns)))
-	for _, c := range columns {
-		dst = cstring(dst, c)
-		dst = append(dst, 0, 0, 0, 0, 0, 0) // of no table
+	for _, column := range columns {
+		dst = cstring(dst, column)
+		dst = append(dst, 0, 0, 0, 0, 0, 0) // belongs to no table
 		dst = binary.BigEndian.AppendUint32(dst, typeText)
-		dst = append(dst, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 0) // of any length, as text
+		dst = append(dst, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 0) // type of variable length, text format
 	}
-	dst = end(dst, at)
-	const behind = 256 // for the notice, the completion and ReadyForQuery
-	left := 0
+	dst = finish(dst, lengthAt)
+	const trailerBytes = 256 // for the notice, the command completion and ReadyForQuery
+	omitted := 0
 	for _, row := range rows {
 		size := 7
-		for _, v := range row {
-			size += 4 + len(v)
+		for _, value := range row {
+			size += 4 + len(value)
 		}
-		if left > 0 || len(dst)-from+size+behind > most {
-			left++
+		if omitted > 0 || len(dst)-start+size+trailerBytes > maxBytes {
+			omitted++
 			continue
 		}
-		dst, at = begin(dst, typeRow)
+		dst, lengthAt = begin(dst, typeRow)
 		dst = binary.BigEndian.AppendUint16(dst, uint16(len(row)))
-		for _, v := range row {
-			dst = binary.BigEndian.AppendUint32(dst, uint32(len(v)))
-			dst = append(dst, v...)
+		for _, value := range row {
+			dst = binary.BigEndian.AppendUint32(dst, uint32(len(value)))
+			dst = append(dst, value...)
 		}
-		dst = end(dst, at)
+		dst = finish(dst, lengthAt)
 	}
-	if left > 0 {
-		dst = appendNotice(dst, left)
+	if omitted > 0 {
+		dst = appendNotice(dst, omitted)
 	}
-	dst, at = begin(dst, typeComplete)
-	return AppendReady(end(cstring(dst, tag), at))
+	dst, lengthAt = begin(dst, typeComplete)
+	return AppendReadyForQuery(finish(cstring(dst, tag), lengthAt))
 }
 
-func appendNotice(dst []byte, left int) []byte {
+func appendNotice(dst []byte, omitted int) []byte {
 	text := "rows left out for want of room: "
-	dst, at := begin(dst, typeNotice)
+	dst, lengthAt := begin(dst, typeNotice)
 	dst = cstring(append(dst, 'S'), "NOTICE")
 	dst = cstring(append(dst, 'V'), "NOTICE")
 	dst = cstring(append(dst, 'C'), "01000")
-	dst = cstring(append(dst, 'M'), text+strconv.Itoa(left))
-	return end(append(dst, 0), at)
+	dst = cstring(append(dst, 'M'), text+strconv.Itoa(omitted))
+	return finish(append(dst, 0), lengthAt)
 }
 
-// AppendError answers a statement with an error; the connection goes on.
+// AppendError answers a statement with an error after which the connection stays open.
 func AppendError(dst []byte, code, text string) []byte {
-	return AppendReady(appendError(dst, "ERROR", code, text, ""))
+	return AppendReadyForQuery(appendError(dst, "ERROR", code, text, ""))
 }
 
-// Rows reads a result set: the columns, and the rows as text. Ended tells that ReadyForQuery was among the messages.
-type Rows struct {
-	Columns []string
-	Rows    [][]string
-	Err     string // the text of an ErrorResponse
-	Code    string
-	Ended   bool
+// ResultSet collects a result set of text values. Complete is set once ReadyForQuery has arrived.
+type ResultSet struct {
+	Columns   []string
+	Rows      [][]string
+	ErrorText string // message of an ErrorResponse; empty = none
+	ErrorCode string // SQLSTATE of an ErrorResponse
+	Complete  bool
 }
 
-// Add takes the next message of an answer.
-func (r *Rows) Add(m Message) error {
-	switch m.Type {
-	case typeRowDesc:
-		if len(m.Body) < 2 {
+// Add adds the next message. It returns ErrMalformed for an invalid message; messages of other types are ignored.
+func (r *ResultSet) Add(message Message) error {
+	switch message.Type {
+	case typeRowDescription:
+		if len(message.Body) < 2 {
 			return ErrMalformed
 		}
-		rest := m.Body[2:]
-		for range binary.BigEndian.Uint16(m.Body) {
+		rest := message.Body[2:]
+		for range binary.BigEndian.Uint16(message.Body) {
 			n := 0
 			for n < len(rest) && rest[n] != 0 {
 				n++
@@ -90,11 +90,11 @@
 			rest = rest[n+19:]
 		}
 	case typeRow:
-		if len(m.Body) < 2 {
+		if len(message.Body) < 2 {
 			return ErrMalformed
 		}
-		rest, row := m.Body[2:], []string(nil)
-		for range binary.BigEndian.Uint16(m.Body) {
+		rest, row := message.Body[2:], []string(nil)
+		for range binary.BigEndian.Uint16(message.Body) {
 			if len(rest) < 4 {
 				return ErrMalformed
 			}
@@ -109,9 +109,9 @@
 		}
 		r.Rows = append(r.Rows, row)
 	case typeError:
-		r.Code, r.Err = errorField(m.Body, 'C'), errorField(m.Body, 'M')
+		r.ErrorCode, r.ErrorText = errorField(message.Body, 'C'), errorField(message.Body, 'M')
 	case typeReady:
-		r.Ended = true
+		r.Complete = true
 	}
 	return nil
 }
--- a/internal/wire/routing/routing.go
+++ b/internal/wire/routing/routing.go
@@ -1,10 +1,11 @@
-// Package routing reads what a statement says of itself: its class, its group, how long its client waits, its key. The
-// words stand in the comment at the statement's end, whatever protocol brought it:
+// Package routing parses the routing hints of a statement: its class, group, timeout, session and others. Each hint is
+// a name with a value. With either protocol, they are written in a comment at the end of the statement:
 //
 //	SELECT val FROM state WHERE uid = 'KEY' /* id=9b1f03aa,c=basket,d=480,cluster=2,after=1767225600123 */
 //
-// A statement that is prepared once and executed often has a fixed text: there a word may name a parameter, k=?2, and
-// its value is that of each execution. Names and values may also come beside the statement, as query attributes.
+// The text of a prepared statement is the same for all executions. In it, the value of a hint may refer to a
+// parameter, as in k=?2, and is taken from that parameter at each execution. Hints may also be sent outside the text,
+// as query attributes.
 package routing
 
 import (
@@ -15,64 +16,66 @@
 	"time"
 )
 
-// ErrStatement tells of a query that is no routable statement.
+// ErrStatement is returned for a statement without a valid routing comment, and for a hint with an invalid value. Its
+// text is sent to clients.
 var ErrStatement = errors.New("not a statement with a routing comment")
 
-// Hints is what a statement says of itself.
+// Hints holds the routing hints of a statement.
 type Hints struct {
-	ID      string
-	Class   string
-	Key     string        // the idempotency key
-	Wait    time.Duration // how long the client waits, counted from its sending; Waits tells whether it said so
-	Waits   bool
-	Group   int
-	Grouped bool  // it named a group
-	After   int64 // Unix milliseconds of the session's last commit; 0 = none
-	Retry   bool
-	Session uint64 // never 0 once a key was found
+	ID         string
+	Class      string
+	Key        string        // idempotency key
+	Timeout    time.Duration // how long the client waits, counted from when it sent the request; valid if HasTimeout is set
+	HasTimeout bool
+	Group      int
+	HasGroup   bool   // reports whether Group was given
+	LastCommit int64  // Unix milliseconds of the session's last commit; 0 = none
+	Retry      bool   // reports whether the client repeats an earlier attempt
+	Session    uint64 // 0 = no session key was found
 
-	Refs            []Ref // words whose values are parameters
-	WaitAt, WaitEnd int   // where Wait's number stands in the text; 0 = nowhere
+	ParamRefs                []ParamRef // hints whose values are parameters
+	TimeoutStart, TimeoutEnd int        // position of the value of d in the text; 0 = d is not in the text
 }
 
-// Ref is a word whose value is a parameter of the statement.
-type Ref struct {
-	Word  string
-	Param int // counted from 0
+// ParamRef is a hint whose value is a parameter of the statement.
+type ParamRef struct {
+	Name  string
+	Param int // index of the parameter, from 0
 }
 
-// maxWait bounds how long a client may say that it waits.
-const maxWait = 24 * time.Hour
+// maxTimeout is the longest timeout that a client may give.
+const maxTimeout = 24 * time.Hour
 
-// Parse reads a statement's comment. Words that it doesn't know are passed over. A statement without a comment at its end
-// is an error; what must stand in one is the caller's to say.
+// Parse parses the hints in a statement's comment and, for the session, the first quoted string before the comment.
+// Unknown names are ignored. It returns ErrStatement if no comment ends the statement or a value is invalid. Callers
+// check which hints are required.
 func Parse(text string) (Hints, error) {
-	var h Hints
-	from, to := strings.LastIndex(text, "/*"), strings.LastIndex(text, "*/")
-	if from < 0 || to < from+2 || strings.Trim(text[to+2:], " \t\r\n;") != "" {
-		return h, ErrStatement
+	var hints Hints
+	commentStart, commentEnd := strings.LastIndex(text, "/*"), strings.LastIndex(text, "*/")
+	if commentStart < 0 || commentEnd < commentStart+2 || strings.Trim(text[commentEnd+2:], " \t\r\n;") != "" {
+		return hints, ErrStatement
 	}
-	if key, ok := quoted(text[:from]); ok {
-		h.Session = SessionOf(key)
+	if key, ok := firstQuoted(text[:commentStart]); ok {
+		hints.Session = SessionFromKey(key)
 	}
-	for at := from + 2; at < to; {
-		end := at + strings.IndexByte(text[at:to]+",", ',')
-		word, value, _ := strings.Cut(strings.TrimSpace(text[at:end]), "=")
-		if n, isParam := param(value); isParam {
-			h.Refs = append(h.Refs, Ref{word, n})
-		} else if err := h.Set(word, value); err != nil {
-			return h, err
-		} else if word == "d" {
-			h.WaitAt = at + strings.Index(text[at:end], "=") + 1
-			h.WaitEnd = h.WaitAt + len(value)
+	for start := commentStart + 2; start < commentEnd; {
+		end := start + strings.IndexByte(text[start:commentEnd]+",", ',')
+		name, value, _ := strings.Cut(strings.TrimSpace(text[start:end]), "=")
+		if index, isParam := paramIndex(value); isParam {
+			hints.ParamRefs = append(hints.ParamRefs, ParamRef{name, index})
+		} else if err := hints.Set(name, value); err != nil {
+			return hints, err
+		} else if name == "d" {
+			hints.TimeoutStart = start + strings.Index(text[start:end], "=") + 1
+			hints.TimeoutEnd = hints.TimeoutStart + len(value)
 		}
-		at = end + 1
+		start = end + 1
 	}
-	return h, nil
+	return hints, nil
 }
 
-// param reads "?2", the second parameter.
-func param(value string) (int, bool) {
+// paramIndex parses a parameter reference such as "?2", which has the index 1.
+func paramIndex(value string) (int, bool) {
 	if len(value) < 2 || value[0] != '?' {
 		return 0, false
 	}
@@ -80,9 +83,10 @@
 	return int(n) - 1, err == nil && n > 0
 }
 
-// Set takes one word with its value, from a comment, a parameter or an attribute.
-func (h *Hints) Set(word, value string) (err error) {
-	switch word {
+// Set sets the hint with that name, as written in a comment, from the value in a comment, a parameter or an attribute.
+// Unknown names are ignored. It returns ErrStatement for an invalid value.
+func (h *Hints) Set(name, value string) (err error) {
+	switch name {
 	case "id":
 		h.ID = value
 	case "c":
@@ -92,20 +96,20 @@
 	case "d":
 		var ms int64
 		ms, err = strconv.ParseInt(value, 10, 64)
-		// 0 is what a client writes that has less than a millisecond left; it is owed an answer all the same.
-		if err != nil || ms < 0 || ms > int64(maxWait/time.Millisecond) {
+		// A client with less than a millisecond left sends 0 and still expects an answer.
+		if err != nil || ms < 0 || ms > int64(maxTimeout/time.Millisecond) {
 			return ErrStatement
 		}
-		h.Wait, h.Waits = time.Duration(ms)*time.Millisecond, true
+		h.Timeout, h.HasTimeout = time.Duration(ms)*time.Millisecond, true
 	case "cluster":
 		h.Group, err = strconv.Atoi(value)
-		h.Grouped = true
+		h.HasGroup = true
 	case "after":
-		h.After, err = strconv.ParseInt(value, 10, 64)
+		h.LastCommit, err = strconv.ParseInt(value, 10, 64)
 	case "r":
 		h.Retry = value == "1"
 	case "session":
-		h.Session = SessionOf(value)
+		h.Session = SessionFromKey(value)
 	}
 	if err != nil {
 		return ErrStatement
@@ -113,22 +117,23 @@
 	return nil
 }
 
-// Resolve takes the words that are parameters, by the values of one execution.
+// Resolve sets the hints in ParamRefs from the parameters of one execution. It returns ErrStatement if a parameter has
+// no value or an invalid one.
 func (h *Hints) Resolve(value func(param int) (string, bool)) error {
-	for _, r := range h.Refs {
-		v, ok := value(r.Param)
+	for _, ref := range h.ParamRefs {
+		text, ok := value(ref.Param)
 		if !ok {
 			return ErrStatement
 		}
-		if err := h.Set(r.Word, v); err != nil {
+		if err := h.Set(ref.Name, text); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// quoted gives the first quoted text of a statement.
-func quoted(text string) (string, bool) {
+// firstQuoted returns the first single-quoted string in a statement.
+func firstQuoted(text string) (string, bool) {
 	_, rest, ok := strings.Cut(text, "'")
 	if !ok {
 		return "", false
@@ -137,12 +142,12 @@
 	return key, ok
 }
 
-// SessionOf makes a number of a key, never 0: 16 hexadecimal digits are one already.
-func SessionOf(key string) uint64 {
-	if n, err := strconv.ParseUint(key, 16, 64); err == nil && n != 0 && len(key) == 16 {
-		return n
+// SessionFromKey derives a session number, never 0, from a key: the value of 16 hexadecimal digits, otherwise a hash.
+func SessionFromKey(key string) uint64 {
+	if number, err := strconv.ParseUint(key, 16, 64); err == nil && number != 0 && len(key) == 16 {
+		return number
 	}
-	h := fnv.New64a()
-	h.Write([]byte(key))
-	return max(h.Sum64(), 1)
+	hash := fnv.New64a()
+	hash.Write([]byte(key))
+	return max(hash.Sum64(), 1)
 }
--- a/internal/wire/settings/config.go
+++ b/internal/wire/settings/config.go
@@ -19,13 +19,13 @@
 	Peers      []string       // the proxies of the tier, this one included
 	PeersAll   string         // stands for all of them
 	Admin      string         // the operators' second address; empty = there is none
-	Known      discovery.List // the databases as this proxy last had them; may be old
+	KnownList  discovery.List // the databases as this proxy last had them; may be old
 	Settings   Settings
 }
 
 // ParseConfig reads a proxy's configuration. The error names what is wrong in one line.
 func ParseConfig(text []byte) (Config, error) {
-	d, err := Split(text, func() {})
+	d, err := ParseDocument(text, func() {})
 	if err != nil {
 		return Config{}, err
 	}
@@ -53,7 +53,7 @@
 		return Config{}, fmt.Errorf("configuration: %w", readable("", err))
 	}
 	c := Config{Name: j.Name, Listen: j.Listen, Discovery: j.Discovery, MemoryMB: j.Limits.MemoryMB,
-		Sockets: j.Limits.Sockets, Known: d.Known, PeerListen: j.PeerListen, Peers: j.Peers, PeersAll: j.PeersAll, Admin: j.Admin}
+		Sockets: j.Limits.Sockets, KnownList: d.KnownList, PeerListen: j.PeerListen, Peers: j.Peers, PeersAll: j.PeersAll, Admin: j.Admin}
 	for field, value := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if value == "" {
 			return c, fmt.Errorf("configuration: %s is missing", field)
--- a/internal/wire/settings/document.go
+++ b/internal/wire/settings/document.go
@@ -12,8 +12,8 @@
 
 // Document is a configuration's text, split: the list of databases as last known, which may be long, and the rest.
 type Document struct {
-	Rest  []byte // JSON, without the list
-	Known discovery.List
+	Rest      []byte // JSON, without the list
+	KnownList discovery.List
 }
 
 // errNoObject tells of a configuration that is no JSON object.
@@ -21,8 +21,8 @@
 
 // Split reads a configuration's text. Between the parts of a long list it calls pause, as discovery.ParseListInSteps does. The error names what
 // is wrong in one line.
-func Split(text []byte, pause func()) (Document, error) {
-	d := Document{Known: discovery.List{Generation: discovery.NoList}}
+func ParseDocument(text []byte, pause func()) (Document, error) {
+	d := Document{KnownList: discovery.List{Generation: discovery.NoGeneration}}
 	rest, err := d.split(json.NewDecoder(bytes.NewReader(text)), pause)
 	if err != nil {
 		return Document{}, fmt.Errorf("configuration: %w", err)
@@ -45,7 +45,7 @@
 		}
 		name, _ := token.(string)
 		if name == "known" {
-			if d.Known, err = discovery.DecodeList(decoder, pause); err != nil {
+			if d.KnownList, err = discovery.DecodeList(decoder, pause); err != nil {
 				return nil, fmt.Errorf("known: %w", err)
 			}
 			continue
--- a/internal/wire/settings/document_test.go
+++ b/internal/wire/settings/document_test.go
@@ -22,15 +22,15 @@
 func TestALongConfigurationIsReadInSteps(t *testing.T) {
 	const databases = 3200
 	pauses := 0
-	d, err := Split(longKnown(databases), func() { pauses++ })
+	d, err := ParseDocument(longKnown(databases), func() { pauses++ })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if pauses < databases/discovery.StepEntries {
+	if pauses < databases/discovery.EntriesPerPause {
 		t.Errorf("%d pauses for %d databases", pauses, databases)
 	}
-	if len(d.Known.Instances) != databases || d.Known.Generation != 3 {
-		t.Errorf("%d databases are known, of generation %d", len(d.Known.Instances), d.Known.Generation)
+	if len(d.KnownList.Instances) != databases || d.KnownList.Generation != 3 {
+		t.Errorf("%d databases are known, of generation %d", len(d.KnownList.Instances), d.KnownList.Generation)
 	}
 	if got := string(d.Rest); got != `{"listen":"a:1","name":"n"}` {
 		t.Errorf("the rest is %s", got)
@@ -49,12 +49,12 @@
 		"another lifecycle":  strings.Replace(whole, "in_service", "asleep", 1),
 		"a value that isn't": `{"name":nil}`,
 	} {
-		_, err := Split([]byte(text), func() {})
+		_, err := ParseDocument([]byte(text), func() {})
 		if err == nil || strings.Contains(err.Error(), "\n") || !strings.HasPrefix(err.Error(), "configuration: ") {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if d, err := Split([]byte(`{"name":"n"}`), func() {}); err != nil || d.Known.Generation != discovery.NoList {
-		t.Errorf("without a list: generation %d, %v", d.Known.Generation, err)
+	if d, err := ParseDocument([]byte(`{"name":"n"}`), func() {}); err != nil || d.KnownList.Generation != discovery.NoGeneration {
+		t.Errorf("without a list: generation %d, %v", d.KnownList.Generation, err)
 	}
 }
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -73,9 +73,9 @@
 
 // Settings is what the adapter and the proxy need of an instance's settings text.
 type Settings struct {
-	Config logic.Config
-	Origin time.Duration // positions are counted from here
-	Fields []string      // the values of a load report, in order
+	Config       logic.Config
+	OriginTime   time.Duration // positions are counted from here
+	ReportFields []string      // the values of a load report, in order
 
 	Zones          []string
 	IdleClose      time.Duration // idle connections to databases are closed after this
@@ -129,7 +129,7 @@
 	}
 	cfg.ListMaxDelay = listBound(pull, micros(s.AskWithin), micros(s.Drain))
 	if l.Peers {
-		cfg.MaxPeerReports = peers.MaxFacts
+		cfg.MaxPeerReports = peers.MaxReports
 	}
 	for i, c := range j.Classes {
 		class, err := parseClass(c, d.Freshness[i])
@@ -144,7 +144,7 @@
 	for _, t := range j.Tenants {
 		cfg.Tenants = append(cfg.Tenants, logic.Tenant{Name: t.Name, Quota: t.Quota})
 	}
-	return Settings{Config: cfg, Origin: micros(d.Origin), Fields: j.Reporting.Fields,
+	return Settings{Config: cfg, OriginTime: micros(d.Origin), ReportFields: j.Reporting.Fields,
 		Zones: j.Zones, IdleClose: micros(l.IdleClose), ConnectTimeout: micros(l.ConnectTime)}, nil
 }
 
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -30,7 +30,7 @@
 		c.LagCheck != logic.LagCheckWait || c.ListRole != logic.ListRoleLate ||
 		c.Classes[0].MaxAge != 800*time.Millisecond || c.Classes[1].Scope != logic.ScopeCell ||
 		c.Classes[1].DedupWindow != 1200*time.Millisecond || c.Tenants[0].Quota != 12.5 ||
-		c.OverloadMultiple != 3 || s.Origin != 613484020636*time.Microsecond || len(s.Fields) != 2 {
+		c.OverloadMultiple != 3 || s.OriginTime != 613484020636*time.Microsecond || len(s.ReportFields) != 2 {
 		t.Errorf("%+v", s)
 	}
 	for want, text := range map[string]string{
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c, err := ParseConfig(text); err != nil || len(c.Known.Instances) != 1 || len(c.Settings.Config.Classes) != 5 ||
+	if c, err := ParseConfig(text); err != nil || len(c.KnownList.Instances) != 1 || len(c.Settings.Config.Classes) != 5 ||
 		c.Settings.IdleClose != 30*time.Second || c.Settings.ConnectTimeout != 250*time.Millisecond {
 		t.Errorf("%+v, error %v", c, err)
 	}
@@ -63,7 +63,7 @@
 
 func TestConfig(t *testing.T) {
 	c, err := ParseConfig([]byte(config))
-	if err != nil || c.Settings.Config.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.Known.Generation != discovery.NoList {
+	if err != nil || c.Settings.Config.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.KnownList.Generation != discovery.NoGeneration {
 		t.Errorf("%+v, error %v", c, err)
 	}
 	for want, text := range map[string]string{
--- a/internal/wire/settings/whole.go
+++ b/internal/wire/settings/whole.go
@@ -9,7 +9,7 @@
 // Whole tells whether a configuration that is to replace another has all that the other had, and is fit to be put into force while
 // requests are open. What stands for nothing at a start, a missing limit say, could be a file cut short or half written here. The error
 // names the first thing missing in one line. Both texts are a document's rest: what was last known of databases need not be there again.
-func Whole(before, text []byte) error {
+func CheckReplacement(before, text []byte) error {
 	var old, next map[string]any
 	if err := json.Unmarshal(text, &next); err != nil {
 		return fmt.Errorf("configuration: not usable JSON: %w", err)
--- a/internal/wire/settings/whole_test.go
+++ b/internal/wire/settings/whole_test.go
@@ -9,11 +9,11 @@
 func TestWhole(t *testing.T) {
 	ok := strings.Replace(config, `"max_attempts": 8`, `"max_attempts": 3`, 1)
 	ok = strings.Replace(ok, `"name": "a"`, `"name": "c"`, 1)
-	if err := Whole([]byte(config), []byte(strings.Replace(ok, `, "name": "b"`, ``, 1))); err == nil || !strings.Contains(err.Error(), "[1].name") {
+	if err := CheckReplacement([]byte(config), []byte(strings.Replace(ok, `, "name": "b"`, ``, 1))); err == nil || !strings.Contains(err.Error(), "[1].name") {
 		t.Errorf("a class without a name: %v", err)
 	}
 	before := config
-	if err := Whole([]byte(before), []byte(ok)); err != nil {
+	if err := CheckReplacement([]byte(before), []byte(ok)); err != nil {
 		t.Error(err)
 	}
 	for what, text := range map[string]string{
@@ -29,7 +29,7 @@
 		"name twice":      strings.Replace(ok, `"name": "c"`, `"name": "b"`, 1),
 		"no object":       `[]`,
 	} {
-		if err := Whole([]byte(before), []byte(text)); err == nil || strings.Contains(err.Error(), "\n") {
+		if err := CheckReplacement([]byte(before), []byte(text)); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
--- a/internal/wire/tier/tier.go
+++ b/internal/wire/tier/tier.go
@@ -1,10 +1,12 @@
-// Package tier is what the processes of one tier say to one another: proxies, planners and the operator's commands. A frame is
+// Package tier encodes and decodes the frames that the processes of one tier exchange: proxies, planners and the
+// operator's commands. A frame is
 //
 //	0..3  the length of what follows, big-endian; 1 MiB at most
 //	4     the version, 1
-//	then  CBOR (RFC 8949), core deterministic, with numbers for names
+//	then  CBOR (RFC 8949) in the core deterministic encoding, with integer map keys
 //
-// A length is looked at before anything is kept for it. A frame of another version, or that can't be read, is an error.
+// The length is checked before memory is allocated for it. A frame of another version, or one that can't be decoded,
+// is an error.
 package tier
 
 import (
@@ -21,159 +23,162 @@
 )
 
 const (
-	// MaxFrame bounds what follows the length, in bytes.
-	MaxFrame = 1 << 20
-	version  = 1
-	head     = 4
+	// MaxFrame is the maximum number of bytes that may follow the length.
+	MaxFrame    = 1 << 20
+	version     = 1
+	lengthBytes = 4
 )
 
-// ErrFrame tells of a frame that can't be read.
-var ErrFrame = errors.New("tier: a frame that can't be read")
+// ErrFrame is returned for a frame that can't be decoded.
+var ErrFrame = errors.New("tier: invalid frame")
 
-// Frame is one message; one of its parts is set.
+// Frame is one message. Exactly one of its fields is set.
 type Frame struct {
-	Tier    *rollout.Message `cbor:"1,keyasint,omitempty"` // between a proxy and a planner
-	Raft    []byte           `cbor:"2,keyasint,omitempty"` // between planners: a raftpb.Message
-	Ask     *Ask             `cbor:"3,keyasint,omitempty"` // of the operator
-	Answer  *Answer          `cbor:"4,keyasint,omitempty"`
-	Start   *Start           `cbor:"5,keyasint,omitempty"` // of a planner to another, before all else on a link
-	Strange string           `cbor:"6,keyasint,omitempty"` // a planner to another: why its messages are not taken
-	Work    *Work            `cbor:"7,keyasint,omitempty"` // between proxies
-	Health  []byte           `cbor:"8,keyasint,omitempty"` // between a proxy and a planner: a message of internal/wire/healthcheck
+	Rollout   *rollout.Message  `cbor:"1,keyasint,omitempty"` // messages between a proxy and a planner
+	Raft      []byte            `cbor:"2,keyasint,omitempty"` // messages between planners: a raftpb.Message
+	Request   *OperatorRequest  `cbor:"3,keyasint,omitempty"` // an operator's request
+	Response  *OperatorResponse `cbor:"4,keyasint,omitempty"` // a planner's response to it
+	Start     *StartRecord      `cbor:"5,keyasint,omitempty"` // the first frame that a planner sends to another on a link
+	Rejection string            `cbor:"6,keyasint,omitempty"` // a planner's reason for rejecting the messages of another
+	Takeover  *TakeoverMessages `cbor:"7,keyasint,omitempty"` // messages between proxies
+	Health    []byte            `cbor:"8,keyasint,omitempty"` // a message of internal/wire/healthcheck, between a proxy and a planner
 }
 
-// Work is what one proxy of a tier says to another of work in hand, several messages at a time.
-type Work struct {
+// TakeoverMessages holds messages about requests in progress from one proxy of a tier to another.
+type TakeoverMessages struct {
 	From     takeover.Member    `cbor:"1,keyasint"`
 	To       takeover.Member    `cbor:"2,keyasint"`
 	Messages []takeover.Message `cbor:"3,keyasint"`
 }
 
-// Start says what a planner's disk holds as a link of it to another begins.
-type Start struct {
-	Planner uint64 `cbor:"1,keyasint"`
-	Disk    uint64 `cbor:"2,keyasint"` // drawn when its log was begun
-	Term    uint64 `cbor:"3,keyasint"` // of its last vote or leader
-	Last    uint64 `cbor:"4,keyasint"` // entry
+// StartRecord describes what a planner's disk holds when a link to another planner opens.
+type StartRecord struct {
+	Planner   uint64 `cbor:"1,keyasint"`
+	DiskID    uint64 `cbor:"2,keyasint"` // drawn at random when its log was created
+	Term      uint64 `cbor:"3,keyasint"` // of the last vote or the last leader on the disk
+	LastIndex uint64 `cbor:"4,keyasint"` // index of the last log entry
 
-	Process   uint64 `cbor:"5,keyasint,omitempty"` // drawn when its process began; 0 = an earlier version
-	BeganTerm uint64 `cbor:"6,keyasint,omitempty"` // the disk's term and last entry then
-	BeganLast uint64 `cbor:"7,keyasint,omitempty"`
+	ProcessID    uint64 `cbor:"5,keyasint,omitempty"` // drawn at random when the process started; 0 = sent by an earlier version
+	InitialTerm  uint64 `cbor:"6,keyasint,omitempty"` // Term and LastIndex at the start of the process
+	InitialIndex uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Ask is a command of the operator.
-type Ask struct {
-	Do     string         `cbor:"1,keyasint"` // one of the words below
-	Policy []byte         `cbor:"2,keyasint,omitempty"`
-	Why    string         `cbor:"3,keyasint,omitempty"`
-	Nonce  uint64         `cbor:"4,keyasint,omitempty"`
-	Number rollout.Number `cbor:"5,keyasint,omitempty"`
-	Name   string         `cbor:"6,keyasint,omitempty"`
-	Hash   string         `cbor:"7,keyasint,omitempty"` // of Policy
+// OperatorRequest is a request of an operator to a planner.
+type OperatorRequest struct {
+	Action  string         `cbor:"1,keyasint"` // one of the Action constants
+	Policy  []byte         `cbor:"2,keyasint,omitempty"`
+	Comment string         `cbor:"3,keyasint,omitempty"` // the operator's comment on a proposed policy
+	Nonce   uint64         `cbor:"4,keyasint,omitempty"` // identifies a proposal; with ActionReplace, the new planner's ID
+	Number  rollout.Number `cbor:"5,keyasint,omitempty"` // a policy's number; with ActionReplace, the ID of the planner to replace
+	Name    string         `cbor:"6,keyasint,omitempty"` // the member to expel; with ActionReplace, the new planner's address
+	Hash    string         `cbor:"7,keyasint,omitempty"` // hash of Policy
 }
 
-// The operator's words. The answer to each holds the state, with the text of policy Number and of no other. Who proposes, aborts and expels is the planner that leads; any one answers what it knows.
+// The actions of an operator's request. Any planner answers ActionStatus from its own state; only the leader carries out
+// the others. Every response holds the planners' state, with the text of the policy Number and of no other.
 const (
-	DoPropose = "propose"
-	DoStatus  = "status"
-	DoAbort   = "abort"
-	DoExpel   = "expel"
-	DoReplace = "replace" // planner Number by planner Nonce at the address Name
+	ActionPropose = "propose"
+	ActionStatus  = "status"
+	ActionAbort   = "abort"
+	ActionExpel   = "expel"
+	ActionReplace = "replace" // replaces planner Number by planner Nonce at the address Name
 )
 
-// Answer is a planner's.
-type Answer struct {
+// OperatorResponse is a planner's response to an operator's request.
+type OperatorResponse struct {
 	Error    string               `cbor:"1,keyasint,omitempty"`
-	Planner  uint64               `cbor:"2,keyasint,omitempty"` // who answers
-	Leader   uint64               `cbor:"3,keyasint,omitempty"` // who leads; 0 = nobody known
+	Planner  uint64               `cbor:"2,keyasint,omitempty"` // the planner that responds
+	Leader   uint64               `cbor:"3,keyasint,omitempty"` // the leading planner; 0 = unknown
 	State    *rollout.State       `cbor:"4,keyasint,omitempty"`
 	Progress *rollout.Progress    `cbor:"5,keyasint,omitempty"`
 	Members  []rollout.MemberInfo `cbor:"6,keyasint,omitempty"`
-	Planners []uint64             `cbor:"7,keyasint,omitempty"` // that vote now, by number
+	Planners []uint64             `cbor:"7,keyasint,omitempty"` // IDs of the planners that vote now
 }
 
 var (
-	encoder, _ = cbor.CoreDetEncOptions().EncMode()
-	decoder, _ = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
+	encodeMode, _ = cbor.CoreDetEncOptions().EncMode()
+	decodeMode, _ = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
 )
 
-// Append writes a frame.
-func Append(dst []byte, f *Frame) ([]byte, error) {
-	body, err := encoder.Marshal(f)
+// Append appends an encoded frame to dst. It returns an error if the frame exceeds MaxFrame.
+func Append(dst []byte, frame *Frame) ([]byte, error) {
+	body, err := encodeMode.Marshal(frame)
 	if err != nil {
 		return dst, err
 	}
 	if len(body)+1 > MaxFrame {
-		return dst, fmt.Errorf("tier: a frame of %d bytes, %d at most may be sent", len(body)+1, MaxFrame)
+		return dst, fmt.Errorf("tier: frame of %d bytes exceeds the limit of %d", len(body)+1, MaxFrame)
 	}
 	dst = binary.BigEndian.AppendUint32(dst, uint32(len(body)+1))
 	return append(append(dst, version), body...), nil
 }
 
-// Next reads the first frame of buf and tells its length; 0 = it isn't there as a whole yet.
-func Next(buf []byte) (f Frame, n int, err error) {
-	if len(buf) < head {
-		return f, 0, nil
+// Next decodes the first frame in buf and returns the number of bytes it takes; 0 means that the frame is incomplete.
+// Errors wrap ErrFrame.
+func Next(buf []byte) (frame Frame, n int, err error) {
+	if len(buf) < lengthBytes {
+		return frame, 0, nil
 	}
 	size := binary.BigEndian.Uint32(buf)
 	if size < 2 || size > MaxFrame {
-		return f, 0, fmt.Errorf("%w: of %d bytes", ErrFrame, size)
+		return frame, 0, fmt.Errorf("%w: invalid length %d", ErrFrame, size)
 	}
-	if len(buf) > head && buf[head] != version {
-		return f, 0, fmt.Errorf("%w: of version %d", ErrFrame, buf[head])
+	if len(buf) > lengthBytes && buf[lengthBytes] != version {
+		return frame, 0, fmt.Errorf("%w: unsupported version %d", ErrFrame, buf[lengthBytes])
 	}
-	if len(buf) < head+int(size) {
-		return f, 0, nil
+	if len(buf) < lengthBytes+int(size) {
+		return frame, 0, nil
 	}
-	if err := decoder.Unmarshal(buf[head+1:head+int(size)], &f); err != nil {
-		return f, 0, fmt.Errorf("%w: %w", ErrFrame, err)
+	if err := decodeMode.Unmarshal(buf[lengthBytes+1:lengthBytes+int(size)], &frame); err != nil {
+		return frame, 0, fmt.Errorf("%w: %w", ErrFrame, err)
 	}
-	return f, head + int(size), nil
+	return frame, lengthBytes + int(size), nil
 }
 
-// Whole tells how many bytes a frame takes whose head begins buf; 0 = that isn't known yet. Who reads a stream asks before it keeps more.
-func Whole(buf []byte) (int, error) {
-	if len(buf) < head {
+// FrameSize returns the number of bytes of the frame that begins at the start of buf, or 0 if buf is too short to
+// tell. A reader of a stream calls it before it buffers the frame. Errors wrap ErrFrame.
+func FrameSize(buf []byte) (int, error) {
+	if len(buf) < lengthBytes {
 		return 0, nil
 	}
 	size := binary.BigEndian.Uint32(buf)
 	if size < 2 || size > MaxFrame {
-		return 0, fmt.Errorf("%w: of %d bytes", ErrFrame, size)
+		return 0, fmt.Errorf("%w: invalid length %d", ErrFrame, size)
 	}
-	return head + int(size), nil
+	return lengthBytes + int(size), nil
 }
 
-// Read reads one frame from a stream; its length is bounded before anything is kept for it.
-func Read(r *bufio.Reader) (f Frame, err error) {
-	first, err := r.Peek(head)
+// Read reads one frame from a stream. It checks the length before it allocates memory for the frame.
+func Read(r *bufio.Reader) (frame Frame, err error) {
+	prefix, err := r.Peek(lengthBytes)
 	if err != nil {
-		return f, err
+		return frame, err
 	}
-	n, err := Whole(first)
+	size, err := FrameSize(prefix)
 	if err != nil {
-		return f, err
+		return frame, err
 	}
-	buf := make([]byte, n)
+	buf := make([]byte, size)
 	if _, err := io.ReadFull(r, buf); err != nil {
-		return f, err
+		return frame, err
 	}
-	f, _, err = Next(buf)
-	return f, err
+	frame, _, err = Next(buf)
+	return frame, err
 }
 
-// EncodeState and DecodeState give the planners' state the form in which snapshots and the log hold it.
-func EncodeState(s *rollout.State) ([]byte, error) { return encoder.Marshal(s) }
+// EncodeState encodes the planners' state as snapshots and the log store it.
+func EncodeState(state *rollout.State) ([]byte, error) { return encodeMode.Marshal(state) }
 
-// DecodeState reads what EncodeState wrote.
-func DecodeState(text []byte) (*rollout.State, error) {
-	s := &rollout.State{}
-	return s, decoder.Unmarshal(text, s)
+// DecodeState decodes a state that EncodeState encoded.
+func DecodeState(encoded []byte) (*rollout.State, error) {
+	state := &rollout.State{}
+	return state, decodeMode.Unmarshal(encoded, state)
 }
 
-// EncodeCommand gives a command the form in which the log holds it.
-func EncodeCommand(c *rollout.Command) ([]byte, error) { return encoder.Marshal(c) }
+// EncodeCommand encodes a command as the log stores it.
+func EncodeCommand(command *rollout.Command) ([]byte, error) { return encodeMode.Marshal(command) }
 
-// DecodeCommand reads what EncodeCommand wrote.
-func DecodeCommand(text []byte) (c rollout.Command, err error) {
-	return c, decoder.Unmarshal(text, &c)
+// DecodeCommand decodes a command that EncodeCommand encoded.
+func DecodeCommand(encoded []byte) (command rollout.Command, err error) {
+	return command, decodeMode.Unmarshal(encoded, &command)
 }
