--- a/internal/wire/settings/document.go
+++ b/internal/wire/settings/document.go
@@ -19,10 +19,10 @@
 // errNotObject is returned for a configuration that is not a JSON object.
 var errNotObject = errors.New("no object")
 
-// Split decodes a configuration's text. It calls pause between the parts of a long list, as discovery.ParseListInSteps does.
+// Split decodes a configuration's text. It calls pause between the parts of a long list, as discovery.ParseListWithPauses does.
 // The error describes the first fault in one line.
 func Split(text []byte, pause func()) (Document, error) {
-	d := Document{KnownDatabases: discovery.List{Generation: discovery.NoList}}
+	d := Document{KnownDatabases: discovery.List{Generation: discovery.NoGeneration}}
 	values, err := d.decode(json.NewDecoder(bytes.NewReader(text)), pause)
 	if err != nil {
 		return Document{}, fmt.Errorf("configuration: %w", err)
--- a/internal/wire/settings/document_test.go
+++ b/internal/wire/settings/document_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if pauses < databases/discovery.StepEntries {
+	if pauses < databases/discovery.EntriesPerPause {
 		t.Errorf("%d pauses for %d databases", pauses, databases)
 	}
 	if len(d.KnownDatabases.Instances) != databases || d.KnownDatabases.Generation != 3 {
@@ -54,7 +54,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if d, err := Split([]byte(`{"name":"n"}`), func() {}); err != nil || d.KnownDatabases.Generation != discovery.NoList {
+	if d, err := Split([]byte(`{"name":"n"}`), func() {}); err != nil || d.KnownDatabases.Generation != discovery.NoGeneration {
 		t.Errorf("without a list: generation %d, %v", d.KnownDatabases.Generation, err)
 	}
 }
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -132,7 +132,7 @@
 	}
 	cfg.ListMaxDelay = listMaxDelay(onRequest, micros(safety.AskWithin), micros(safety.Drain))
 	if limits.Peers {
-		cfg.MaxPeerReports = peers.MaxFacts
+		cfg.MaxPeerReports = peers.MaxReports
 	}
 	for i, c := range parsed.Classes {
 		class, err := parseClass(c, domain.Freshness[i])
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -63,7 +63,7 @@
 
 func TestConfig(t *testing.T) {
 	c, err := ParseConfig([]byte(config))
-	if err != nil || c.Settings.Config.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.KnownDatabases.Generation != discovery.NoList {
+	if err != nil || c.Settings.Config.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.KnownDatabases.Generation != discovery.NoGeneration {
 		t.Errorf("%+v, error %v", c, err)
 	}
 	for want, text := range map[string]string{
