--- a/internal/wire/consul/consul.go
+++ b/internal/wire/consul/consul.go
@@ -1,6 +1,7 @@
-// Package consul is what Consul's HTTP API speaks, as published: health and catalogue entries of a service, and blocking queries
-// (developer.hashicorp.com/consul/api-docs/health, .../features/blocking, .../features/consistency). It makes the path of a call,
-// reads an answer's headers and its entries one by one, and turns an entry into a fact for package membership. It opens nothing.
+// Package consul builds requests to Consul's HTTP API and decodes its responses, as published: health and catalogue
+// entries of a service, and blocking queries (developer.hashicorp.com/consul/api-docs/health, .../features/blocking,
+// .../features/consistency). It decodes the entries of a response one by one and converts each to a listing for
+// package membership. It opens no connections.
 package consul
 
 import (
@@ -19,77 +20,78 @@
 	"havenproxy/internal/membership"
 )
 
-// Consistency is how new an answer must be.
+// Consistency is how recent a response must be.
 type Consistency string
 
-// The modes: the default one, any server's word, or one that the leader has confirmed.
+// The consistency modes: Consul's default; the state of any server; state that the leader has confirmed.
 const (
 	Default    Consistency = ""
 	Stale      Consistency = "stale"
 	Consistent Consistency = "consistent"
 )
 
-// Query is a call for a service's instances with the state of their checks.
+// Query is a request for a service's instances with the state of their checks.
 type Query struct {
 	Service     string
 	Datacenter  string // empty = the agent's own
-	Filter      string // in Consul's own language, applied by the servers
+	Filter      string // filter expression in Consul's syntax, applied by the servers
 	Consistency Consistency
-	Index       uint64        // the answer's that is in hand; 0 = none: the call is answered at once
-	Wait        time.Duration // for something newer
+	Index       uint64        // index of the previous response; 0 = none: the request is answered at once
+	Wait        time.Duration // how long the request may wait for a newer index
 }
 
-// Path gives the call's path with its parameters.
+// Path returns the request's path with its query parameters.
 func (q *Query) Path() string {
-	v := url.Values{}
+	values := url.Values{}
 	set := func(name, value string) {
 		if value != "" {
-			v.Set(name, value)
+			values.Set(name, value)
 		}
 	}
 	set("dc", q.Datacenter)
 	set("filter", q.Filter)
 	if q.Index > 0 {
-		v.Set("index", strconv.FormatUint(q.Index, 10))
-		v.Set("wait", strconv.FormatInt(max(q.Wait.Milliseconds(), 1), 10)+"ms")
+		values.Set("index", strconv.FormatUint(q.Index, 10))
+		values.Set("wait", strconv.FormatInt(max(q.Wait.Milliseconds(), 1), 10)+"ms")
 	}
 	path := "/v1/health/service/" + url.PathEscape(q.Service)
 	if q.Consistency != Default {
-		v.Set(string(q.Consistency), "")
+		values.Set(string(q.Consistency), "")
 	}
-	if len(v) == 0 {
+	if len(values) == 0 {
 		return path
 	}
-	return path + "?" + v.Encode()
+	return path + "?" + values.Encode()
 }
 
-// Meta is what an answer's headers tell.
+// ResponseMeta holds the values in the headers of a response.
 type ResponseMeta struct {
 	Index       uint64
-	LastContact time.Duration // of the answering server with its leader
-	NoLeader    bool          // it knows of none
+	LastContact time.Duration // time since the answering server last heard from its leader
+	NoLeader    bool          // reports whether the server knows of no leader
 }
 
-// ParseMeta reads the headers. An index below 1 stands for 1, as the pages on blocking queries ask.
-func ParseResponseMeta(h http.Header) (ResponseMeta, error) {
-	var m ResponseMeta
-	index, err := strconv.ParseUint(h.Get("X-Consul-Index"), 10, 64)
+// ParseResponseMeta parses the headers of a response. An index below 1 is replaced by 1, as Consul's documentation of
+// blocking queries demands. It returns an error if a value is missing or invalid.
+func ParseResponseMeta(header http.Header) (ResponseMeta, error) {
+	var meta ResponseMeta
+	index, err := strconv.ParseUint(header.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
-		return m, fmt.Errorf("X-Consul-Index is %q", h.Get("X-Consul-Index"))
+		return meta, fmt.Errorf("X-Consul-Index is %q", header.Get("X-Consul-Index"))
 	}
-	m.Index = max(index, 1)
-	if text := h.Get("X-Consul-LastContact"); text != "" {
+	meta.Index = max(index, 1)
+	if text := header.Get("X-Consul-LastContact"); text != "" {
 		ms, err := strconv.ParseUint(text, 10, 40)
 		if err != nil {
-			return m, fmt.Errorf("X-Consul-LastContact is %q", text)
+			return meta, fmt.Errorf("X-Consul-LastContact is %q", text)
 		}
-		m.LastContact = time.Duration(ms) * time.Millisecond
+		meta.LastContact = time.Duration(ms) * time.Millisecond
 	}
-	m.NoLeader = h.Get("X-Consul-KnownLeader") == "false"
-	return m, nil
+	meta.NoLeader = header.Get("X-Consul-KnownLeader") == "false"
+	return meta, nil
 }
 
-// Instance is an entry of the answer, as far as it is of use.
+// Instance is an entry of a response, limited to the fields that are used.
 type Instance struct {
 	Node struct {
 		Node       string
@@ -111,13 +113,13 @@
 	}
 }
 
-// Limits bound what an answer may cost.
+// Limits bounds the size of a response.
 type Limits struct {
-	MaxBytes   int64 // of the whole answer; 32 MiB
-	MaxEntries int   // 20,000
+	MaxBytes   int64 // of the whole response; 32 MiB by default
+	MaxEntries int   // 20,000 by default
 }
 
-// WithDefaults fills in what is not set.
+// WithDefaults returns the limits with unset fields replaced by their defaults.
 func (l Limits) WithDefaults() Limits {
 	if l.MaxBytes == 0 {
 		l.MaxBytes = 32 << 20
@@ -128,82 +130,84 @@
 	return l
 }
 
-// The errors of an answer.
+// The errors that Decode returns.
 var (
-	ErrTooLong   = errors.New("the answer is too long")
-	ErrMalformed = errors.New("the answer is no list of instances")
+	ErrTooLong   = errors.New("response too long")
+	ErrMalformed = errors.New("response is not a list of instances")
 )
 
-// counted reads no more than so many bytes, and tells an end that came too early from one of its own making.
-type counted struct {
-	in   io.Reader
-	left int64
+// limitedReader reads up to a number of bytes and then returns ErrTooLong, unlike io.LimitedReader, so that the limit
+// can be told from an early end of the input.
+type limitedReader struct {
+	reader    io.Reader
+	remaining int64
 }
 
-func (c *counted) Read(b []byte) (int, error) {
-	if c.left <= 0 {
+func (c *limitedReader) Read(buf []byte) (int, error) {
+	if c.remaining <= 0 {
 		return 0, ErrTooLong
 	}
-	n, err := c.in.Read(b[:min(int64(len(b)), c.left)])
-	c.left -= int64(n)
+	n, err := c.reader.Read(buf[:min(int64(len(buf)), c.remaining)])
+	c.remaining -= int64(n)
 	return n, err
 }
 
-// Decode reads an answer's entries, one at a time, so that a long one is never in memory as a whole. An error means that the
-// answer is not whole or none; what was given before is to be forgotten.
-func Decode(in io.Reader, limits Limits, each func(*Instance)) error {
+// Decode decodes the entries of a response and passes each to handle, so that a long response is never in memory as a
+// whole. After an error the caller must discard the entries passed so far, since the response is incomplete or
+// invalid. Errors wrap ErrTooLong or ErrMalformed.
+func Decode(body io.Reader, limits Limits, handle func(*Instance)) error {
 	limits = limits.WithDefaults()
-	d := json.NewDecoder(&counted{in, limits.MaxBytes})
+	decoder := json.NewDecoder(&limitedReader{body, limits.MaxBytes})
 	fail := func(err error) error {
 		if errors.Is(err, ErrTooLong) {
 			return fmt.Errorf("%w: more than %d bytes", ErrTooLong, limits.MaxBytes)
 		}
 		return fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
-	t, err := d.Token()
+	token, err := decoder.Token()
 	if err != nil {
 		return fail(err)
 	}
-	if t == nil { // null: a service without instances, as Go's encoder writes an empty list
+	if token == nil { // null: a service without instances; Go's encoder writes an empty list this way
 		return nil
 	}
-	if t != json.Delim('[') {
-		return fail(fmt.Errorf("it begins with %v", t))
+	if token != json.Delim('[') {
+		return fail(fmt.Errorf("the first token is %v", token))
 	}
-	for n := 0; d.More(); n++ {
-		if n >= limits.MaxEntries {
+	for count := 0; decoder.More(); count++ {
+		if count >= limits.MaxEntries {
 			return fmt.Errorf("%w: more than %d instances", ErrTooLong, limits.MaxEntries)
 		}
-		var i Instance
-		if err := d.Decode(&i); err != nil {
+		var instance Instance
+		if err := decoder.Decode(&instance); err != nil {
 			return fail(err)
 		}
-		each(&i)
+		handle(&instance)
 	}
-	if _, err := d.Token(); err != nil {
+	if _, err := decoder.Token(); err != nil {
 		return fail(err)
 	}
 	return nil
 }
 
-// Mapping says how an installation tells group, zone, role and start in Consul. Names are keys of the service's meta, or of the
-// node's where the service has none.
+// Mapping defines how an installation expresses group, zone, role and start time in Consul. The keys are those of the
+// service's metadata or, where it lacks the key, of the node's.
 type Mapping struct {
-	Group        int    // of the service, where meta doesn't tell
-	GroupKey     string // "group"
-	ZoneKey      string // "zone"; where there is none, the data centre
-	RoleKey      string // "role"; tags primary, master, leader, replica, secondary and standby tell it as well
-	StartTimeKey string // "started": Unix seconds, or milliseconds where that can't be
+	Group        int    // of the service, used where the metadata has no group
+	GroupKey     string // "group" by default
+	ZoneKey      string // "zone" by default; without a value, the zone is the data center
+	RoleKey      string // "role" by default; without a value, the tags primary, master, leader, replica, secondary, standby and slave give the role
+	StartTimeKey string // "started" by default: Unix seconds, or milliseconds if the number is too large for seconds
 }
 
-// WithDefaults fills in what is not set.
+// WithDefaults returns the mapping with unset keys replaced by their defaults.
 func (m Mapping) WithDefaults() Mapping {
-	for _, x := range []struct {
-		to   *string
-		word string
+	for _, option := range []struct {
+		key        *string
+		defaultKey string
 	}{{&m.GroupKey, "group"}, {&m.ZoneKey, "zone"}, {&m.RoleKey, "role"}, {&m.StartTimeKey, "started"}} {
-		if *x.to == "" {
-			*x.to = x.word
+		if *option.key == "" {
+			*option.key = option.defaultKey
 		}
 	}
 	return m
@@ -212,82 +216,84 @@
 var roles = map[string]membership.Role{"primary": membership.Primary, "master": membership.Primary, "leader": membership.Primary,
 	"replica": membership.Replica, "secondary": membership.Replica, "standby": membership.Replica, "slave": membership.Replica}
 
-// Fact turns an entry into what membership knows. The error tells of one that can't be used.
-func (m *Mapping) Listing(i *Instance) (membership.Listing, error) {
+// Listing converts an entry to a listing. It returns an error if the entry has no ID, or an invalid address, port or
+// group.
+func (m *Mapping) Listing(instance *Instance) (membership.Listing, error) {
 	meta := func(key string) string {
-		if v, ok := i.Service.Meta[key]; ok {
-			return v
+		if value, ok := instance.Service.Meta[key]; ok {
+			return value
 		}
-		return i.Node.Meta[key]
+		return instance.Node.Meta[key]
 	}
-	f := membership.Listing{ID: i.Service.ID, Zone: meta(m.ZoneKey), Group: m.Group, Weight: 1}
-	if f.ID == "" {
-		return f, errors.New("an instance without an id")
+	listing := membership.Listing{ID: instance.Service.ID, Zone: meta(m.ZoneKey), Group: m.Group, Weight: 1}
+	if listing.ID == "" {
+		return listing, errors.New("instance without an ID")
 	}
-	host := i.Service.Address
+	host := instance.Service.Address
 	if host == "" {
-		host = i.Node.Address
+		host = instance.Node.Address
 	}
 	ip, err := netip.ParseAddr(host)
 	if err != nil {
-		return f, fmt.Errorf("instance %s: its address %q is a name, which is not looked up", f.ID, host)
+		return listing, fmt.Errorf("instance %s: address %q is not an IP address; names are not resolved", listing.ID, host)
 	}
-	if i.Service.Port <= 0 || i.Service.Port > 65535 {
-		return f, fmt.Errorf("instance %s: port %d", f.ID, i.Service.Port)
+	if instance.Service.Port <= 0 || instance.Service.Port > 65535 {
+		return listing, fmt.Errorf("instance %s: invalid port %d", listing.ID, instance.Service.Port)
 	}
-	f.Address = net.JoinHostPort(ip.String(), strconv.Itoa(i.Service.Port))
-	if f.Zone == "" {
-		f.Zone = i.Node.Datacenter
+	listing.Address = net.JoinHostPort(ip.String(), strconv.Itoa(instance.Service.Port))
+	if listing.Zone == "" {
+		listing.Zone = instance.Node.Datacenter
 	}
 	if text := meta(m.GroupKey); text != "" {
-		if f.Group, err = strconv.Atoi(text); err != nil || f.Group < 0 {
-			return f, fmt.Errorf("instance %s: %s is %q, a number was expected", f.ID, m.GroupKey, text)
+		if listing.Group, err = strconv.Atoi(text); err != nil || listing.Group < 0 {
+			return listing, fmt.Errorf("instance %s: %s is %q, want a number of 0 or more", listing.ID, m.GroupKey, text)
 		}
 	}
-	if f.Role = roles[strings.ToLower(meta(m.RoleKey))]; f.Role == membership.NoRole {
-		for _, t := range i.Service.Tags {
-			if r := roles[strings.ToLower(t)]; r != membership.NoRole {
-				f.Role = r
+	if listing.Role = roles[strings.ToLower(meta(m.RoleKey))]; listing.Role == membership.NoRole {
+		for _, tag := range instance.Service.Tags {
+			if role := roles[strings.ToLower(tag)]; role != membership.NoRole {
+				listing.Role = role
 				break
 			}
 		}
 	}
 	if text := meta(m.StartTimeKey); text != "" {
-		if n, err := strconv.ParseInt(text, 10, 64); err == nil && n > 0 {
-			if f.Started = time.Duration(n) * time.Second; n > 1e11 { // no second of this age
-				f.Started = time.Duration(n) * time.Millisecond
+		if number, err := strconv.ParseInt(text, 10, 64); err == nil && number > 0 {
+			if listing.Started = time.Duration(number) * time.Second; number > 1e11 { // too large for seconds
+				listing.Started = time.Duration(number) * time.Millisecond
 			}
 		}
 	}
-	if w := i.Service.Weights.Passing; w > 0 {
-		f.Weight = float64(w)
+	if weight := instance.Service.Weights.Passing; weight > 0 {
+		listing.Weight = float64(weight)
 	}
-	f.Health = health(i)
-	if meta("draining") == "true" && f.Health < membership.Draining {
-		f.Health = membership.Draining
+	listing.Health = instanceHealth(instance)
+	if meta("draining") == "true" && listing.Health < membership.Draining {
+		listing.Health = membership.Draining
 	}
-	for _, t := range i.Service.Tags {
-		if strings.EqualFold(t, "draining") && f.Health < membership.Draining {
-			f.Health = membership.Draining
+	for _, tag := range instance.Service.Tags {
+		if strings.EqualFold(tag, "draining") && listing.Health < membership.Draining {
+			listing.Health = membership.Draining
 		}
 	}
-	return f, nil
+	return listing, nil
 }
 
-// health is the worst of an entry's checks; maintenance, of the node or the service, is a drain.
-func health(i *Instance) membership.Health {
-	h := membership.Passing
-	for _, c := range i.Checks {
+// instanceHealth returns the worst state of an entry's checks. Maintenance of the node or the service takes
+// precedence.
+func instanceHealth(instance *Instance) membership.Health {
+	worst := membership.Passing
+	for _, check := range instance.Checks {
 		switch {
-		case c.CheckID == "_node_maintenance" || strings.HasPrefix(c.CheckID, "_service_maintenance:"):
+		case check.CheckID == "_node_maintenance" || strings.HasPrefix(check.CheckID, "_service_maintenance:"):
 			return membership.Maintenance
-		case c.Status == "critical":
-			h = membership.Critical
-		case c.Status == "warning" && h == membership.Passing:
-			h = membership.Warning
-		case c.Status == "maintenance":
+		case check.Status == "critical":
+			worst = membership.Critical
+		case check.Status == "warning" && worst == membership.Passing:
+			worst = membership.Warning
+		case check.Status == "maintenance":
 			return membership.Maintenance
 		}
 	}
-	return h
+	return worst
 }
--- a/internal/wire/consul/pace.go
+++ b/internal/wire/consul/pace.go
@@ -5,70 +5,71 @@
 	"time"
 )
 
-// Pace says when the next call goes out, with which index, and to which agent. It is pure.
+// Pacer decides when the next request is sent, with which index and to which agent. It does no input or output.
 type Pacer struct {
-	Agents int
+	Agents int // number of agents
 	Rand   *rand.Rand
 
-	index    uint64
-	agent    int
-	failures int
-	quick    int // answers in a row that came at once and told nothing new
+	index         uint64
+	agent         int
+	failures      int
+	fastUnchanged int // number of successive fast responses without a change
 }
 
 const (
-	// A blocking query that answers at once without news, again and again, must not be called in a tight loop: an agent that
-	// ignores `wait`, or a service whose index moves with every heartbeat.
-	quickAfter = 3
-	quickPause = time.Second
-	atOnce     = 100 * time.Millisecond
+	// Repeated fast responses without a change must not lead to a tight loop of blocking queries. They come from an agent
+	// that ignores `wait`, or for a service whose index changes with every heartbeat.
+	maxFastUnchanged   = 3
+	fastUnchangedPause = time.Second
+	fastResponse       = 100 * time.Millisecond // faster responses count as fast
 
-	otherAgent = 50 * time.Millisecond // before the next agent is asked
-	againMin   = 250 * time.Millisecond
-	// Once all agents have failed they are all asked again within this, jitter included well below the 2 s in which a drain is to
-	// take hold once an agent can tell it.
-	againMax = 1200 * time.Millisecond
+	nextAgentPause = 50 * time.Millisecond // before a request to the next agent
+	minRetryPause  = 250 * time.Millisecond
+	// maxRetryPause bounds the pause after all agents have failed. Including jitter it is well below the 2 s in which a drain
+	// must take effect once an agent can report it.
+	maxRetryPause = 1200 * time.Millisecond
 )
 
-// Index is that for the next call.
+// Index returns the index for the next request.
 func (p *Pacer) Index() uint64 { return p.index }
 
-// Agent is the number of the agent for the next call.
+// Agent returns the number of the agent for the next request.
 func (p *Pacer) Agent() int { return p.agent }
 
-// Answered notes an answer that took so long, and gives the pause before the next call. news tells that it changed something. An
-// index that has gone back begins anew from nothing: the servers were restored, or others answer.
-func (p *Pacer) Succeeded(took time.Duration, index uint64, news bool) (pause time.Duration) {
+// Succeeded records a response that took that duration and returns the pause before the next request. changed tells
+// whether the response changed anything. An index lower than the last one resets the index to 0: the servers were
+// restored from a snapshot, or other servers answer.
+func (p *Pacer) Succeeded(duration time.Duration, index uint64, changed bool) (pause time.Duration) {
 	p.failures = 0
-	back := index < p.index
-	if p.index = index; back {
+	wentBack := index < p.index
+	if p.index = index; wentBack {
 		p.index = 0
 	}
-	if took >= atOnce || news && !back {
-		p.quick = 0
+	if duration >= fastResponse || changed && !wentBack {
+		p.fastUnchanged = 0
 		return 0
 	}
-	if p.quick++; p.quick < quickAfter {
+	if p.fastUnchanged++; p.fastUnchanged < maxFastUnchanged {
 		return 0
 	}
-	return p.jitter(quickPause)
+	return p.jitter(fastUnchangedPause)
 }
 
-// Failed notes a call without an answer, and gives the pause before the next: short to another agent, longer behind each round of
-// them.
-// What is in hand stays, and the next call asks for the whole: an agent that was started anew may count from elsewhere.
+// Failed records a failed request and returns the pause before the next one: short before a request to another agent,
+// longer after each round of all agents. The index is reset to 0, so that the next request returns the whole list: an
+// agent that was restarted may count from another index. Known entries are kept.
 func (p *Pacer) Failed() (pause time.Duration) {
 	p.failures++
 	p.index = 0
 	p.agent = (p.agent + 1) % max(p.Agents, 1)
 	if p.failures%max(p.Agents, 1) != 0 {
-		return p.jitter(otherAgent)
+		return p.jitter(nextAgentPause)
 	}
 	round := p.failures/max(p.Agents, 1) - 1
-	return p.jitter(min(againMin<<min(round, 10), againMax))
+	return p.jitter(min(minRetryPause<<min(round, 10), maxRetryPause))
 }
 
-// jitter spreads calls: three quarters to five quarters of a pause.
+// jitter returns a random duration from three to five quarters of d, to spread the requests.
 func (p *Pacer) jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(p.Rand.Int64N(int64(d)/2+1))
 }
