--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -13,17 +13,17 @@
 
 var classes = []string{"stok-bakis", "kayit-yaz"}
 
-// sink is a file in memory. A slow one takes nothing before it is let go.
-type sink struct {
+// memoryFile is a file in memory. With unblock set, each write waits for that channel.
+type memoryFile struct {
 	bytes.Buffer
-	let    chan struct{}
-	err    error
-	closed bool
+	unblock chan struct{}
+	err     error
+	closed  bool
 }
 
-func (s *sink) Write(b []byte) (int, error) {
-	if s.let != nil {
-		<-s.let
+func (s *memoryFile) Write(b []byte) (int, error) {
+	if s.unblock != nil {
+		<-s.unblock
 	}
 	if s.err != nil {
 		return 0, s.err
@@ -31,13 +31,13 @@
 	return s.Buffer.Write(b)
 }
 
-func (s *sink) Close() error { s.closed = true; return nil }
+func (s *memoryFile) Close() error { s.closed = true; return nil }
 
 const began = 1_700_000_000 * time.Second
 
-// written gives a trace of these requests.
-func written(cfg Config, list []Record) *sink {
-	out := &sink{}
+// writeTrace returns a trace of the given requests.
+func writeTrace(cfg Config, list []Record) *memoryFile {
+	out := &memoryFile{}
 	w := NewWriter(cfg, out, classes, began)
 	for _, r := range list {
 		r.At += began
@@ -47,7 +47,7 @@
 	return out
 }
 
-func requests(n int) (list []Record) {
+func makeRecords(n int) (list []Record) {
 	for i := range n {
 		list = append(list, Record{At: time.Duration(i) * 3 * time.Millisecond, Class: i % 2, Group: i % 5, Session: uint64(i % 70), Retry: i%9 == 0,
 			Write: i%2 == 1, Wait: time.Duration(300+i%7) * time.Millisecond, Size: i % 500})
@@ -55,13 +55,13 @@
 	return list
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	salt := Salt("a secret of 16 b")
 	rapid.Check(t, func(t *rapid.T) {
 		var list, want []Record
 		at := time.Duration(0)
 		for range rapid.IntRange(0, 300).Draw(t, "records") {
-			at += time.Duration(rapid.IntRange(-50_000, 900_000).Draw(t, "gap")) * time.Microsecond // clocks are set back, too
+			at += time.Duration(rapid.IntRange(-50_000, 900_000).Draw(t, "gap")) * time.Microsecond // clocks may be set back
 			r := Record{At: at, Class: rapid.IntRange(0, 1).Draw(t, "class"), Group: rapid.IntRange(0, 1<<20).Draw(t, "group"), Session: rapid.Uint64().Draw(t, "session"),
 				Retry: rapid.Bool().Draw(t, "retry"), Write: rapid.Bool().Draw(t, "write"), Wait: time.Duration(rapid.IntRange(0, 9999).Draw(t, "wait")) * time.Millisecond,
 				Size: rapid.IntRange(0, 1<<16).Draw(t, "size")}
@@ -70,7 +70,7 @@
 			want = append(want, r)
 		}
 		var got []Record
-		r, err := NewReader(&written(Config{Salt: salt}, list).Buffer)
+		r, err := NewReader(&writeTrace(Config{Salt: salt}, list).Buffer)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -80,15 +80,16 @@
 		if d := cmp.Diff(want, got); d != "" {
 			t.Fatal(d)
 		}
-		if r.StartedAt != began || r.Sample != 1 || !cmp.Equal(r.Classes, classes) || r.SaltID != salt.name() {
+		if r.StartedAt != began || r.Sample != 1 || !cmp.Equal(r.Classes, classes) || r.SaltID != salt.id() {
 			t.Fatalf("%+v", r.Header)
 		}
 	})
 }
 
-// A trace that is cut off at any byte gives whole blocks, and says that it was cut; never a record that was not written.
-func TestCutOffAnywhere(t *testing.T) {
-	whole := written(Config{}, requests(2000)).Bytes()
+// A trace that is truncated at any byte returns its complete blocks and reports the truncation; it never returns a
+// record that was not written.
+func TestTruncation(t *testing.T) {
+	whole := writeTrace(Config{}, makeRecords(2000)).Bytes()
 	all, err := ReadAll(bytes.NewReader(whole))
 	if err != nil || len(all.Records) != 2000 || all.Truncated || all.BackwardSteps != 0 {
 		t.Fatalf("%v, %d records", err, len(all.Records))
@@ -115,9 +116,9 @@
 	}
 }
 
-// Any byte that is turned costs its block, and is noticed.
-func TestDamageIsNoticed(t *testing.T) {
-	whole := written(Config{Salt: Salt("a secret of 16 b")}, requests(2000)).Bytes()
+// Any changed byte is noticed and costs its own block at most.
+func TestCorruptionDetected(t *testing.T) {
+	whole := writeTrace(Config{Salt: Salt("a secret of 16 b")}, makeRecords(2000)).Bytes()
 	all, _ := ReadAll(bytes.NewReader(whole))
 	rapid.Check(t, func(t *rapid.T) {
 		b := bytes.Clone(whole)
@@ -133,8 +134,8 @@
 	})
 }
 
-func TestOtherVersionsAndOtherFiles(t *testing.T) {
-	b := written(Config{}, requests(10)).Bytes()
+func TestOtherVersionsAndFormats(t *testing.T) {
+	b := writeTrace(Config{}, makeRecords(10)).Bytes()
 	b[7] = 9
 	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrVersion) || err.Error() != "a trace of another version: 9, this program reads 1" {
 		t.Error(err)
@@ -142,42 +143,43 @@
 	if _, err := ReadAll(bytes.NewReader([]byte("#!/bin/sh\nexit 0\n"))); !errors.Is(err, ErrNotTrace) {
 		t.Error(err)
 	}
-	// A class that the head doesn't name, and a flag that this version doesn't know.
+	// A class that the header does not name, and a flag that this version does not know.
 	for want, r := range map[error]Record{ErrCorrupt: {Class: 2}} {
 		e := encoder{}
 		e.add(&r)
 		h := Header{Classes: classes}
-		if _, err := ReadAll(bytes.NewReader(append(h.append(nil), e.take()...))); !errors.Is(err, want) {
+		if _, err := ReadAll(bytes.NewReader(append(h.append(nil), e.takeBlock()...))); !errors.Is(err, want) {
 			t.Errorf("%+v: %v", r, err)
 		}
 	}
 	h := Header{Classes: classes}
-	b = appendFrame(h.append(nil), []byte{0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 1 << 5, 0, 0})
+	b = appendBlock(h.append(nil), []byte{0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 1 << 5, 0, 0})
 	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrVersion) {
 		t.Error(err)
 	}
-	// A block that claims a gigabyte is not believed.
+	// A block with a length of 1 GiB is rejected.
 	b = append(h.append(nil), 0, 0, 0, 64, 1, 2, 3, 4)
 	if _, err := ReadAll(bytes.NewReader(b)); !errors.Is(err, ErrCorrupt) {
 		t.Error(err)
 	}
 }
 
-func TestTimeThatRunsBackwards(t *testing.T) {
-	got, err := ReadAll(&written(Config{}, []Record{{At: time.Second}, {At: 400 * time.Millisecond}, {At: 2 * time.Second}}).Buffer)
+func TestBackwardSteps(t *testing.T) {
+	got, err := ReadAll(&writeTrace(Config{}, []Record{{At: time.Second}, {At: 400 * time.Millisecond}, {At: 2 * time.Second}}).Buffer)
 	if err != nil || got.BackwardSteps != 1 || len(got.Records) != 3 || got.Records[1].At != time.Second || got.Records[2].At != 2*time.Second {
 		t.Errorf("%v, %+v", err, got)
 	}
 }
 
-// The sample takes whole sessions; the file stops at its size; the salt hides sessions, and is not in the file.
+// The sample consists of whole sessions, the file stops at its maximum size, and the salt hides sessions and is not
+// in the file.
 func TestSampleSizeAndSalt(t *testing.T) {
 	var list []Record
 	for i := range 20000 {
 		list = append(list, Record{At: time.Duration(i) * time.Microsecond, Session: uint64(i % 1000)})
 	}
 	salt := Salt("a secret of 16 b")
-	out := written(Config{Sample: 0.2, Salt: salt}, list)
+	out := writeTrace(Config{Sample: 0.2, Salt: salt}, list)
 	if bytes.Contains(out.Bytes(), salt) {
 		t.Error("the salt stands in the file")
 	}
@@ -204,7 +206,7 @@
 		t.Error("the salt changes nothing")
 	}
 
-	small := &sink{}
+	small := &memoryFile{}
 	w := NewWriter(Config{MaxBytes: 40 << 10}, small, classes, began)
 	for i := range 40000 {
 		w.Add(Record{At: began + time.Duration(i)*time.Millisecond, Session: uint64(i)})
@@ -218,21 +220,21 @@
 	}
 }
 
-// A disk that stands still costs records, and no request's time; one that fails is told, once.
-func TestADiskThatIsSlowOrBroken(t *testing.T) {
-	slow := &sink{let: make(chan struct{})}
+// A stalled disk costs records but does not delay requests; a failing one is reported by Close.
+func TestSlowOrFailingDisk(t *testing.T) {
+	slow := &memoryFile{unblock: make(chan struct{})}
 	w := NewWriter(Config{}, slow, classes, began)
-	for i := range 400000 { // some 6 MB: far more than may wait
+	for i := range 400000 { // about 6 MB, far more than may wait
 		w.Add(Record{At: began + time.Duration(i)*time.Microsecond, Session: uint64(i)})
 	}
-	if w.Dropped == 0 || w.Recorded == 0 || w.Recorded > 2*waitingBytes/10 {
+	if w.Dropped == 0 || w.Recorded == 0 || w.Recorded > 2*maxWaitingBytes/10 {
 		t.Errorf("kept %d, dropped %d", w.Recorded, w.Dropped)
 	}
-	close(slow.let)
+	close(slow.unblock)
 	if err := w.Close(); err != nil || w.Recorded+w.Dropped != 400000 {
 		t.Errorf("%v: kept %d, dropped %d", err, w.Recorded, w.Dropped)
 	}
-	broken := &sink{err: errors.New("no space left")}
+	broken := &memoryFile{err: errors.New("no space left")}
 	w = NewWriter(Config{}, broken, classes, began)
 	w.Add(Record{At: began})
 	if err := w.Close(); err == nil || err.Error() != "no space left" || !broken.closed {
@@ -241,7 +243,7 @@
 }
 
 func FuzzReadAll(f *testing.F) {
-	f.Add(written(Config{}, requests(50)).Bytes())
+	f.Add(writeTrace(Config{}, makeRecords(50)).Bytes())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, err := ReadAll(bytes.NewReader(b))
 		if err == nil && len(got.Records) > len(b) {
