--- a/internal/net/admin.go
+++ b/internal/net/admin.go
@@ -20,10 +20,10 @@
 	adminCalls    = 24              // connections at a time; beyond, the one silent for longest gives way
 )
 
-// Steward carries out what operators ask for at the second address. Its methods are called on the loop.
-type Steward interface {
+// AdminHandler carries out what operators ask for at the second address. Its methods are called on the loop.
+type AdminHandler interface {
 	Ready() bool // can it serve?
-	Figures(dst []byte) []byte
+	Metrics(dst []byte) []byte
 	Drain()    // send clients away
 	Activate() // take them again
 }
@@ -33,14 +33,14 @@
 	loop      *Loop
 	deadlines *state.Deadlines
 	clock     state.Clock
-	steward   Steward
+	steward   AdminHandler
 	listener  *listener
 	open      atomic.Int64
 	calls     list.List // of *adminConn, the oldest first
 }
 
 // ListenAdmin opens the second address.
-func ListenAdmin(loop *Loop, clock state.Clock, deadlines *state.Deadlines, address string, steward Steward) (*Admin, error) {
+func ListenAdmin(loop *Loop, clock state.Clock, deadlines *state.Deadlines, address string, steward AdminHandler) (*Admin, error) {
 	a := &Admin{loop: loop, clock: clock, deadlines: deadlines, steward: steward}
 	ln, err := stdnet.Listen("tcp4", address)
 	if err != nil {
@@ -115,7 +115,7 @@
 			return
 		}
 	case "/v1/metrics":
-		c.answer(wire.OK, s.Figures(nil))
+		c.answer(wire.OK, s.Metrics(nil))
 		return
 	case "/v1/proxy/drain":
 		slog.Info("operators send clients away")
--- a/internal/net/admin_test.go
+++ b/internal/net/admin_test.go
@@ -18,7 +18,7 @@
 }
 
 func (s *steward) Ready() bool               { return s.ready }
-func (s *steward) Figures(dst []byte) []byte { return append(dst, "proxy.in_progress:0|g\n"...) }
+func (s *steward) Metrics(dst []byte) []byte { return append(dst, "proxy.in_progress:0|g\n"...) }
 func (s *steward) Drain()                    { s.told <- "drain" }
 func (s *steward) Activate()                 { s.told <- "activate" }
 
@@ -106,7 +106,7 @@
 		t.Fatal("no before anything happened")
 	}
 	done := make(chan bool)
-	loop.Post(func() { s.Away(true); close(done) })
+	loop.Post(func() { s.SetOperatorDrain(true); close(done) })
 	<-done
 	if got := emptyQuery(asking); got == yes || got == "" {
 		t.Fatalf("a drained proxy says %q", got)
@@ -121,7 +121,7 @@
 		t.Errorf("an idle client is kept: %v", err)
 	}
 	done = make(chan bool)
-	loop.Post(func() { s.Away(false); close(done) })
+	loop.Post(func() { s.SetOperatorDrain(false); close(done) })
 	<-done
 	if got := emptyQuery(hello(t, s.Address())); got != yes {
 		t.Errorf("taken back it says %q", got)
@@ -158,7 +158,7 @@
 	kept := hello(t, ln.Addr().String())
 	second := inherit()
 	done := make(chan bool)
-	first.loop.Post(func() { done <- first.Leave() })
+	first.loop.Post(func() { done <- first.DrainShared() })
 	if !<-done {
 		t.Fatal("a shared socket counts as its own")
 	}
--- a/internal/net/console.go
+++ b/internal/net/console.go
@@ -23,8 +23,8 @@
 	roomPatience = 3 * time.Second
 )
 
-// Console lets clients on loopback use the console, or no more. Those that are at it stay.
-func (s *Server) Console(on bool) { s.console = on }
+// EnableConsole lets clients on loopback use the console, or no more. Those that are at it stay.
+func (s *Server) EnableConsole(on bool) { s.console = on }
 
 // Front implements console.Source.
 func (s *Server) Front() *state.Engine { return s.front }
@@ -37,8 +37,8 @@
 	return s.tier.Status(), true
 }
 
-// Belongs lets the console tell of the tier.
-func (s *Server) Belongs(t *Tier) { s.tier = t }
+// SetTier lets the console tell of the tier.
+func (s *Server) SetTier(t *PlannerLink) { s.tier = t }
 
 // Clients implements console.Source.
 func (s *Server) Clients(most int) (list []console.Client, all int) {
--- a/internal/net/console_test.go
+++ b/internal/net/console_test.go
@@ -34,7 +34,7 @@
 // pgx, which nobody here wrote, reads every table of the console.
 func TestPgxReadsTheConsole(t *testing.T) {
 	s, _, loop := proxy(t, member(t, echo), 8, 2)
-	loop.Post(func() { s.Console(true) })
+	loop.Post(func() { s.EnableConsole(true) })
 	conn := admin(t, s.Address())
 	for _, name := range console.Commands() {
 		rows, err := conn.Query(context.Background(), "SHOW "+name)
@@ -87,7 +87,7 @@
 // A reader who doesn't read gets no further tables, holds little, and holds up nobody.
 func TestAConsoleThatIsNotRead(t *testing.T) {
 	s, _, loop := proxy(t, member(t, echo), 8, 2)
-	loop.Post(func() { s.Console(true) })
+	loop.Post(func() { s.EnableConsole(true) })
 	conn, err := stdnet.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/net/consul.go
+++ b/internal/net/consul.go
@@ -36,8 +36,8 @@
 	consul.Mapping
 }
 
-// Told is where a catalogue's word goes; its methods are called on the loop.
-type Told interface {
+// CatalogueReceiver is where a catalogue's word goes; its methods are called on the loop.
+type CatalogueReceiver interface {
 	UpdateCatalogue(source string, n membership.Update)
 	CatalogueFailed(source string, why error)
 }
@@ -47,7 +47,7 @@
 type Consul struct {
 	cfg    ConsulConfig
 	loop   *Loop
-	to     Told
+	to     CatalogueReceiver
 	client *http.Client
 	stop   context.CancelFunc
 	done   sync.WaitGroup
@@ -56,7 +56,7 @@
 const consulAnswer = 10 * time.Second // for an answer's head behind its wait, and for its body
 
 // NewConsul begins to watch.
-func NewConsul(loop *Loop, to Told, cfg ConsulConfig) *Consul {
+func NewConsul(loop *Loop, to CatalogueReceiver, cfg ConsulConfig) *Consul {
 	if cfg.Wait == 0 {
 		cfg.Wait = 30 * time.Second
 	}
@@ -79,8 +79,8 @@
 	return c
 }
 
-// Sources names what the catalogue is known by to the membership: one for each service and data centre.
-func (c *ConsulConfig) Sources() (out []string) {
+// SourceNames names what the catalogue is known by to the membership: one for each service and data centre.
+func (c *ConsulConfig) SourceNames() (out []string) {
 	for _, s := range c.Services {
 		if len(c.Datacenters) == 0 {
 			out = append(out, sourceName(s.Name, ""))
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -72,9 +72,9 @@
 	d.begin()
 }
 
-// Move goes on at another address, at once: the service at the old one may end any time. The whole list comes
+// SetAddress goes on at another address, at once: the service at the old one may end any time. The whole list comes
 // first, for generations there need not be those of the old one.
-func (d *Discovery) Move(address string) {
+func (d *Discovery) SetAddress(address string) {
 	d.hangUp()
 	d.address, d.watching = address, true
 	d.Fetch()
@@ -209,12 +209,12 @@
 		d.deadlines.Set(&d.timer, max(d.calledAt+minPeriod, d.clock.Now()), d.call)
 	}
 	if !older {
-		d.front.UpdateList(ListOf(l))
+		d.front.UpdateList(ConvertList(l))
 	}
 }
 
-// ListOf puts a list into the terms of the state.
-func ListOf(l discovery.List) state.List {
+// ConvertList puts a list into the terms of the state.
+func ConvertList(l discovery.List) state.List {
 	out := state.List{Kind: logic.ListDelta}
 	if l.Whole {
 		out.Kind = logic.ListFull
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -362,8 +362,8 @@
 		dialled = append(dialled, address)
 		answers = append(answers, func() { then(&line{s: s, in: netpoll.NewLinkBuffer()}, nil) })
 	}
-	s.discovery.Move("second:1")
-	s.discovery.Move("third:1")
+	s.discovery.SetAddress("second:1")
+	s.discovery.SetAddress("third:1")
 	if !first.closed || fmt.Sprint(dialled) != "[second:1 third:1]" {
 		t.Fatalf("the first connection is closed: %v; dialled %v", first.closed, dialled)
 	}
--- a/internal/net/health.go
+++ b/internal/net/health.go
@@ -29,7 +29,7 @@
 }
 
 // SendReports implements state.ReportSender.
-func (t *Tier) SendReports(message []byte) {
+func (t *PlannerLink) SendReports(message []byte) {
 	if t.conn == nil || !t.health.connected {
 		return
 	}
@@ -44,7 +44,7 @@
 
 // shareChecks follows the tier's members, as the planner's last message has left them. The planner believes a member's reports on its own
 // link only, so that nothing is sent before it is known to have taken this link for one.
-func (t *Tier) shareChecks(m *rollout.Message) {
+func (t *PlannerLink) shareChecks(m *rollout.Message) {
 	h, known := &t.health, t.side.Membership()
 	if !h.config.shares() || t.side.Member() == 0 || known.Version == 0 {
 		return
@@ -71,7 +71,7 @@
 }
 
 // digest takes what a planner passes on of others' reports.
-func (t *Tier) digest(message []byte) {
+func (t *PlannerLink) digest(message []byte) {
 	if err := t.front.ReceiveDigest(message); err != nil {
 		slog.Debug("a digest of health checks can't be read", "planner", t.planners[t.seek.Current()], "error", err)
 	}
--- a/internal/net/health_test.go
+++ b/internal/net/health_test.go
@@ -68,7 +68,7 @@
 // sharer is a proxy of a tier that shares health checks.
 type sharer struct {
 	front     *state.Engine
-	tier      *Tier
+	tier      *PlannerLink
 	databases *databases
 }
 
@@ -89,7 +89,7 @@
 	x := &sharer{front: front, databases: all}
 	x.tier = JoinTier(loop, clock, front, TierConfig{Name: fmt.Sprint("proxy-", i), Planners: []string{address}, Nonce: uint64(2*i + 1),
 		Seed: uint64(i), Rollout: rollout.Config{Lease: 2 * time.Second}, Check: func(rollout.Number, []byte) string { return "" },
-		Into:   func(rollout.Number, []byte) {},
+		Apply:  func(rollout.Number, []byte) {},
 		Health: HealthConfig{Zone: fmt.Sprint("zone-", i%3), ChecksPerSecond: 10, BytesPerSecond: 1600}})
 	return x
 }
--- a/internal/net/long_list_test.go
+++ b/internal/net/long_list_test.go
@@ -46,7 +46,7 @@
 				loop.Post(look)
 				return
 			}
-			d.Move(next)
+			d.SetAddress(next)
 			close(moved)
 		}
 		look()
--- a/internal/net/peers.go
+++ b/internal/net/peers.go
@@ -34,8 +34,8 @@
 	peerPause   = 10 * time.Millisecond // behind an error, so that a socket that fails all the time doesn't take the core
 )
 
-// ErrPeers tells of addresses in the configuration that are none.
-var ErrPeers = errors.New("configuration: peers")
+// ErrPeerAddress tells of addresses in the configuration that are none.
+var ErrPeerAddress = errors.New("configuration: peers")
 
 // ListenPeers begins to listen at an address, to the peers named; what is told goes to all, the address that stands for every one of
 // them. Whoever else sends is counted and not heard.
@@ -43,15 +43,15 @@
 	p := &Peers{loop: loop, front: front, known: map[netip.AddrPort]bool{}}
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, fmt.Errorf("%w: peer_listen: %w", ErrPeers, err)
+		return nil, fmt.Errorf("%w: peer_listen: %w", ErrPeerAddress, err)
 	}
 	if p.all, err = netip.ParseAddrPort(all); err != nil {
-		return nil, fmt.Errorf("%w: peers_all: %w", ErrPeers, err)
+		return nil, fmt.Errorf("%w: peers_all: %w", ErrPeerAddress, err)
 	}
 	for _, text := range peers {
 		peer, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, fmt.Errorf("%w: peers: %w", ErrPeers, err)
+			return nil, fmt.Errorf("%w: peers: %w", ErrPeerAddress, err)
 		}
 		p.known[peer] = true
 	}
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -71,7 +71,7 @@
 
 func TestPeersThatCantBeUsedAreToldAtOnce(t *testing.T) {
 	for _, x := range [][3]string{{"nowhere", "127.0.0.1:1", "127.0.0.1:1"}, {"127.0.0.1:0", "x", "127.0.0.1:1"}, {"127.0.0.1:0", "127.0.0.1:1", ""}} {
-		if _, err := ListenPeers(nil, nil, x[0], []string{x[1]}, x[2]); !errors.Is(err, ErrPeers) {
+		if _, err := ListenPeers(nil, nil, x[0], []string{x[1]}, x[2]); !errors.Is(err, ErrPeerAddress) {
 			t.Errorf("%q is taken", x)
 		}
 	}
--- a/internal/net/tier.go
+++ b/internal/net/planner_link.go
@@ -18,9 +18,9 @@
 	tierTell = time.Minute // one line about unreadable frames
 )
 
-// Tier is a proxy's link to the planners of its tier: one at a time, the next where it ends, is silent, or doesn't lead. It implements
+// PlannerLink is a proxy's link to the planners of its tier: one at a time, the next where it ends, is silent, or doesn't lead. It implements
 // state.Gate.
-type Tier struct {
+type PlannerLink struct {
 	loop      *Loop
 	clock     state.Clock
 	deadlines *state.Deadlines
@@ -53,14 +53,14 @@
 	// was, and what that one had agreed to or held would count for one that holds nothing; and two processes of one name would be one member.
 	Nonce  uint64
 	Check  func(n rollout.Number, policy []byte) string // why it can't be served under here; empty = it can
-	Into   func(n rollout.Number, policy []byte)        // puts it into effect; called on the loop
+	Apply  func(n rollout.Number, policy []byte)        // puts it into effect; called on the loop
 	Health HealthConfig
 }
 
 // JoinTier lets a proxy go by its tier's policy. Until it holds that, it takes no request. It is called on the loop.
-func JoinTier(loop *Loop, clock state.Clock, front *state.Engine, c TierConfig) *Tier {
-	t := &Tier{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front, cfg: c.Rollout.WithDefaults(), planners: c.Planners,
-		into: c.Into, health: tierHealth{config: c.Health}}
+func JoinTier(loop *Loop, clock state.Clock, front *state.Engine, c TierConfig) *PlannerLink {
+	t := &PlannerLink{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front, cfg: c.Rollout.WithDefaults(), planners: c.Planners,
+		into: c.Apply, health: tierHealth{config: c.Health}}
 	rng := rand.New(rand.NewPCG(c.Seed, 0x71e2))
 	t.side = rollout.NewProxy(t.cfg, c.Name, c.Nonce|1, c.Check)
 	if c.Health.shares() {
@@ -73,22 +73,22 @@
 }
 
 // Admit implements state.Gate.
-func (t *Tier) Admit(now time.Duration) (uint64, state.GateDecision) {
+func (t *PlannerLink) Admit(now time.Duration) (uint64, state.GateDecision) {
 	n, v := t.side.AdmitRequest(now)
 	return uint64(n), [...]state.GateDecision{rollout.Admit: state.GateOpen, rollout.Delay: state.GateWait, rollout.Reject: state.GateClosed}[v]
 }
 
 // Ready tells whether this proxy holds the tier's policy and may serve.
-func (t *Tier) Ready() bool { return t.side.Ready(t.clock.Now()) }
+func (t *PlannerLink) Ready() bool { return t.side.Ready(t.clock.Now()) }
 
 // Leave says that no more requests are taken here.
-func (t *Tier) Leave() {
+func (t *PlannerLink) Leave() {
 	t.side.Leave()
 	t.flush()
 	t.stopped = true
 }
 
-func (t *Tier) dial() {
+func (t *PlannerLink) dial() {
 	if t.stopped || t.dialing || t.conn != nil {
 		return
 	}
@@ -114,11 +114,11 @@
 }
 
 // next tries the next planner, later.
-func (t *Tier) next() {
+func (t *PlannerLink) next() {
 	t.deadlines.Set(&t.redial, t.clock.Now()+t.seek.Next(), t.dial)
 }
 
-func (t *Tier) down(conn netpoll.Connection) {
+func (t *PlannerLink) down(conn netpoll.Connection) {
 	if conn != nil && conn == t.conn {
 		t.conn = nil
 		t.deadlines.Clear(&t.beat)
@@ -127,7 +127,7 @@
 }
 
 // pulse asks for the lease, and gives a planner up that has been silent.
-func (t *Tier) pulse() {
+func (t *PlannerLink) pulse() {
 	now := t.clock.Now()
 	if t.seek.TimedOut(now) {
 		slog.Warn("a planner is silent, the next is tried", "planner", t.planners[t.seek.Current()], "lease_left", t.side.LeaseEnd()-now)
@@ -139,7 +139,7 @@
 	t.deadlines.Set(&t.beat, now+t.seek.RenewInterval(t.side.LeaseDuration()), t.pulse)
 }
 
-func (t *Tier) drop() {
+func (t *PlannerLink) drop() {
 	conn := t.conn
 	t.down(conn)
 	if conn != nil {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (t *Tier) readable(conn netpoll.Connection) {
+func (t *PlannerLink) readable(conn netpoll.Connection) {
 	if conn != t.conn {
 		conn.Reader().Skip(conn.Reader().Len())
 		return
@@ -185,7 +185,7 @@
 	}
 }
 
-func (t *Tier) message(m rollout.Message) {
+func (t *PlannerLink) message(m rollout.Message) {
 	now := t.clock.Now()
 	if t.seek.Receive(now, m.Kind) {
 		t.drop()
@@ -209,7 +209,7 @@
 }
 
 // flush sends what there is to say; without a link it is dropped, and said anew with the next.
-func (t *Tier) flush() {
+func (t *PlannerLink) flush() {
 	t.out = t.out[:0]
 	for _, m := range t.side.TakeMessages() {
 		out, err := tier.Append(t.out, &tier.Frame{Tier: &m})
@@ -225,11 +225,11 @@
 	}
 }
 
-// Number gives the policy that holds here, and Until the end of the lease.
-func (t *Tier) Number() uint64 { return uint64(t.side.Number()) }
+// PolicyNumber gives the policy that holds here, and Until the end of the lease.
+func (t *PlannerLink) PolicyNumber() uint64 { return uint64(t.side.Number()) }
 
 // Status tells what is known of the tier here.
-func (t *Tier) Status() console.Tier {
+func (t *PlannerLink) Status() console.Tier {
 	s := console.Tier{Policy: uint64(t.side.Number()), Member: uint64(t.side.Member()), JoinError: t.waits, UsesLeases: t.cfg.Lease > 0, Ready: t.Ready()}
 	if t.conn != nil {
 		s.Planner = t.planners[t.seek.Current()]
--- a/internal/net/fence.go
+++ b/internal/net/poller_barrier.go
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// BehindPoller lets f run on the loop behind all that the poller has begun by now. It is called on the loop.
-func (l *Loop) BehindPoller(f func()) {
+// PostAfterPoller lets f run on the loop behind all that the poller has begun by now. It is called on the loop.
+func (l *Loop) PostAfterPoller(f func()) {
 	if err := l.behindPoller(); err != nil {
 		slog.Warn("the poller can't be waited for", "error", err)
 	}
--- a/internal/net/reload_test.go
+++ b/internal/net/reload_test.go
@@ -28,7 +28,7 @@
 	before := s.open
 	s.open, s.mood, s.gen, s.gone = nil, answers, gen, []string{drains}
 	s.address = "second:1"
-	s.discovery.Move(s.address)
+	s.discovery.SetAddress(s.address)
 	for _, l := range before {
 		s.later(s.some(time.Second), func() {
 			body := fmt.Sprintf(`{"generation":99,"reset":true,"instances":[{"instanceId":%q,"hostPort":"a:1","lifecycle":"in_service"}]}`, drains)
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -63,7 +63,7 @@
 	sweeping    state.Deadline
 	console     bool // clients on loopback may use it
 	policy      bool // answers tell the policy
-	tier        *Tier
+	tier        *PlannerLink
 }
 
 // NewServer makes a server for at most so many clients, whose half-sent queries may hold so many bytes; a few more
@@ -257,9 +257,9 @@
 	awayStep  = 100 * time.Millisecond
 )
 
-// Away sends clients away, or takes them again: the empty query, by which those that deal out clients ask, has no for an answer, each
+// SetOperatorDrain sends clients away, or takes them again: the empty query, by which those that deal out clients ask, has no for an answer, each
 // connection ends behind its next answer, and those that are idle end a little later. Requests go on being served all the while.
-func (s *Server) Away(on bool) {
+func (s *Server) SetOperatorDrain(on bool) {
 	if s.away == on {
 		return
 	}
@@ -284,13 +284,13 @@
 // leaving tells that a connection ends behind its next answer.
 func (s *Server) leaving() bool { return s.draining || s.away }
 
-// TellPolicy lets answers tell PostgreSQL's clients under which policy of the tier, or revision of the proxy's own files, their request was
+// ReportPolicy lets answers tell PostgreSQL's clients under which policy of the tier, or revision of the proxy's own files, their request was
 // taken: a ParameterStatus "policy".
-func (s *Server) TellPolicy(on bool) { s.policy = on }
+func (s *Server) ReportPolicy(on bool) { s.policy = on }
 
-// Leave ends accepting on sockets that others share, and lets each client go behind its next answer: what comes anew has another
+// DrainShared ends accepting on sockets that others share, and lets each client go behind its next answer: what comes anew has another
 // process to go to, so there is no waiting for late comers. It tells whether all sockets are shared.
-func (s *Server) Leave() bool {
+func (s *Server) DrainShared() bool {
 	for _, l := range s.listeners {
 		if l.held == nil {
 			return false
--- a/internal/net/work.go
+++ b/internal/net/takeover.go
@@ -25,9 +25,9 @@
 	workClients = 4096                  // links from others; beyond, further ones are turned away
 )
 
-// Work carries what a tier's proxies say to one another of work in hand: a link to each member that there is something to tell, and a listener for
+// TakeoverTransport carries what a tier's proxies say to one another of work in hand: a link to each member that there is something to tell, and a listener for
 // theirs. It decides nothing: takeover.Registry does. All of it runs on the loop.
-type Work struct {
+type TakeoverTransport struct {
 	loop      *Loop
 	clock     state.Clock
 	deadlines *state.Deadlines
@@ -44,19 +44,19 @@
 	closed bool
 
 	// Counters tell what the links have seen; they only grow.
-	Counters WorkCounters
+	Counters TakeoverCounters
 }
 
-// WorkCounters count messages, but where they say else.
-type WorkCounters struct {
-	Told, Heard uint64
-	Dropped     uint64 // that no link took
-	Strange     uint64 // frames that could not be read, or came from who is no member
+// TakeoverCounters count messages, but where they say else.
+type TakeoverCounters struct {
+	Sent, Received uint64
+	Dropped        uint64 // that no link took
+	Invalid        uint64 // frames that could not be read, or came from who is no member
 }
 
-// ListenWork opens the address where the tier's other proxies come. do carries out what the book orders; it is called on the loop.
-func ListenWork(loop *Loop, clock state.Clock, deadlines *state.Deadlines, address string, cfg takeover.Config, do func(takeover.Action)) (*Work, error) {
-	w := &Work{loop: loop, clock: clock, deadlines: deadlines, book: takeover.New(cfg), do: do, where: map[takeover.Member]string{},
+// ListenTakeover opens the address where the tier's other proxies come. do carries out what the book orders; it is called on the loop.
+func ListenTakeover(loop *Loop, clock state.Clock, deadlines *state.Deadlines, address string, cfg takeover.Config, do func(takeover.Action)) (*TakeoverTransport, error) {
+	w := &TakeoverTransport{loop: loop, clock: clock, deadlines: deadlines, book: takeover.New(cfg), do: do, where: map[takeover.Member]string{},
 		links: map[takeover.Member]*workLink{}}
 	ln, err := stdnet.Listen("tcp4", address)
 	if err != nil {
@@ -69,16 +69,16 @@
 }
 
 // Start begins to watch what is kept here.
-func (w *Work) Start() { w.tick() }
+func (w *TakeoverTransport) Start() { w.tick() }
 
 // Address is where it listens.
-func (w *Work) Address() string { return w.listener.Addr().String() }
+func (w *TakeoverTransport) Address() string { return w.listener.Addr().String() }
 
-// Book gives the decisions. Whoever calls them calls Flush behind that.
-func (w *Work) Book() *takeover.Registry { return w.book }
+// Registry gives the decisions. Whoever calls them calls Flush behind that.
+func (w *TakeoverTransport) Registry() *takeover.Registry { return w.book }
 
 // Close ends all links.
-func (w *Work) Close() {
+func (w *TakeoverTransport) Close() {
 	w.closed = true
 	w.deadlines.Clear(&w.beat)
 	for m := range w.links {
@@ -87,7 +87,7 @@
 	w.listener.end()
 }
 
-func (w *Work) tick() {
+func (w *TakeoverTransport) tick() {
 	if w.closed {
 		return
 	}
@@ -96,8 +96,8 @@
 	w.deadlines.Set(&w.beat, w.clock.Now()+workBeat, w.tick)
 }
 
-// Tier takes what is known of the members. It may be called with the same again; self is 0 for a proxy that is none.
-func (w *Work) Tier(self rollout.Member, t rollout.Membership, life time.Duration) {
+// SetMembership takes what is known of the members. It may be called with the same again; self is 0 for a proxy that is none.
+func (w *TakeoverTransport) SetMembership(self rollout.Member, t rollout.Membership, life time.Duration) {
 	known := takeover.Membership{Self: takeover.Member(self), Version: t.Version, Until: t.ValidUntil, Retention: life}
 	clear(w.where)
 	for _, s := range t.Members {
@@ -124,7 +124,7 @@
 }
 
 // Flush sends what the book has to say and carries out its orders, until there are no more.
-func (w *Work) Flush() {
+func (w *TakeoverTransport) Flush() {
 	if w.busy { // an order's way back into the book: the loop below goes on with it
 		return
 	}
@@ -147,7 +147,7 @@
 	}
 }
 
-func (w *Work) tell(s takeover.Envelope) {
+func (w *TakeoverTransport) tell(s takeover.Envelope) {
 	address := w.where[s.To]
 	if address == "" {
 		w.Counters.Dropped++
@@ -173,7 +173,7 @@
 	l.out, l.bytes = append(l.out, s.Message), l.bytes+size
 }
 
-func (w *Work) forget(m takeover.Member) {
+func (w *TakeoverTransport) forget(m takeover.Member) {
 	l := w.links[m]
 	delete(w.links, m)
 	l.gone = true
@@ -187,7 +187,7 @@
 
 // workLink is the way to one other proxy. What that one says comes on a link of its own.
 type workLink struct {
-	w       *Work
+	w       *TakeoverTransport
 	to      takeover.Member
 	address string
 	conn    netpoll.Connection
@@ -263,7 +263,7 @@
 			slog.Warn("what a proxy was to be told can't be sent", "member", uint64(l.to), "error", err)
 		} else {
 			text = frame
-			l.w.Counters.Told += uint64(to - from)
+			l.w.Counters.Sent += uint64(to - from)
 		}
 		from = to
 	}
@@ -276,12 +276,12 @@
 
 // workConn is a link that another proxy has made.
 type workConn struct {
-	w    *Work
+	w    *TakeoverTransport
 	conn netpoll.Connection
 	in   buffer
 }
 
-func (w *Work) accept(ctx context.Context, conn netpoll.Connection) context.Context {
+func (w *TakeoverTransport) accept(ctx context.Context, conn netpoll.Connection) context.Context {
 	return context.WithValue(ctx, clientKey{}, &workConn{w: w, conn: conn})
 }
 
@@ -294,7 +294,7 @@
 	for !c.w.closed {
 		f, n, err := tier.Next(c.in.bytes[used:])
 		if err != nil {
-			c.w.Counters.Strange++
+			c.w.Counters.Invalid++
 			c.conn.Close()
 			return
 		}
@@ -310,13 +310,13 @@
 
 // heard takes what another proxy says. Only members are heard, and only what is for this very membership: a proxy that has joined anew has nothing of
 // what was said to it before. One that isn't known yet says it again.
-func (w *Work) heard(x *tier.Work) {
+func (w *TakeoverTransport) heard(x *tier.Work) {
 	if x == nil || w.self == 0 || x.To != w.self || w.where[x.From] == "" || x.From == w.self {
-		w.Counters.Strange++
+		w.Counters.Invalid++
 		return
 	}
 	for _, m := range x.Messages {
-		w.Counters.Heard++
+		w.Counters.Received++
 		w.book.Receive(w.clock.Now(), x.From, m)
 	}
 }
--- a/internal/net/work_test.go
+++ b/internal/net/takeover_test.go
@@ -13,7 +13,7 @@
 
 // worker is a proxy's part in work in hand, on a loop that it shares with the others of its test.
 type worker struct {
-	*Work
+	*TakeoverTransport
 	orders chan takeover.Action
 }
 
@@ -26,7 +26,7 @@
 	for i := range n {
 		x := &worker{orders: make(chan takeover.Action, 64)}
 		var err error
-		if x.Work, err = ListenWork(loop, clock, deadlines, "127.0.0.1:0", takeover.Config{}, func(o takeover.Action) { x.orders <- o }); err != nil {
+		if x.TakeoverTransport, err = ListenTakeover(loop, clock, deadlines, "127.0.0.1:0", takeover.Config{}, func(o takeover.Action) { x.orders <- o }); err != nil {
 			t.Fatal(err)
 		}
 		list = append(list, x)
@@ -48,7 +48,7 @@
 	seats.ValidUntil = clock.Now() + time.Hour
 	on(loop, func() {
 		for i, x := range list {
-			x.Tier(rollout.Member(i+1), seats, 2500*time.Millisecond)
+			x.SetMembership(rollout.Member(i+1), seats, 2500*time.Millisecond)
 			x.Start()
 		}
 	})
@@ -76,14 +76,14 @@
 	loop, list, _ := workers(t, 4)
 	work := takeover.Work{Key: "k", Digest: 1, TimeLeft: time.Minute, Statement: make([]byte, 100<<10), Class: "kayit"}
 	on(loop, func() {
-		list[0].Book().Begin(list[0].clock.Now(), 7, work, takeover.Required)
+		list[0].Registry().Begin(list[0].clock.Now(), 7, work, takeover.Required)
 		list[0].Flush()
 	})
 	if o := next(list[0]); o.Kind != takeover.Send || o.ID != 7 {
 		t.Fatalf("%+v", o)
 	}
 	on(loop, func() {
-		if !list[0].Book().MaySend(list[0].clock.Now(), "k") {
+		if !list[0].Registry().MaySend(list[0].clock.Now(), "k") {
 			t.Error("it may not send")
 		}
 		list[0].Flush()
@@ -104,12 +104,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	on(loop, func() {
-		owner.Book().Complete(owner.clock.Now(), "k", takeover.Result{Outcome: takeover.Served, Value: []byte("done")})
+		owner.Registry().Complete(owner.clock.Now(), "k", takeover.Result{Outcome: takeover.Served, Value: []byte("done")})
 		owner.Flush()
 	})
 	for _, x := range list[1:] {
 		on(loop, func() {
-			x.Book().Begin(x.clock.Now(), 9, takeover.Work{Key: "k", Digest: 1, TimeLeft: time.Minute, IsRetry: true}, takeover.Required)
+			x.Registry().Begin(x.clock.Now(), 9, takeover.Work{Key: "k", Digest: 1, TimeLeft: time.Minute, IsRetry: true}, takeover.Required)
 			x.Flush()
 		})
 		if o := next(x); o.Kind != takeover.Answer || o.ID != 9 || string(o.Result.Value) != "done" {
@@ -138,12 +138,12 @@
 	until := func(heard, strange uint64) {
 		t.Helper()
 		for {
-			var c WorkCounters
+			var c TakeoverCounters
 			on(loop, func() { c = list[0].Counters })
-			if c.Heard > heard || c.Strange > strange {
+			if c.Received > heard || c.Invalid > strange {
 				t.Fatalf("%+v, %d heard and %d strange were expected", c, heard, strange)
 			}
-			if c.Heard == heard && c.Strange == strange {
+			if c.Received == heard && c.Invalid == strange {
 				return
 			}
 			time.Sleep(time.Millisecond)
@@ -158,7 +158,7 @@
 	say(1, 1)
 	until(1, 3)
 	seats.Version, seats.Members = 2, seats.Members[:1] // the other has gone
-	on(loop, func() { list[0].Tier(1, seats, 2*time.Second) })
+	on(loop, func() { list[0].SetMembership(1, seats, 2*time.Second) })
 	say(2, 1)
 	until(1, 4)
 	conn.Write([]byte{0xff, 0xff, 0xff, 0xff, 1})
@@ -173,10 +173,10 @@
 	const dead = "127.0.0.1:1" // a reserved port on which nothing listens
 	seats.Version, seats.Members = 2, append(seats.Members, rollout.MemberEntry{Member: 2, Address: dead}, rollout.MemberEntry{Member: 3, Address: dead})
 	x := list[0]
-	on(loop, func() { x.Tier(1, seats, 2*time.Second) })
+	on(loop, func() { x.SetMembership(1, seats, 2*time.Second) })
 	begin := func(s takeover.Durability, keys ...string) {
 		for _, key := range keys {
-			x.Book().Begin(x.clock.Now(), 1, takeover.Work{Key: key, Digest: 1, TimeLeft: time.Minute, Statement: make([]byte, 300<<10)}, s)
+			x.Registry().Begin(x.clock.Now(), 1, takeover.Work{Key: key, Digest: 1, TimeLeft: time.Minute, Statement: make([]byte, 300<<10)}, s)
 			x.Flush()
 		}
 	}
@@ -208,7 +208,7 @@
 // Dials come less and less often, by who dials whom and so not of all at once, unless the link lived for a while: one that stands still takes dials and
 // reads nothing.
 func TestDialsOfWorkComeLessAndLessOften(t *testing.T) {
-	l, other := &workLink{w: &Work{self: 1}, to: 2}, &workLink{w: &Work{self: 3}, to: 2}
+	l, other := &workLink{w: &TakeoverTransport{self: 1}, to: 2}, &workLink{w: &TakeoverTransport{self: 3}, to: 2}
 	now := time.Hour
 	first := l.pause(now)
 	if first > 150*time.Millisecond || first == other.pause(now) {
--- a/internal/run/consul.go
+++ b/internal/run/consul.go
@@ -50,7 +50,7 @@
 	}
 	return &cfg, func() {
 		p.front.ConfigureMerging(&members, k.Exclusive)
-		sources := cfg.Sources()
+		sources := cfg.SourceNames()
 		for _, s := range sources {
 			p.front.AddCatalogue(s)
 		}
--- a/internal/run/reload.go
+++ b/internal/run/reload.go
@@ -64,12 +64,12 @@
 		if p.tier == nil {
 			p.front.Reload(cfg.Settings.Config)
 		} else {
-			slog.Info("classes, levels, handover and routing stay as the tier's policy has them", "number", p.tier.Number())
+			slog.Info("classes, levels, handover and routing stay as the tier's policy has them", "number", p.tier.PolicyNumber())
 		}
 		for _, c := range cfg.Settings.Config.Classes { // never less: what is open keeps its time
 			p.patience = min(max(p.patience, c.Limit), longestPatience)
 		}
-		p.discovery.Move(cfg.Discovery)
+		p.discovery.SetAddress(cfg.Discovery)
 		effect()
 	})
 }
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -166,9 +166,9 @@
 		p.front.SetHandover(own.Handover)
 		p.front.SetTuning(own.Tuning)
 		p.front.SetRevision(own.Revision.Number)
-		p.server.TellPolicy(own.Revision.TellClients)
+		p.server.ReportPolicy(own.Revision.TellClients)
 	}
-	p.server.Console(own.Console.Enabled)
+	p.server.EnableConsole(own.Console.Enabled)
 	if p.mysql != nil && own.MySQL != nil { // its address and groups stay as they were at the start
 		p.mysql.Users, _ = mysqlUsers(own.MySQL)
 	}
@@ -203,7 +203,7 @@
 	answerBy time.Duration
 	killAt   time.Duration
 
-	tier      *net.Tier // nil = the proxy goes by its own files
+	tier      *net.PlannerLink // nil = the proxy goes by its own files
 	enforced  rollout.Number
 	log       *slog.Logger // without the policy's number
 	traceFile string       // of the command line
@@ -268,7 +268,7 @@
 	}
 	if cfg.PeerListen != "" && cfg.PeersAll != "" && s.Config.MaxPeerReports > 0 {
 		peers, err := net.ListenPeers(p.loop, p.front, cfg.PeerListen, cfg.Peers, cfg.PeersAll)
-		if errors.Is(err, net.ErrPeers) {
+		if errors.Is(err, net.ErrPeerAddress) {
 			return nil, err
 		}
 		if err != nil { // the address is taken: all works without, if with more pings
@@ -281,7 +281,7 @@
 	p.discovery = net.NewDiscovery(p.loop, p.clock, p.front, cfg.Discovery, cfg.Known.Generation, s.Config.ListMaxDelay)
 	p.loop.Post(func() {
 		p.startedAt = p.clock.Now()
-		p.front.Start(p.discovery, net.ListOf(cfg.Known))
+		p.front.Start(p.discovery, net.ConvertList(cfg.Known))
 		p.settle()
 	})
 	return p, nil
--- a/internal/run/steward.go
+++ b/internal/run/steward.go
@@ -32,14 +32,14 @@
 	slog.Info("can serve", "list_told", p.front.ListReceived())
 }
 
-// Ready implements net.Steward.
+// Ready implements net.AdminHandler.
 func (p *proxy) Ready() bool { return p.serving && !p.stopping && (p.tier == nil || p.tier.Ready()) }
 
-// Figures implements net.Steward.
-func (p *proxy) Figures(dst []byte) []byte { return p.front.AppendMetrics(dst) }
+// Metrics implements net.AdminHandler.
+func (p *proxy) Metrics(dst []byte) []byte { return p.front.AppendMetrics(dst) }
 
-// Drain implements net.Steward.
-func (p *proxy) Drain() { p.server.Away(true) }
+// Drain implements net.AdminHandler.
+func (p *proxy) Drain() { p.server.SetOperatorDrain(true) }
 
-// Activate implements net.Steward.
-func (p *proxy) Activate() { p.server.Away(false) }
+// Activate implements net.AdminHandler.
+func (p *proxy) Activate() { p.server.SetOperatorDrain(false) }
--- a/internal/run/stop.go
+++ b/internal/run/stop.go
@@ -19,7 +19,7 @@
 	p.front.SetFinalDeadline(p.answerBy)
 	p.front.Deadlines.Clear(&p.settling)
 	if p.accept > 0 && p.serving {
-		p.server.Leave()
+		p.server.DrainShared()
 	}
 	p.front.Deadlines.Set(&p.timer, now+lastClients, func() {
 		p.server.Drain()
@@ -35,7 +35,7 @@
 	if p.nothingOwed() || now >= p.killAt {
 		// A connection may have been accepted, and a query read, that the loop has yet to hear of: whatever the poller has begun by now
 		// stands before this in the loop's queue.
-		p.loop.BehindPoller(func() {
+		p.loop.PostAfterPoller(func() {
 			if p.nothingOwed() || p.clock.Now() >= p.killAt {
 				if p.tier != nil {
 					p.tier.Leave()
--- a/internal/run/tier.go
+++ b/internal/run/tier.go
@@ -18,12 +18,12 @@
 	p.front.ConfigureLevels(own.Levels)
 	p.front.SetHandover(own.Handover)
 	p.front.SetTuning(own.Tuning)
-	p.server.TellPolicy(own.Tier.TellClients)
+	p.server.ReportPolicy(own.Tier.TellClients)
 	p.log = slog.Default()
 	p.tier = net.JoinTier(p.loop, p.clock, p.front, net.TierConfig{Name: cmp.Or(own.Tier.Name, cfg.Name), Planners: own.Tier.Planners,
-		Rollout: own.Tier.Rollout, Seed: cfg.Settings.Config.Seed, Nonce: rand.Uint64(), Check: p.agrees, Into: p.enforce,
+		Rollout: own.Tier.Rollout, Seed: cfg.Settings.Config.Seed, Nonce: rand.Uint64(), Check: p.agrees, Apply: p.enforce,
 		Health: net.HealthConfig{Zone: zoneName(cfg), ChecksPerSecond: own.Tier.ChecksPerSecond, BytesPerSecond: own.Tier.ReportBytesPerSecond}})
-	p.server.Belongs(p.tier)
+	p.server.SetTier(p.tier)
 }
 
 // zoneName gives the name of the zone that this proxy runs in; empty = the configuration names none.
