--- a/internal/net/admin.go
+++ b/internal/net/admin.go
@@ -16,106 +16,106 @@
 )
 
 const (
-	adminPatience = 2 * time.Second // for a whole call; who sends half of one holds a descriptor for nothing
-	adminCalls    = 24              // connections at a time; beyond, the one silent for longest gives way
+	adminCallTimeout = 2 * time.Second // for a whole call; a client that sends only part of one must not hold a descriptor
+	maxAdminConns    = 24              // connections at a time; beyond, the one that has been silent longest is closed
 )
 
-// AdminHandler carries out what operators ask for at the second address. Its methods are called on the loop.
+// AdminHandler carries out the calls of the admin API. Its methods are called on the loop.
 type AdminHandler interface {
-	Ready() bool // can it serve?
+	Ready() bool // reports whether the proxy can serve
 	Metrics(dst []byte) []byte
-	Drain()    // send clients away
-	Activate() // take them again
+	Drain()    // disconnects clients
+	Activate() // accepts clients again
 }
 
-// Admin serves the operators' second address. Its calls are answered on the loop, between two requests, whatever the load.
+// Admin serves the admin API. Calls are answered on the loop, between two requests, whatever the load.
 type Admin struct {
 	loop      *Loop
 	deadlines *state.Deadlines
 	clock     state.Clock
-	steward   AdminHandler
+	handler   AdminHandler
 	listener  *listener
 	open      atomic.Int64
-	calls     list.List // of *adminConn, the oldest first
+	conns     list.List // of *adminConn, the oldest first
 }
 
-// ListenAdmin opens the second address.
+// ListenAdmin opens the listener of the admin API.
 func ListenAdmin(loop *Loop, clock state.Clock, deadlines *state.Deadlines, address string, steward AdminHandler) (*Admin, error) {
-	a := &Admin{loop: loop, clock: clock, deadlines: deadlines, steward: steward}
+	a := &Admin{loop: loop, clock: clock, deadlines: deadlines, handler: steward}
 	ln, err := stdnet.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	if a.listener, err = serve(ln, 4*adminCalls, &a.open, func() {}, a.accept, nil); err != nil {
+	if a.listener, err = serveListener(ln, 4*maxAdminConns, &a.open, func() {}, a.accept, nil); err != nil {
 		return nil, err
 	}
 	return a, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the admin API listens on.
 func (a *Admin) Address() string { return a.listener.Addr().String() }
 
-// Close ends it.
-func (a *Admin) Close() { a.listener.end() }
+// Close stops listening.
+func (a *Admin) Close() { a.listener.shutdown() }
 
-// adminConn is one connection, with one call.
+// adminConn is a connection to the admin API. It carries one call.
 type adminConn struct {
-	a     *Admin
-	conn  netpoll.Connection
-	in    buffer
-	done  bool // it has its answer
-	timer state.Deadline
-	place *list.Element
+	admin    *Admin
+	conn     netpoll.Connection
+	input    buffer
+	answered bool // the response has been written
+	timer    state.Deadline
+	element  *list.Element
 }
 
 func (a *Admin) accept(ctx context.Context, conn netpoll.Connection) context.Context {
-	for a.calls.Len() >= adminCalls {
-		a.calls.Front().Value.(*adminConn).close()
+	for a.conns.Len() >= maxAdminConns {
+		a.conns.Front().Value.(*adminConn).close()
 	}
-	c := &adminConn{a: a, conn: conn}
-	c.place = a.calls.PushBack(c)
+	c := &adminConn{admin: a, conn: conn}
+	c.element = a.conns.PushBack(c)
 	conn.AddCloseCallback(func(netpoll.Connection) error { a.loop.Post(c.closed); return nil })
-	a.deadlines.Set(&c.timer, a.clock.Now()+adminPatience, func() { c.answer(wire.BadRequest, []byte("no whole call in time\n")) })
+	a.deadlines.Set(&c.timer, a.clock.Now()+adminCallTimeout, func() { c.respond(wire.BadRequest, []byte("no whole call in time\n")) })
 	return context.WithValue(ctx, clientKey{}, c)
 }
 
-func (c *adminConn) readable() {
-	if err := c.in.fill(c.conn.Reader()); err != nil {
+func (c *adminConn) handleInput() {
+	if err := c.input.fill(c.conn.Reader()); err != nil {
 		c.close()
 		return
 	}
-	if c.done { // a body that comes behind
-		c.in.cut(len(c.in.bytes))
+	if c.answered { // the rest of a request body
+		c.input.discard(len(c.input.bytes))
 		return
 	}
-	call, whole, err := wire.Next(c.in.bytes)
+	call, whole, err := wire.Next(c.input.bytes)
 	switch {
 	case err != nil:
-		c.answer(wire.BadRequest, []byte(err.Error()+"\n"))
+		c.respond(wire.BadRequest, []byte(err.Error()+"\n"))
 	case whole:
-		c.carryOut(call)
+		c.handle(call)
 	}
 }
 
-func (c *adminConn) carryOut(call wire.Call) {
-	s := c.a.steward
+func (c *adminConn) handle(call wire.Call) {
+	s := c.admin.handler
 	want := map[string]string{"/v1/readyz": "GET", "/v1/metrics": "GET", "/v1/proxy/drain": "PUT", "/v1/proxy/activate": "PUT"}[call.Path]
 	switch {
 	case want == "":
-		c.answer(wire.NotFound, []byte("no such call; there are GET /v1/readyz, GET /v1/metrics, PUT /v1/proxy/drain, PUT /v1/proxy/activate\n"))
+		c.respond(wire.NotFound, []byte("no such call; there are GET /v1/readyz, GET /v1/metrics, PUT /v1/proxy/drain, PUT /v1/proxy/activate\n"))
 		return
 	case call.Method != want:
-		c.answer(wire.MethodNotAllowed, []byte("the method for "+call.Path+" is "+want+"\n"))
+		c.respond(wire.MethodNotAllowed, []byte("the method for "+call.Path+" is "+want+"\n"))
 		return
 	}
 	switch call.Path {
 	case "/v1/readyz":
 		if !s.Ready() {
-			c.answer(wire.Unavailable, []byte("not ready\n"))
+			c.respond(wire.Unavailable, []byte("not ready\n"))
 			return
 		}
 	case "/v1/metrics":
-		c.answer(wire.OK, s.Metrics(nil))
+		c.respond(wire.OK, s.Metrics(nil))
 		return
 	case "/v1/proxy/drain":
 		slog.Info("operators send clients away")
@@ -124,17 +124,18 @@
 		slog.Info("operators take clients again")
 		s.Activate()
 	}
-	c.answer(wire.OK, []byte("ok\n"))
+	c.respond(wire.OK, []byte("ok\n"))
 }
 
-// answer writes the last word; the connection ends once the other side has had the time to read it.
-func (c *adminConn) answer(status int, body []byte) {
-	c.done = true
+// respond writes the response. The connection is closed after finalAnswerDelay, so that the client has time to read
+// it.
+func (c *adminConn) respond(status int, body []byte) {
+	c.answered = true
 	if _, err := c.conn.Write(wire.AppendAnswer(nil, status, body)); err != nil {
 		c.close()
 		return
 	}
-	c.a.deadlines.Set(&c.timer, c.a.clock.Now()+lingerFor, c.close)
+	c.admin.deadlines.Set(&c.timer, c.admin.clock.Now()+finalAnswerDelay, c.close)
 }
 
 func (c *adminConn) close() {
@@ -143,28 +144,28 @@
 }
 
 func (c *adminConn) closed() {
-	if c.place == nil {
+	if c.element == nil {
 		return
 	}
-	c.a.calls.Remove(c.place)
-	c.place = nil
-	c.a.deadlines.Clear(&c.timer)
+	c.admin.conns.Remove(c.element)
+	c.element = nil
+	c.admin.deadlines.Clear(&c.timer)
 }
 
-// reader is what a listener's connections are read by.
-type reader interface{ readable() }
+// inputHandler handles the input of an accepted connection.
+type inputHandler interface{ handleInput() }
 
-// serve lets netpoll accept on a listener, and hand each connection to accept, on the loop. held, where it is set, is a socket that
-// other processes share: it may be left, but not shut down.
-func serve(ln stdnet.Listener, most int64, open *atomic.Int64, full func(), accept netpoll.OnConnect, held *heldSocket) (*listener, error) {
+// serveListener makes netpoll accept connections on ln and passes each to accept, on the loop. inherited, if it is
+// not nil, is a socket that other processes share: this process may stop accepting on it but must not shut it down.
+func serveListener(ln stdnet.Listener, maxOpen int64, open *atomic.Int64, requestRoom func(), accept netpoll.OnConnect, inherited *inheritedSocket) (*listener, error) {
 	converted, err := netpoll.ConvertListener(ln)
 	if err != nil {
 		return nil, err
 	}
-	l := &listener{Listener: converted, most: most, open: open, full: full, held: held}
+	l := &listener{Listener: converted, maxOpen: maxOpen, open: open, requestRoom: requestRoom, inherited: inherited}
 	events, err := netpoll.NewEventLoop(
 		func(ctx context.Context, _ netpoll.Connection) error {
-			ctx.Value(clientKey{}).(reader).readable()
+			ctx.Value(clientKey{}).(inputHandler).handleInput()
 			return nil
 		},
 		netpoll.WithOnPrepare(func(conn netpoll.Connection) context.Context {
@@ -172,18 +173,19 @@
 			return context.Background()
 		}),
 		netpoll.WithOnConnect(accept),
-		netpoll.WithWriteTimeout(writePatience),
-		netpoll.WithIdleTimeout(keepAlive))
+		netpoll.WithWriteTimeout(writeTimeout),
+		netpoll.WithIdleTimeout(keepAliveInterval))
 	if err != nil {
 		return nil, err
 	}
 	go func() { // Serve blocks until the listener ends
-		if err := events.Serve(l); err != nil && !l.ended.Load() {
+		if err := events.Serve(l); err != nil && !l.closing.Load() {
 			slog.Error("listener ended", "error", err)
 		}
 	}()
 	return l, nil
 }
 
-// errLeft lets netpoll forget a listener: its words for that are "closed".
-var errLeft = errors.New("listener closed: left to the other processes")
+// errListenerReleased makes netpoll drop a listener: netpoll recognizes a closed listener by "closed" in the error
+// text.
+var errListenerReleased = errors.New("listener closed: released to the other processes")
--- a/internal/net/admin_test.go
+++ b/internal/net/admin_test.go
@@ -24,9 +24,9 @@
 
 // Operators' calls are answered, also while others send nothing or half a call; those are let go.
 func TestAdminCalls(t *testing.T) {
-	s, front, loop := proxy(t, "127.0.0.1:1", 8, 4)
+	s, engine, loop := proxy(t, "127.0.0.1:1", 8, 4)
 	st := &steward{told: make(chan string, 4)}
-	a, err := ListenAdmin(loop, s.clock, &front.Deadlines, "127.0.0.1:0", st)
+	a, err := ListenAdmin(loop, s.clock, &engine.Deadlines, "127.0.0.1:0", st)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 		return string(got)
 	}
 	var silent []stdnet.Conn
-	for range 3 * adminCalls { // more than are kept
+	for range 3 * maxAdminConns { // more than are kept
 		silent = append(silent, dial("GET /v1/me"))
 	}
 	const end = " HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -70,7 +70,7 @@
 	if x, y := <-st.told, <-st.told; x != "drain" || y != "activate" {
 		t.Errorf("%s, then %s", x, y)
 	}
-	skip(s, adminPatience+time.Second)
+	skip(s, adminCallTimeout+time.Second)
 	if got, _ := io.ReadAll(silent[len(silent)-1]); !strings.HasPrefix(string(got), "HTTP/1.1 400 ") {
 		t.Errorf("half a call is answered %q", got)
 	}
@@ -115,7 +115,7 @@
 		t.Errorf("kept behind its answer: %v", err)
 	}
 	for range 12 { // each a turn of the sweep
-		skip(s, awayStep)
+		skip(s, drainInterval)
 	}
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("an idle client is kept: %v", err)
--- a/internal/net/callback_stats.go
+++ b/internal/net/callback_stats.go
@@ -10,41 +10,42 @@
 )
 
 const (
-	// slowTurn is the time that one function may hold the loop before it counts as slow. Whatever holds the loop holds up all requests.
-	slowTurn = 50 * time.Millisecond
-	// slowTurnLogEvery is the time between two log lines of slow turns, at least.
-	slowTurnLogEvery = time.Second
+	// slowCallback is the time that one callback may hold the loop before it counts as slow. Whatever holds the loop
+	// delays all requests.
+	slowCallback = 50 * time.Millisecond
+	// slowCallbackLogInterval is the minimum time between two log lines about slow callbacks.
+	slowCallbackLogInterval = time.Second
 )
 
-// turns measures how long the functions that the loop runs hold it, and how far behind its time a deadline is run.
-type turns struct {
+// callbackStats measures how long the loop's callbacks run and how late deadlines are run.
+type callbackStats struct {
 	counters *state.Counters // nil = nothing is counted
 	delays   *state.Delays
 	loggedAt time.Duration
 }
 
-// ended notes a function that held the loop from one time to another.
-func (t *turns) ended(f any, from, to time.Duration) {
-	if t.counters == nil || to-from < slowTurn {
+// recordCallback records a callback that held the loop between two points in time.
+func (t *callbackStats) recordCallback(f any, from, to time.Duration) {
+	if t.counters == nil || to-from < slowCallback {
 		return
 	}
 	t.counters.SlowTurns++
 	t.delays.LongestTurn = max(t.delays.LongestTurn, to-from)
-	if t.loggedAt > 0 && to-t.loggedAt < slowTurnLogEvery {
+	if t.loggedAt > 0 && to-t.loggedAt < slowCallbackLogInterval {
 		return
 	}
 	t.loggedAt = to
 	slog.Warn("loop held up", "by", functionName(f), "took", to-from, "slow_turns", t.counters.SlowTurns)
 }
 
-// late notes how far behind its time the first due deadline is run.
-func (t *turns) late(due, now time.Duration) {
+// recordDeadlineDelay records how late the first due deadline is run.
+func (t *callbackStats) recordDeadlineDelay(due, now time.Duration) {
 	if t.counters != nil {
 		t.delays.LongestDeadlineDelay = max(t.delays.LongestDeadlineDelay, now-due)
 	}
 }
 
-// functionName gives the name that the compiler has for a function.
+// functionName returns the compiler's name for a function.
 func functionName(f any) string {
 	v := reflect.ValueOf(f)
 	if v.Kind() != reflect.Func || v.IsNil() {
--- a/internal/net/callback_stats_test.go
+++ b/internal/net/callback_stats_test.go
@@ -20,13 +20,13 @@
 	loop.Measure(counters, delays)
 	var due state.Deadline
 	deadlines.Set(&due, clock.now+10*time.Millisecond, loop.Stop)
-	loop.Post(func() { clock.now += slowTurn - 1 })
-	loop.Post(func() { clock.now += 2 * slowTurn })
+	loop.Post(func() { clock.now += slowCallback - 1 })
+	loop.Post(func() { clock.now += 2 * slowCallback })
 	loop.Run()
-	if counters.SlowTurns != 1 || delays.LongestTurn != 2*slowTurn {
-		t.Errorf("%d slow turns, the longest %v; want 1 of %v", counters.SlowTurns, delays.LongestTurn, 2*slowTurn)
+	if counters.SlowTurns != 1 || delays.LongestTurn != 2*slowCallback {
+		t.Errorf("%d slow turns, the longest %v; want 1 of %v", counters.SlowTurns, delays.LongestTurn, 2*slowCallback)
 	}
-	if want := slowTurn - 1 - 10*time.Millisecond; delays.LongestDeadlineDelay != want {
+	if want := slowCallback - 1 - 10*time.Millisecond; delays.LongestDeadlineDelay != want {
 		t.Errorf("the latest deadline was run %v behind its time, want %v", delays.LongestDeadlineDelay, want)
 	}
 	if n := strings.Count(log.String(), "by=havenproxy/internal/net.TestAHeldUpLoopIsCountedAndNamed"); n != 1 {
@@ -42,8 +42,8 @@
 	var due state.Deadline
 	var order []string
 	deadlines.Set(&due, clock.now+time.Millisecond, func() { order = append(order, "deadline") })
-	loop.Post(func() { clock.now += mostDelay; order = append(order, "early") })
-	loop.Post(func() { clock.now += mostDelay; order = append(order, "slow") })
+	loop.Post(func() { clock.now += maxDeadlineDelay; order = append(order, "early") })
+	loop.Post(func() { clock.now += maxDeadlineDelay; order = append(order, "slow") })
 	loop.Post(func() { order = append(order, "behind"); loop.Stop() })
 	loop.Run()
 	if got := strings.Join(order, " "); got != "early slow deadline behind" {
--- a/internal/net/client.go
+++ b/internal/net/client.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// So long has a client for its first whole query, and for the rest of one that it has begun. One that stays
-	// silent or stops half way holds a descriptor for nobody, and is owed an error or a close within three seconds.
-	queryPatience = 2200 * time.Millisecond
-	maxBuffered   = 2 * pg.MaxMessage // of queries that wait for room under way
-	// A last word is lost if its connection is closed over unread bytes, so those on their way are waited for. No
-	// longer than that: to the client, the end of the connection is the end of the answer.
-	lingerFor    = 20 * time.Millisecond
-	maxPipelined = 16 // queries of one client that may be under way; hundreds at once would crowd out the others'
+	// A client has this long to send its first complete query, and to complete a query that it has started to send. A
+	// client that stays silent or stops half way holds a descriptor for nothing, and has to get an error or a close
+	// within three seconds.
+	queryTimeout = 2200 * time.Millisecond
+	maxBuffered  = 2 * pg.MaxMessage // bytes of queries that wait until fewer are pending
+	// Closing a connection with unread input resets it, and the final answer is lost, so input that is still on its
+	// way is awaited. The wait is short, because to the client the end of the connection is the end of the answer.
+	finalAnswerDelay = 20 * time.Millisecond
+	maxPipelined     = 16 // pending queries of one client; hundreds at once would crowd out those of other clients
 )
 
 var (
-	errTooMany = errors.New("too many queries at once")
-	errTooSlow = errors.New("no whole query in time")
+	errTooManyQueries = errors.New("too many queries at once")
+	errQueryTimeout   = errors.New("no whole query in time")
 )
 
 type phase uint8
@@ -33,320 +34,328 @@
 const (
 	phaseStartup phase = iota
 	phaseServing
-	phaseLeaving // broke the protocol, or is turned away: nothing more is read
+	phaseClosing // it violated the protocol or is rejected: no more input is read
 	phaseClosed
 )
 
-// end says why a connection ends from this side.
-type end uint8
+// closeReason is the reason for which the proxy closes a client's connection.
+type closeReason uint8
 
 const (
-	endMalformed end = iota
-	endTooMany       // clients
-	endNoMemory
-	endTooOften // it tried what it may not so often
+	reasonMalformed      closeReason = iota
+	reasonTooManyClients             // too many clients
+	reasonNoMemory
+	reasonTooManyLogins // too many failed or concurrent logins
 )
 
-// speaker is the protocol of a client: what stands between its bytes and requests. All that isn't the protocol's, the
-// places, the time a client has, the order of answers, is the client's.
-type speaker interface {
-	greet(c *client) // it has come
-	// next handles the first message of buf and tells its length; 0 = nothing to do yet.
-	next(c *client, buf []byte) (int, error)
-	served(sl *slot, body []byte) []byte
-	refused(sl *slot, comeBack time.Duration) []byte
-	failed(sl *slot) []byte
-	unfit(sl *slot, body []byte) []byte // body, where there is one, is the database's own word
-	fatal(why end, text string) []byte
-	pipelines() int // queries that may be under way
-	gone(c *client) // the connection has ended
+// clientProtocol is the wire protocol of a client: it turns bytes into requests and answers into bytes. Connection
+// limits, timeouts and the order of answers are handled by client.
+type clientProtocol interface {
+	greet(c *client) // called when the client has connected
+	// parseNext handles the first message of buf and returns its length; 0 = nothing to do yet.
+	parseNext(c *client, buf []byte) (int, error)
+	servedAnswer(sl *pendingQuery, body []byte) []byte
+	refusedAnswer(sl *pendingQuery, comeBack time.Duration) []byte
+	failedAnswer(sl *pendingQuery) []byte
+	badRequestAnswer(sl *pendingQuery, body []byte) []byte // body, if there is one, is the database's own error
+	fatalError(why closeReason, text string) []byte
+	maxPending() int            // the maximum number of pending queries
+	connectionClosed(c *client) // called when the connection has ended
 }
 
 // client is a connection of a client.
 type client struct {
-	s      *Server
-	speaks speaker
-	conn   netpoll.Connection
-	from   string // its address
-	in     buffer
-	quits  bool // this side closes the connection, for it owed nothing
-	hurry  bool // others need its descriptor: it is closed in one step
-	had    int  // bytes of a query that was not whole, when it began to
-	phase  phase
-	full   bool // beyond the proxy's limit: it is turned away once it has spoken
-	held   int  // bytes of its buffer, and extra, that are in the server's account
-	extra  int  // bytes that the speaker keeps for requests to come
-	asked  bool // it has sent a whole query
-	half   bool // it has sent a part of one, and the timer runs for the rest
-	admin  bool // it is at the console
-	slots  []*slot
-	timer  state.Deadline
-	room   state.Deadline // of the console's answers
-
-	list  *list.List // the server's silent or idle clients, or nil
-	place *list.Element
-	since time.Duration // when it came there
+	server           *Server
+	protocol         clientProtocol
+	conn             netpoll.Connection
+	remoteAddress    string // the client's address
+	input            buffer
+	closing          bool // the proxy is closing the connection, because no answer was due
+	closeAtOnce      bool // the descriptor is needed: the connection is closed without lingering
+	bytesBeforeClose int  // bytes of an incomplete query when beginClose was called
+	phase            phase
+	overLimit        bool // beyond the client limit: it is rejected once it has sent its startup message
+	accountedBytes   int  // bytes of its buffer and statementBytes that are included in the server's sum
+	statementBytes   int  // bytes that the protocol keeps for later requests
+	hasQueried       bool // it has sent a complete query
+	partialQuery     bool // it has sent a part of a query, and the timer runs for the rest
+	usesConsole      bool // it uses the console
+	pending          []*pendingQuery
+	timer            state.Deadline
+	consoleTimer     state.Deadline // waits for room in the send buffer
+
+	list    *list.List // the server's list of silent or idle clients that it is in, or nil
+	element *list.Element
+	since   time.Duration // when it was added to the list, or last seen sending
 }
 
-// slot is a query in its place in the order of answers.
-type slot struct {
-	c      *client
-	id     logic.RequestID
-	answer []byte
-	done   bool
-	last   bool    // the connection ends behind it
-	policy uint64  // of the tier, under which it was taken
-	taken  bool    // it was, under that
-	stream *stream // it comes in pieces
+// pendingQuery is a query that has not been answered yet; answers are written in the order of the queries.
+type pendingQuery struct {
+	client      *client
+	id          logic.RequestID
+	answer      []byte
+	answered    bool
+	closesAfter bool         // the connection is closed after this answer
+	policy      uint64       // the tier's policy under which the request was admitted
+	policyKnown bool         // policy is set
+	stream      *valueStream // the answer is written in pieces
 }
 
-// readable takes in what has come.
-func (c *client) readable() {
-	if err := c.in.fill(c.conn.Reader()); err != nil {
-		c.hangUp()
+// handleInput reads and parses the bytes that have arrived.
+func (c *client) handleInput() {
+	if err := c.input.fill(c.conn.Reader()); err != nil {
+		c.closeNow()
 		return
 	}
-	if c.quits {
-		return // quit looks at it
+	if c.closing {
+		return // finishClose checks for them
 	}
-	if c.list == &c.s.silent { // who is at its query, however slowly, goes behind those that have stopped
-		c.since = c.s.clock.Now()
-		c.list.MoveToBack(c.place)
+	if c.list == &c.server.silent { // a client that is still sending, however slowly, goes behind those that have stopped
+		c.since = c.server.clock.Now()
+		c.list.MoveToBack(c.element)
 	}
 	c.parse()
 }
 
-// parse takes whole messages out of the buffer, as many as may be under way.
+// parse handles the complete messages in the buffer, as many as may be pending.
 func (c *client) parse() {
-	defer c.settle()
-	for used := 0; c.phase < phaseLeaving; {
-		n, err := c.next(c.in.bytes[used:])
-		if used += n; err == nil && n == 0 && len(c.in.bytes)-used > maxBuffered {
-			err = errTooMany
+	defer c.updateIdleList()
+	for used := 0; c.phase < phaseClosing; {
+		n, err := c.parseNext(c.input.bytes[used:])
+		if used += n; err == nil && n == 0 && len(c.input.bytes)-used > maxBuffered {
+			err = errTooManyQueries
 		}
 		if err != nil {
-			c.malformed(err)
+			c.closeMalformed(err)
 			continue
 		}
 		if n > 0 {
 			continue
 		}
-		c.in.cut(used)
-		c.patience(used > 0)
-		if c.account(); c.s.buffered <= c.s.maxBuffered || len(c.in.bytes) <= keepRoom {
+		c.input.discard(used)
+		c.updateQueryTimer(used > 0)
+		if c.updateBufferedBytes(); c.server.buffered <= c.server.maxBuffered || len(c.input.bytes) <= maxIdleBuffer {
 			return
 		}
-		c.s.front.Counters.ClientsRejected++ // half a query has not been taken yet
-		c.leave(endNoMemory, "no memory for a query of this size now")
+		c.server.engine.Counters.ClientsRejected++ // a partial query has not been accepted yet
+		c.closeWithError(reasonNoMemory, "no memory for a query of this size now")
 	}
-	c.in.cut(len(c.in.bytes)) // what comes behind the end is nobody's
-	c.account()
+	c.input.discard(len(c.input.bytes)) // input after the end is ignored
+	c.updateBufferedBytes()
 }
 
-// patience sets the time for the rest of a query that has been sent in part, once for each query.
-func (c *client) patience(anew bool) {
-	if !c.asked {
-		return // the time since it came runs
+// updateQueryTimer starts the timer for the rest of a query that has been sent in part, once for each query.
+func (c *client) updateQueryTimer(newQuery bool) {
+	if !c.hasQueried {
+		return // the timer for the first query is running
 	}
-	half := len(c.in.bytes) > 0 && c.takesMore()
+	partial := len(c.input.bytes) > 0 && c.acceptsQuery()
 	switch {
-	case half && (anew || !c.half):
-		c.s.deadlines.Set(&c.timer, c.s.clock.Now()+queryPatience, c.tooSlow)
-	case !half && c.half:
-		c.s.deadlines.Clear(&c.timer)
+	case partial && (newQuery || !c.partialQuery):
+		c.server.deadlines.Set(&c.timer, c.server.clock.Now()+queryTimeout, c.queryTimedOut)
+	case !partial && c.partialQuery:
+		c.server.deadlines.Clear(&c.timer)
 	}
-	c.half = half
+	c.partialQuery = partial
 }
 
-// takesMore tells whether another query is read. The console takes one at a time: its answers are large.
-func (c *client) takesMore() bool {
-	return len(c.slots) < c.speaks.pipelines() && !(c.admin && len(c.slots) > 0)
+// acceptsQuery reports whether another query is read. The console takes one at a time, because its answers are large.
+func (c *client) acceptsQuery() bool {
+	return len(c.pending) < c.protocol.maxPending() && !(c.usesConsole && len(c.pending) > 0)
 }
 
-func (c *client) tooSlow() { c.malformed(errTooSlow) }
+func (c *client) queryTimedOut() { c.closeMalformed(errQueryTimeout) }
 
-func (c *client) malformed(err error) {
-	c.s.front.Counters.Malformed++
-	c.leave(endMalformed, err.Error())
+func (c *client) closeMalformed(err error) {
+	c.server.engine.Counters.Malformed++
+	c.closeWithError(reasonMalformed, err.Error())
 }
 
-// settle puts the client among those that may be closed for want of room: the silent ones, which have sent no whole
-// query yet, and the idle ones, which are owed nothing.
-func (c *client) settle() {
-	var to *list.List
+// updateIdleList moves the client to the list of those that may be closed when connections run out: the silent ones,
+// which have sent no complete query yet, and the idle ones, to which no answer is due.
+func (c *client) updateIdleList() {
+	var target *list.List
 	switch {
-	case c.phase >= phaseLeaving:
-	case !c.asked:
-		to = &c.s.silent
-	case len(c.slots) == 0 && len(c.in.bytes) == 0:
-		to = &c.s.idle
+	case c.phase >= phaseClosing:
+	case !c.hasQueried:
+		target = &c.server.silent
+	case len(c.pending) == 0 && len(c.input.bytes) == 0:
+		target = &c.server.idle
 	}
-	if to == c.list {
+	if target == c.list {
 		return
 	}
 	if c.list != nil {
-		c.list.Remove(c.place)
+		c.list.Remove(c.element)
 	}
-	if c.list = to; to != nil {
-		c.since, c.place = c.s.clock.Now(), to.PushBack(c)
+	if c.list = target; target != nil {
+		c.since, c.element = c.server.clock.Now(), target.PushBack(c)
 	}
 }
 
-// account keeps the server's sum of what all clients' buffers hold.
-func (c *client) account() {
-	now := len(c.in.bytes) + c.extra
-	c.s.buffered += now - c.held
-	c.held = now
+// updateBufferedBytes updates the server's sum of the bytes in all clients' buffers.
+func (c *client) updateBufferedBytes() {
+	total := len(c.input.bytes) + c.statementBytes
+	c.server.buffered += total - c.accountedBytes
+	c.accountedBytes = total
 }
 
-// next handles the first message of buf and tells its length; 0 = nothing to do yet.
-func (c *client) next(buf []byte) (int, error) { return c.speaks.next(c, buf) }
+// parseNext handles the first message of buf and returns its length; 0 = nothing to do yet.
+func (c *client) parseNext(buf []byte) (int, error) { return c.protocol.parseNext(c, buf) }
 
-// spoke notes a whole query: the client is no silent one.
-func (c *client) spoke() {
-	if !c.asked {
-		c.asked = true
-		c.s.deadlines.Clear(&c.timer)
+// noteQuery records that the client has sent a complete query, so that it no longer counts as silent.
+func (c *client) noteQuery() {
+	if !c.hasQueried {
+		c.hasQueried = true
+		c.server.deadlines.Clear(&c.timer)
 	}
 }
 
-// take gives a request to the front, in its place in the order of answers. On an error there will be no answer.
-func (c *client) take(sl *slot, in state.Request) (err error) {
-	in.Caller, in.ReceivedAt = sl, c.s.loop.ReceivedAt()
-	c.slots = append(c.slots, sl)
-	if sl.id, err = c.s.front.Submit(in); err != nil {
-		c.slots = c.slots[:len(c.slots)-1]
+// submit hands a request to the engine and appends its query to the pending ones. After an error there will be no
+// answer.
+func (c *client) submit(query *pendingQuery, in state.Request) (err error) {
+	in.Caller, in.ReceivedAt = query, c.server.loop.ReceivedAt()
+	c.pending = append(c.pending, query)
+	if query.id, err = c.server.engine.Submit(in); err != nil {
+		c.pending = c.pending[:len(c.pending)-1]
 	}
 	return err
 }
 
 // SetPolicy implements state.PolicyRecorder.
-func (sl *slot) SetPolicy(policy uint64) { sl.policy, sl.taken = policy, true }
+func (query *pendingQuery) SetPolicy(policy uint64) { query.policy, query.policyKnown = policy, true }
 
 // Served implements state.Caller.
-func (sl *slot) Served(body []byte) { sl.give(sl.c.speaks.served(sl, body)) }
+func (query *pendingQuery) Served(body []byte) {
+	query.complete(query.client.protocol.servedAnswer(query, body))
+}
 
 // Refused implements state.Caller.
-func (sl *slot) Refused(comeBack time.Duration) { sl.give(sl.c.speaks.refused(sl, comeBack)) }
+func (query *pendingQuery) Refused(retryAfter time.Duration) {
+	query.complete(query.client.protocol.refusedAnswer(query, retryAfter))
+}
 
 // Failed implements state.Caller.
-func (sl *slot) Failed() { sl.give(sl.c.speaks.failed(sl)) }
+func (query *pendingQuery) Failed() { query.complete(query.client.protocol.failedAnswer(query)) }
 
 // BadRequest implements state.Caller.
-func (sl *slot) BadRequest(body []byte) { sl.give(sl.c.speaks.unfit(sl, body)) }
+func (query *pendingQuery) BadRequest(body []byte) {
+	query.complete(query.client.protocol.badRequestAnswer(query, body))
+}
 
-// ClientConnected implements state.ClientChecker: the poller marks a connection that its client has closed, ahead of the loop.
-func (sl *slot) ClientConnected() bool {
-	return sl.c.phase != phaseClosed && (sl.c.quits || sl.c.conn.IsActive())
+// ClientConnected implements state.ClientChecker. The poller marks a connection that the client has closed before the
+// loop runs its callback.
+func (query *pendingQuery) ClientConnected() bool {
+	return query.client.phase != phaseClosed && (query.client.closing || query.client.conn.IsActive())
 }
 
-// give notes an answer and writes all that are next in order.
-func (sl *slot) give(answer []byte) {
-	c := sl.c
-	sl.done, sl.answer = true, answer
+// complete sets a query's answer and writes all answers that are next in order.
+func (query *pendingQuery) complete(answer []byte) {
+	c := query.client
+	query.answered, query.answer = true, answer
 	n, out := 0, []byte(nil)
 	last := false
-	for ; n < len(c.slots) && c.slots[n].done; n++ {
-		last = c.slots[n].last
+	for ; n < len(c.pending) && c.pending[n].answered; n++ {
+		last = c.pending[n].closesAfter
 		if out == nil {
-			out = c.slots[n].answer
+			out = c.pending[n].answer
 		} else {
-			out = append(out, c.slots[n].answer...)
+			out = append(out, c.pending[n].answer...)
 		}
 	}
 	if n == 0 {
 		return
 	}
-	held := len(c.slots) >= c.speaks.pipelines() || c.admin
-	c.slots = append(c.slots[:0], c.slots[n:]...)
+	held := len(c.pending) >= c.protocol.maxPending() || c.usesConsole
+	c.pending = append(c.pending[:0], c.pending[n:]...)
 	c.write(out)
 	if last {
-		c.s.deadlines.Set(&c.timer, c.s.clock.Now()+lingerFor, c.hangUp)
+		c.server.deadlines.Set(&c.timer, c.server.clock.Now()+finalAnswerDelay, c.closeNow)
 	}
-	if held { // queries may wait in the buffer for room
-		c.s.loop.Post(c.parse)
+	if held { // queries may be waiting in the buffer
+		c.server.loop.Post(c.parse)
 	}
-	if c.s.leaving() && len(c.slots) == 0 {
-		c.s.loop.Post(c.closeIdle)
+	if c.server.closesAfterAnswer() && len(c.pending) == 0 {
+		c.server.loop.Post(c.closeIdle)
 	}
-	c.settle()
+	c.updateIdleList()
 }
 
-// write sends bytes. The socket's buffer has room for several of the largest answers: only a client that has
-// stopped reading makes a write wait, and it is given up after writePatience.
+// write sends bytes. The socket's buffer has room for several of the largest answers: only a client that has stopped
+// reading makes a write wait, and its connection is closed after writeTimeout.
 func (c *client) write(b []byte) {
 	if c.phase == phaseClosed || len(b) == 0 {
 		return
 	}
 	if _, err := c.conn.Write(b); err != nil {
-		c.hangUp()
+		c.closeNow()
 	}
 }
 
-// leave gives the client a last word, behind the answers that are still due: what it asked before it broke the
-// protocol has been taken. The connection closes only once the client has had the time to read that.
-func (c *client) leave(why end, text string) {
-	if c.phase >= phaseLeaving {
+// closeWithError sends a final error after the answers that are still due: queries sent before the protocol violation
+// have been accepted. The connection is closed after finalAnswerDelay, so that the client has time to read the error.
+func (c *client) closeWithError(reason closeReason, text string) {
+	if c.phase >= phaseClosing {
 		return
 	}
-	c.phase = phaseLeaving
-	c.s.deadlines.Clear(&c.timer)
-	sl := &slot{c: c, last: true}
-	c.slots = append(c.slots, sl)
-	sl.give(c.speaks.fatal(why, text))
+	c.phase = phaseClosing
+	c.server.deadlines.Clear(&c.timer)
+	query := &pendingQuery{client: c, closesAfter: true}
+	c.pending = append(c.pending, query)
+	query.complete(c.protocol.fatalError(reason, text))
 }
 
-// closeIdle closes a connection that owes nothing.
+// closeIdle closes a connection to which no answer is due.
 func (c *client) closeIdle() {
-	if c.phase != phaseClosed && len(c.slots) == 0 && len(c.in.bytes) == 0 && c.conn.Reader().Len() == 0 {
-		c.close()
+	if c.phase != phaseClosed && len(c.pending) == 0 && len(c.input.bytes) == 0 && c.conn.Reader().Len() == 0 {
+		c.beginClose()
 	}
 }
 
-// close ends a connection that owes nothing, as far as the loop has heard; see quit.
-func (c *client) close() {
-	if c.phase != phaseClosed && !c.quits {
-		c.quits, c.had = true, len(c.in.bytes)
+// beginClose closes a connection to which no answer is due as far as the loop knows; finishClose checks that.
+func (c *client) beginClose() {
+	if c.phase != phaseClosed && !c.closing {
+		c.closing, c.bytesBeforeClose = true, len(c.input.bytes)
 		c.conn.Close()
 	}
 }
 
-func (c *client) abandon() {
-	for _, sl := range c.slots {
-		if sl.stream != nil {
-			sl.stream.Stop()
+func (c *client) abandonPending() {
+	for _, query := range c.pending {
+		if query.stream != nil {
+			query.stream.Stop()
 		}
-		if !sl.done && sl.id != 0 {
-			c.s.front.Abandon(sl.id)
+		if !query.answered && query.id != 0 {
+			c.server.engine.Abandon(query.id)
 		}
 	}
-	c.slots = nil
+	c.pending = nil
 }
 
-// hangUp closes the connection from this side, closed follows.
-func (c *client) hangUp() {
+// closeNow closes the connection from this side.
+func (c *client) closeNow() {
 	if c.phase == phaseClosed {
 		return
 	}
-	c.closed()
+	c.release()
 	c.conn.Close()
 }
 
-// closed forgets the connection; what it has asked is abandoned.
-func (c *client) closed() {
+// release frees the client's state after its connection has ended; its requests are abandoned.
+func (c *client) release() {
 	if c.phase == phaseClosed {
 		return
 	}
 	c.phase = phaseClosed
-	c.s.deadlines.Clear(&c.timer)
-	c.s.deadlines.Clear(&c.room)
-	c.abandon()
-	c.in.bytes = nil
-	c.speaks.gone(c)
-	c.account()
-	c.settle()
-	delete(c.s.clients, c)
-	if c.full {
-		c.s.excess--
+	c.server.deadlines.Clear(&c.timer)
+	c.server.deadlines.Clear(&c.consoleTimer)
+	c.abandonPending()
+	c.input.bytes = nil
+	c.protocol.connectionClosed(c)
+	c.updateBufferedBytes()
+	c.updateIdleList()
+	delete(c.server.clients, c)
+	if c.overLimit {
+		c.server.excess--
 	}
 }
--- a/internal/net/console.go
+++ b/internal/net/console.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// A table is no longer than this, and the next one is not made before the socket has all but the last of it: that
-	// much is what a reader who doesn't read can hold.
-	tableMost = 64 << 10
-	// An answer waits for a socket that still holds the last one; looked at so often,
-	roomStep = 20 * time.Millisecond
-	// and given up with its connection after this.
-	roomPatience = 3 * time.Second
+	// An answer is at most this long, and the next one is not built before the client's machine has acknowledged the
+	// last. This bounds what a client that does not read can make the proxy hold.
+	maxTableBytes = 64 << 10
+	// An answer waits until the socket has sent the last one; the socket is polled at this interval,
+	consolePollInterval = 20 * time.Millisecond
+	// and the connection is closed after this time.
+	consoleWriteTimeout = 3 * time.Second
 )
 
-// EnableConsole lets clients on loopback use the console, or no more. Those that are at it stay.
-func (s *Server) EnableConsole(on bool) { s.console = on }
+// EnableConsole lets clients on loopback use the console, or no longer; existing console sessions stay.
+func (s *Server) EnableConsole(enabled bool) { s.consoleEnabled = enabled }
 
 // Front implements console.Source.
-func (s *Server) Front() *state.Engine { return s.front }
+func (s *Server) Front() *state.Engine { return s.engine }
 
 // Tier implements console.Source.
 func (s *Server) Tier() (console.Tier, bool) {
@@ -37,21 +37,21 @@
 	return s.tier.Status(), true
 }
 
-// SetTier lets the console tell of the tier.
+// SetTier sets the planner link whose state the console shows.
 func (s *Server) SetTier(t *PlannerLink) { s.tier = t }
 
 // Clients implements console.Source.
-func (s *Server) Clients(most int) (list []console.Client, all int) {
+func (s *Server) Clients(limit int) (list []console.Client, all int) {
 	now := s.clock.Now()
 	for c := range s.clients {
-		if len(list) == most {
+		if len(list) == limit {
 			break
 		}
-		v := console.Client{Address: c.from, State: "busy", Pending: len(c.slots), PartialBytes: len(c.in.bytes)}
+		v := console.Client{Address: c.remoteAddress, State: "busy", Pending: len(c.pending), PartialBytes: len(c.input.bytes)}
 		switch {
-		case c.phase == phaseLeaving:
+		case c.phase == phaseClosing:
 			v.State = "leaving"
-		case c.admin:
+		case c.usesConsole:
 			v.State = "console"
 		case c.list == &s.silent:
 			v.State, v.InState = "silent", now-c.since
@@ -63,9 +63,9 @@
 	return list, len(s.clients)
 }
 
-// local tells whether the client's machine is this one.
-func (c *client) local() bool {
-	host, _, err := stdnet.SplitHostPort(c.from)
+// isLocal reports whether the client connects over loopback.
+func (c *client) isLocal() bool {
+	host, _, err := stdnet.SplitHostPort(c.remoteAddress)
 	if err != nil {
 		return false
 	}
@@ -73,39 +73,39 @@
 	return ip != nil && ip.IsLoopback()
 }
 
-// show answers a statement at the console, once the socket has room: a write must never make the loop wait.
-func (c *client) show(sl *slot, text string) {
-	if c.queued() > 0 {
-		until := c.s.clock.Now() + roomPatience
-		var look func()
-		look = func() {
+// answerConsole answers a console statement once the socket has room: a write must never block the loop.
+func (c *client) answerConsole(query *pendingQuery, text string) {
+	if c.unsentBytes() > 0 {
+		giveUpAt := c.server.clock.Now() + consoleWriteTimeout
+		var poll func()
+		poll = func() {
 			switch {
 			case c.phase == phaseClosed:
-			case c.queued() == 0:
-				c.answer(sl, text)
-			case c.s.clock.Now() >= until:
-				c.hangUp()
+			case c.unsentBytes() == 0:
+				c.executeConsole(query, text)
+			case c.server.clock.Now() >= giveUpAt:
+				c.closeNow()
 			default:
-				c.s.deadlines.Set(&c.room, c.s.clock.Now()+roomStep, look)
+				c.server.deadlines.Set(&c.consoleTimer, c.server.clock.Now()+consolePollInterval, poll)
 			}
 		}
-		look()
+		poll()
 		return
 	}
-	c.answer(sl, text)
+	c.executeConsole(query, text)
 }
 
-func (c *client) answer(sl *slot, text string) {
-	t, err := console.Execute(text, c.s)
+func (c *client) executeConsole(query *pendingQuery, text string) {
+	table, err := console.Execute(text, c.server)
 	if err != nil {
-		sl.give(pg.AppendError(nil, "42601", err.Error()))
+		query.complete(pg.AppendError(nil, "42601", err.Error()))
 		return
 	}
-	sl.give(pg.AppendTable(nil, t.Columns, t.Rows, "SHOW", tableMost))
+	query.complete(pg.AppendTable(nil, table.Columns, table.Rows, "SHOW", maxTableBytes))
 }
 
-// queued tells how much the kernel holds that the client's machine has not taken yet.
-func (c *client) queued() int {
+// unsentBytes returns how many bytes the kernel holds that the client's machine has not acknowledged yet.
+func (c *client) unsentBytes() int {
 	conn, ok := c.conn.(netpoll.Conn)
 	if !ok {
 		return 0
--- a/internal/net/consul.go
+++ b/internal/net/consul.go
@@ -16,11 +16,11 @@
 	"havenproxy/internal/wire/consul"
 )
 
-// ConsulConfig says what is watched, and how.
+// ConsulConfig configures which Consul services are watched, and how.
 type ConsulConfig struct {
-	Agents      []string // base URLs, such as http://127.0.0.1:8500; the next one is asked where one fails
+	Agents      []string // base URLs, such as http://127.0.0.1:8500; after an error the next one is used
 	Services    []ConsulService
-	Token       string   // an ACL token, sent by header and never logged
+	Token       string   // an ACL token, sent as a header and never logged
 	Datacenters []string // empty = the agent's own
 	Filter      string
 	Consistency consul.Consistency
@@ -36,27 +36,28 @@
 	consul.Mapping
 }
 
-// CatalogueReceiver is where a catalogue's word goes; its methods are called on the loop.
+// CatalogueReceiver receives the results of a catalogue watch; its methods are called on the loop.
 type CatalogueReceiver interface {
 	UpdateCatalogue(source string, n membership.Update)
 	CatalogueFailed(source string, why error)
 }
 
-// Consul watches services in Consul. It is no part of a request's way, so it stands beside the loop: a goroutine a service and data
-// centre, each with one blocking query under way, by net/http, which brings TLS and keeps connections. What it learns is posted.
+// Consul watches services in Consul. It is not on the request path and so runs outside the loop: one goroutine for
+// each service and data centre, with one blocking query at a time, through net/http, which provides TLS and
+// connection reuse. Results are posted to the loop.
 type Consul struct {
-	cfg    ConsulConfig
-	loop   *Loop
-	to     CatalogueReceiver
-	client *http.Client
-	stop   context.CancelFunc
-	done   sync.WaitGroup
+	config   ConsulConfig
+	loop     *Loop
+	receiver CatalogueReceiver
+	client   *http.Client
+	stop     context.CancelFunc
+	watchers sync.WaitGroup
 }
 
-const consulAnswer = 10 * time.Second // for an answer's head behind its wait, and for its body
+const consulAnswerTimeout = 10 * time.Second // for the head of an answer after its blocking wait, and for its body
 
-// NewConsul begins to watch.
-func NewConsul(loop *Loop, to CatalogueReceiver, cfg ConsulConfig) *Consul {
+// NewConsul starts the watches.
+func NewConsul(loop *Loop, receiver CatalogueReceiver, cfg ConsulConfig) *Consul {
 	if cfg.Wait == 0 {
 		cfg.Wait = 30 * time.Second
 	}
@@ -64,22 +65,22 @@
 		cfg.Datacenters = []string{""}
 	}
 	transport := &http.Transport{TLSClientConfig: cfg.TLS, MaxIdleConnsPerHost: 1, DisableCompression: true, ForceAttemptHTTP2: false,
-		Proxy: nil} // never by way of a proxy that the environment names
-	c := &Consul{cfg: cfg, loop: loop, to: to, client: &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error {
-		return errors.New("an agent redirects: the token stays here")
+		Proxy: nil} // never through a proxy named in the environment
+	c := &Consul{config: cfg, loop: loop, receiver: receiver, client: &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error {
+		return errors.New("the agent redirects; not followed, to protect the token")
 	}}}
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
 	for i, s := range cfg.Services {
 		for k, dc := range cfg.Datacenters {
 			rng := rand.New(rand.NewPCG(cfg.Seed, uint64(i)<<32|uint64(k)))
-			c.done.Go(func() { c.watch(ctx, s, dc, rng) })
+			c.watchers.Go(func() { c.watch(ctx, s, dc, rng) })
 		}
 	}
 	return c
 }
 
-// SourceNames names what the catalogue is known by to the membership: one for each service and data centre.
+// SourceNames returns the names under which membership knows the catalogues: one for each service and data centre.
 func (c *ConsulConfig) SourceNames() (out []string) {
 	for _, s := range c.Services {
 		if len(c.Datacenters) == 0 {
@@ -99,32 +100,33 @@
 	return "consul:" + service + "@" + dc
 }
 
-// Stop ends the watch and waits for its goroutines; what they have still posted may come behind it.
+// Stop ends the watches and waits for their goroutines; results that they have already posted may still be delivered
+// afterwards.
 func (c *Consul) Stop() {
 	c.stop()
-	c.done.Wait()
+	c.watchers.Wait()
 	c.client.CloseIdleConnections()
 }
 
 func (c *Consul) watch(ctx context.Context, s ConsulService, dc string, rng *rand.Rand) {
-	pace := consul.Pace{Agents: len(c.cfg.Agents), Rand: rng}
+	pace := consul.Pace{Agents: len(c.config.Agents), Rand: rng}
 	name := sourceName(s.Name, dc)
 	var last uint64
 	for ctx.Err() == nil {
-		q := consul.Query{Service: s.Name, Datacenter: dc, Filter: c.cfg.Filter, Consistency: c.cfg.Consistency, Index: pace.Index(), Wait: c.cfg.Wait}
+		q := consul.Query{Service: s.Name, Datacenter: dc, Filter: c.config.Filter, Consistency: c.config.Consistency, Index: pace.Index(), Wait: c.config.Wait}
 		began := time.Now()
-		n, err := c.ask(ctx, pace.Agent(), &q, &s.Mapping)
+		n, err := c.fetch(ctx, pace.Agent(), &q, &s.Mapping)
 		if ctx.Err() != nil {
 			return
 		}
 		var pause time.Duration
 		if err != nil {
 			pause = pace.Failed()
-			c.loop.Post(func() { c.to.CatalogueFailed(name, err) })
+			c.loop.Post(func() { c.receiver.CatalogueFailed(name, err) })
 		} else {
 			pause = pace.Answered(time.Since(began), n.Index, n.Index != last)
 			last = n.Index
-			c.loop.Post(func() { c.to.UpdateCatalogue(name, n) })
+			c.loop.Post(func() { c.receiver.UpdateCatalogue(name, n) })
 		}
 		select {
 		case <-ctx.Done():
@@ -133,20 +135,20 @@
 	}
 }
 
-// ask makes one call. Nothing of an answer counts that is not whole.
-func (c *Consul) ask(ctx context.Context, agent int, q *consul.Query, m *consul.Mapping) (n membership.Update, err error) {
-	patience := consulAnswer
+// fetch makes one call. An incomplete answer is discarded as a whole.
+func (c *Consul) fetch(ctx context.Context, agent int, q *consul.Query, m *consul.Mapping) (n membership.Update, err error) {
+	timeout := consulAnswerTimeout
 	if q.Index > 0 {
-		patience += q.Wait + q.Wait/16 // the servers add up to a sixteenth
+		timeout += q.Wait + q.Wait/16 // the servers add up to a sixteenth
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimSuffix(c.cfg.Agents[agent], "/")+q.Path(), nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimSuffix(c.config.Agents[agent], "/")+q.Path(), nil)
 	if err != nil {
 		return n, err
 	}
-	if c.cfg.Token != "" {
-		r.Header.Set("X-Consul-Token", c.cfg.Token)
+	if c.config.Token != "" {
+		r.Header.Set("X-Consul-Token", c.config.Token)
 	}
 	answer, err := c.client.Do(r)
 	if err != nil {
@@ -163,7 +165,7 @@
 	}
 	n = membership.Update{Complete: true, Index: meta.Index, Lag: meta.LastContact, NoLeader: meta.NoLeader}
 	mapping := m.WithDefaults()
-	err = consul.Decode(answer.Body, c.cfg.Limits, func(i *consul.Instance) {
+	err = consul.Decode(answer.Body, c.config.Limits, func(i *consul.Instance) {
 		f, err := mapping.Fact(i)
 		if err != nil {
 			n.Skipped++
--- a/internal/net/crossing_test.go
+++ b/internal/net/crossing_test.go
@@ -73,8 +73,8 @@
 // client sees the end without an answer. Without the wait for the poller two in a hundred were read before and not answered: what was acknowledged
 // and got no answer is then more than what was read behind shutdowns.
 func TestNoQueryIsReadAndDropped(t *testing.T) {
-	s, front, loop := proxy(t, member(t, echo), 8, 1)
-	s.lingerMost = patience // the client ends first, also on a machine that stands still
+	s, engine, loop := proxy(t, member(t, echo), 8, 1)
+	s.maxLinger = patience // the client ends first, also on a machine that stands still
 	first, second := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("1a")), pg.AppendQuery(nil, query("2b"))
 	answered, unanswered := 0, 0
 	for i := range 2000 {
@@ -108,7 +108,7 @@
 	for s.open.Load() > 0 { // ends by the test's own time limit where one is never counted off
 		time.Sleep(time.Millisecond)
 	}
-	counters := onLoop(loop, func() state.Counters { return front.Counters })
+	counters := onLoop(loop, func() state.Counters { return engine.Counters })
 	n, all := int(counters.DiscardedBytes), counters.Received
 	if n%len(second) != 0 || n < unanswered*len(second) || answered == 0 || all != uint64(2000+answered) {
 		t.Errorf("%d answered, %d without an answer of %d bytes; %d bytes read behind shutdowns; %d requests taken", answered, unanswered, len(second), n, all)
@@ -118,8 +118,8 @@
 // A connection is closed in two steps: what its client writes behind the shutdown does not reset it, and is not acted on. It ends with the
 // client's end, or by itself where that does not come.
 func TestAShutConnectionIsReadToItsEnd(t *testing.T) {
-	s, front, loop := proxy(t, member(t, echo), 8, 1)
-	s.lingerMost = patience
+	s, engine, loop := proxy(t, member(t, echo), 8, 1)
+	s.maxLinger = patience
 	for _, leaves := range []bool{true, false} {
 		p := dial(t, s)
 		p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("1a")))
@@ -136,7 +136,7 @@
 		if types, _ := p.said(1); types != "!" { // an end of file, and no reset: p.said tells that as "!" too
 			t.Fatalf("behind the shutdown came %q", types)
 		}
-		until(loop, func() bool { return front.Counters.DiscardedBytes > 0 }) // the query is read to nobody
+		until(loop, func() bool { return engine.Counters.DiscardedBytes > 0 }) // the query is read to nobody
 		if _, err := p.conn.Write([]byte{0}); err != nil {
 			t.Errorf("the connection was reset: %v", err)
 		}
@@ -146,9 +146,9 @@
 			skip(s, patience)
 		}
 		until(loop, func() bool { return s.lingering == 0 })
-		loop.Post(func() { front.Counters.DiscardedBytes = 0 })
+		loop.Post(func() { engine.Counters.DiscardedBytes = 0 })
 	}
-	if n := onLoop(loop, func() uint64 { return front.Counters.Received }); n != 2 {
+	if n := onLoop(loop, func() uint64 { return engine.Counters.Received }); n != 2 {
 		t.Errorf("%d requests taken, 2 were sent before their connections were shut", n)
 	}
 }
--- a/internal/net/database.go
+++ b/internal/net/database.go
@@ -9,164 +9,164 @@
 	"havenproxy/logic"
 )
 
-// The names under which the proxy enters databases.
+// The user and database names with which the proxy logs in to databases.
 const (
-	databaseUser = "client"
-	databaseName = "core"
-	loadQuery    = "SHOW load"
+	defaultDatabaseUser = "client"
+	databaseName        = "core"
+	loadQuery           = "SHOW load"
 )
 
-var errNoRow = errors.New("an answer without its one row")
+var errMissingRow = errors.New("answer has no row")
 
 // Databases opens connections to databases. It implements state.Opener.
 type Databases struct {
 	Loop           *Loop
 	ConnectTimeout time.Duration
-	// MySQL tells whether a group's databases speak MySQL; nil = none does. They are entered by this user.
+	// MySQL reports whether a group's databases speak MySQL; nil = none does. The proxy logs in to them as MySQLUser.
 	MySQL         func(group int) bool
 	MySQLUser     string
 	MySQLPassword string
 
 	Counters *state.Counters
 
-	piece   [32 << 10]byte // of a long value on its way
-	toldAt  time.Duration  // when spoilt bytes were last logged
-	givenUp int            // dials whose connection nobody waits for any more
+	readBuffer            [32 << 10]byte // for a long value that is streamed
+	protocolErrorLoggedAt time.Duration  // when protocol errors were last logged
+	abandonedDials        int            // dials that are still running after their connection was closed
 }
 
 // AbandonedDials implements state.Opener.
-func (d *Databases) AbandonedDials() int { return d.givenUp }
+func (d *Databases) AbandonedDials() int { return d.abandonedDials }
 
 // database is a connection to a PostgreSQL database.
 type database struct {
-	link
-	reply pg.Reply
-	up    bool
+	databaseLink
+	reply     pg.Reply
+	sessionUp bool
 
-	streams *stream // what passes on a long value, once the connection is its
+	stream *valueStream // streams a long value, once it has taken over the connection
 }
 
-// Open implements state.Opener. Only the connecting itself waits, and it does so beside the loop.
+// Open implements state.Opener. Only the dial blocks, and it runs outside the loop.
 func (d *Databases) Open(address string, group int, to state.Listener) state.Conn {
 	if d.MySQL != nil && d.MySQL(group) {
 		return d.openMySQL(address, to)
 	}
 	db := &database{}
-	db.link.open(d, address, to, db)
+	db.databaseLink.open(d, address, to, db)
 	return db
 }
 
-// start implements talker: the client speaks first.
+// start implements databaseProtocol: in this protocol the client speaks first.
 func (db *database) start() error {
-	return db.write(pg.AppendStartup(nil, databaseUser, databaseName))
+	return db.write(pg.AppendStartup(nil, defaultDatabaseUser, databaseName))
 }
 
 // Send implements state.Conn.
 func (db *database) Send(cmd state.Command, wait time.Duration) error {
-	if _, ours := cmd.(*pg.Statement); !ours { // a MySQL client asked for a group of PostgreSQL's
-		db.misfit()
+	if _, ours := cmd.(*pg.Statement); !ours { // a MySQL client addressed a PostgreSQL group
+		db.rejectCommand()
 		return nil
 	}
 	db.reply.Reset()
-	db.owes, db.probing = true, false
-	return db.writeOut(cmd.AppendTo(db.out[:0], wait))
+	db.awaitingAnswer, db.probing = true, false
+	return db.writeBuffered(cmd.AppendTo(db.out[:0], wait))
 }
 
 // Probe implements state.Conn.
 func (db *database) Probe() error {
 	db.reply.Reset()
-	db.owes, db.probing = true, true
+	db.awaitingAnswer, db.probing = true, true
 	return db.write(pg.AppendQuery(nil, loadQuery))
 }
 
-// take implements talker.
-func (db *database) take(buf []byte) (n int, whole bool, err error) {
-	if row, long := pg.NextLongRow(buf); long && db.owes && !db.probing && db.reply.Long() {
-		return 0, false, db.hand(row)
+// parseNext implements databaseProtocol.
+func (db *database) parseNext(buf []byte) (n int, whole bool, err error) {
+	if row, long := pg.NextLongRow(buf); long && db.awaitingAnswer && !db.probing && db.reply.Long() {
+		return 0, false, db.startStream(row)
 	}
 	m, n, err := pg.Next(buf)
 	if n == 0 || err != nil {
 		return 0, false, err
 	}
-	if !db.owes {
-		return n, false, errUnasked
+	if !db.awaitingAnswer {
+		return n, false, errUnexpectedAnswer
 	}
 	err = db.reply.Add(m)
 	return n, db.reply.Ready(), err
 }
 
-// ready implements talker.
-func (db *database) ready() bool { return db.up }
+// ready implements databaseProtocol.
+func (db *database) ready() bool { return db.sessionUp }
 
-// ended implements talker: a fatal error needs nothing behind it.
-func (db *database) ended(err error) (state.Reply, bool) {
-	if err != nil || !db.owes || db.reply.Code == "" {
+// replyAtEnd implements databaseProtocol: a fatal error is complete without further messages.
+func (db *database) replyAtEnd(err error) (state.Reply, bool) {
+	if err != nil || !db.awaitingAnswer || db.reply.Code == "" {
 		return state.Reply{}, false
 	}
 	return db.outcome(), true
 }
 
-// answered implements talker; the first answer ends the start of the session.
-func (db *database) answered() {
-	db.owes = false
-	if !db.up && db.reply.Code == "" {
-		db.up = true
+// answerComplete implements databaseProtocol; the first answer completes the session start.
+func (db *database) answerComplete() {
+	db.awaitingAnswer = false
+	if !db.sessionUp && db.reply.Code == "" {
+		db.sessionUp = true
 		db.reply.Reset()
-		db.to.Up()
+		db.listener.Up()
 		return
 	}
-	r := db.outcome()
-	if r.Result == logic.OK && !db.reply.Served() {
-		db.spoilt(errNoRow)
+	reply := db.outcome()
+	if reply.Result == logic.OK && !db.reply.Served() {
+		db.protocolError(errMissingRow)
 		return
 	}
-	db.to.Reply(r)
+	db.listener.Reply(reply)
 }
 
-// handing implements talker.
-func (db *database) handing() bool { return db.streams != nil }
+// detaching implements databaseProtocol.
+func (db *database) detaching() bool { return db.stream != nil }
 
 // Close implements state.Conn.
 func (db *database) Close() {
-	if db.streams != nil {
+	if db.stream != nil {
 		db.closed = true
-		db.streams.Stop()
+		db.stream.Stop()
 		return
 	}
-	db.link.Close()
+	db.databaseLink.Close()
 }
 
-// outcome puts an answer into the terms of the decisions.
+// outcome converts an answer to a state.Reply.
 func (db *database) outcome() state.Reply {
-	r := state.Reply{Result: logic.Failed, Body: db.reply.Body, Position: db.reply.Position, Role: roleOf(db.reply.Role)}
+	reply := state.Reply{Result: logic.Failed, Body: db.reply.Body, Position: db.reply.Position, Role: parseRole(db.reply.Role)}
 	switch db.reply.Code {
 	case "":
-		r.Result = logic.OK
+		reply.Result = logic.OK
 	case pg.CodeReadOnly, pg.CodeTooFarBack:
-		r.Result = logic.Misdirected
+		reply.Result = logic.Misdirected
 	case pg.CodeTooMany, pg.CodeNotNow:
-		r.Result = logic.Rejected
+		reply.Result = logic.Rejected
 	default:
-		r.BadRequest = pg.Unfit(db.reply.Code)
+		reply.BadRequest = pg.Unfit(db.reply.Code)
 	}
 	report := db.reply.Load
-	if db.probing && r.Result == logic.OK {
+	if db.probing && reply.Result == logic.OK {
 		report = db.reply.Row()
 	}
-	r.Load = loadOf(report)
-	return r
+	reply.Load = parseLoad(report)
+	return reply
 }
 
-// loadOf reads a load report.
-func loadOf(report string) state.Load {
-	l := pg.ParseReport(report)
-	if !l.Told {
+// parseLoad parses a load report.
+func parseLoad(report string) state.Load {
+	parsed := pg.ParseReport(report)
+	if !parsed.Told {
 		return state.Load{}
 	}
-	return state.Load{Known: true, Role: roleOf(l.Role), Position: l.Position, Queue: l.Queue}
+	return state.Load{Known: true, Role: parseRole(parsed.Role), Position: parsed.Position, Queue: parsed.Queue}
 }
 
-func roleOf(name string) logic.Role {
+func parseRole(name string) logic.Role {
 	switch name {
 	case pg.RolePrimary:
 		return logic.RolePrimary
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -18,202 +18,204 @@
 const (
 	dialTimeout = time.Second
 
-	minPeriod = 100 * time.Millisecond // of calls; a watch ends where the next one is over 200 ms late
+	minCallInterval = 100 * time.Millisecond // between calls; the service ends a watch if the next call comes over 200 ms late
 
-	// A body of more bytes is read beside the loop, with pauses: a list of thousands would hold it up.
-	longBody  = 16 << 10
-	bodyPause = 200 * time.Microsecond
+	// Longer bodies are parsed outside the loop, with pauses: a list of thousands would hold the loop up.
+	longBodyBytes = 16 << 10
+	parsePause    = 200 * time.Microsecond
 )
 
-// Discovery asks for the list of databases. It implements state.Watcher.
+// Discovery fetches and watches the list of databases. It implements state.Watcher.
 type Discovery struct {
 	loop      *Loop
 	clock     state.Clock
 	deadlines *state.Deadlines
-	front     *state.Engine
+	engine    *state.Engine
 	address   string
-	times     limit.CallSchedule // how long calls may take
+	schedule  limit.CallSchedule // the timeouts of calls
 	dial      func(address string, then func(netpoll.Connection, error))
 
-	conn       netpoll.Connection
-	in         buffer
-	parser     discovery.Parser
-	out        []byte
-	calling    bool
-	reading    bool // a long list is read beside the loop
-	readings   int  // counts those; the outcome of an earlier one is void
-	watching   bool
-	calledAt   time.Duration
-	first      bool // the call in hand is the first of its watch
-	generation int64
-	timer      state.Deadline
-	turn       int // counts connections; what an earlier one still has to say is void
+	conn            netpoll.Connection
+	input           buffer
+	parser          discovery.Parser
+	out             []byte
+	calling         bool
+	parsing         bool // a long list is being parsed outside the loop
+	parseCount      int  // number of parses started; the result of an earlier one is ignored
+	watching        bool
+	calledAt        time.Duration
+	firstCall       bool // the current call is the first of its watch
+	generation      int64
+	timer           state.Deadline
+	connectionCount int // number of connections made and ended; events of earlier connections are ignored
 }
 
-// NewDiscovery makes the client; generation is that of the list in hand, bound by when a change has to be known here, as
-// logic.Config.ListMaxDelay has it.
-func NewDiscovery(loop *Loop, clock state.Clock, front *state.Engine, address string, generation int64, bound time.Duration) *Discovery {
-	return &Discovery{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front, address: address,
-		generation: generation, times: limit.CallSchedule{PropagationBound: bound},
-		dial: func(address string, then func(netpoll.Connection, error)) { connect(loop, address, dialTimeout, then) }}
+// NewDiscovery returns a client of the discovery service. generation is that of the list already known; maxDelay is
+// the time within which a change has to be known here, as in logic.Config.ListMaxDelay.
+func NewDiscovery(loop *Loop, clock state.Clock, engine *state.Engine, address string, generation int64, maxDelay time.Duration) *Discovery {
+	return &Discovery{loop: loop, clock: clock, deadlines: &engine.Deadlines, engine: engine, address: address,
+		generation: generation, schedule: limit.CallSchedule{PropagationBound: maxDelay},
+		dial: func(address string, callback func(netpoll.Connection, error)) {
+			dialAsync(loop, address, dialTimeout, callback)
+		}}
 }
 
 // Watch implements state.Watcher.
-func (d *Discovery) Watch(on bool) {
-	d.watching = on
-	if on {
-		d.begin()
+func (d *Discovery) Watch(enabled bool) {
+	d.watching = enabled
+	if enabled {
+		d.startCall()
 	}
 }
 
 // Fetch implements state.Watcher.
 func (d *Discovery) Fetch() {
 	d.generation = discovery.NoList
-	d.begin()
+	d.startCall()
 }
 
-// SetAddress goes on at another address, at once: the service at the old one may end any time. The whole list comes
-// first, for generations there need not be those of the old one.
+// SetAddress switches to a service at another address at once, because the service at the old one may end at any
+// time. The whole list is fetched first: the generations of the two services are unrelated.
 func (d *Discovery) SetAddress(address string) {
-	d.hangUp()
+	d.abortCall()
 	d.address, d.watching = address, true
 	d.Fetch()
 }
 
-// begin starts with a call that is answered at once. One that is under way gives way to it.
-func (d *Discovery) begin() {
-	if d.calling || d.reading {
-		d.hangUp()
+// startCall starts a watch with a call that is answered at once. It replaces a call that is under way.
+func (d *Discovery) startCall() {
+	if d.calling || d.parsing {
+		d.abortCall()
 	}
-	d.first = true
+	d.firstCall = true
 	d.deadlines.Clear(&d.timer)
 	d.call()
 }
 
 func (d *Discovery) call() {
 	d.calling, d.calledAt = true, d.clock.Now()
-	wait, patient := d.times.WatchTimeouts()
-	if d.first {
-		wait, patient = d.times.FirstCallTimeouts()
+	wait, timeout := d.schedule.WatchTimeouts()
+	if d.firstCall {
+		wait, timeout = d.schedule.FirstCallTimeouts()
 	}
 	d.out = discovery.AppendRequest(d.out[:0], d.address, d.generation, wait)
-	d.deadlines.Set(&d.timer, d.clock.Now()+patient, func() { d.failed(errors.New("no answer in time")) })
+	d.deadlines.Set(&d.timer, d.clock.Now()+timeout, func() { d.fail(errors.New("no answer within the timeout")) })
 	if d.conn != nil {
 		d.send()
 		return
 	}
-	d.turn++
-	turn := d.turn
+	d.connectionCount++
+	turn := d.connectionCount
 	d.dial(d.address, func(conn netpoll.Connection, err error) { d.connected(turn, conn, err) })
 }
 
 func (d *Discovery) connected(turn int, conn netpoll.Connection, err error) {
 	switch {
-	case turn != d.turn:
+	case turn != d.connectionCount:
 		if err == nil {
 			conn.Close()
 		}
 		return
 	case err != nil:
-		d.failed(err)
+		d.fail(err)
 		return
 	}
 	d.conn = conn
-	attach(d.loop, conn, func() { d.readable(turn) }, func() { d.lost(turn) })
+	attachCallbacks(d.loop, conn, func() { d.handleInput(turn) }, func() { d.connectionLost(turn) })
 	d.send()
 }
 
 func (d *Discovery) send() {
 	if _, err := d.conn.Write(d.out); err != nil {
-		turn := d.turn
-		d.loop.Post(func() { // never from within the router's call
-			if turn == d.turn {
-				d.failed(err)
+		turn := d.connectionCount
+		d.loop.Post(func() { // not directly: the engine may be in the middle of its own call
+			if turn == d.connectionCount {
+				d.fail(err)
 			}
 		})
 	}
 }
 
-func (d *Discovery) readable(turn int) {
-	if turn != d.turn {
+func (d *Discovery) handleInput(turn int) {
+	if turn != d.connectionCount {
 		return
 	}
-	if err := d.in.fill(d.conn.Reader()); err != nil {
-		d.failed(err)
+	if err := d.input.fill(d.conn.Reader()); err != nil {
+		d.fail(err)
 		return
 	}
-	r, n, err := d.parser.Next(d.in.bytes)
+	r, n, err := d.parser.Next(d.input.bytes)
 	switch {
 	case err != nil:
-		d.failed(err)
+		d.fail(err)
 	case n > 0 && !d.calling:
-		d.failed(errors.New("an answer without a call"))
+		d.fail(errors.New("answer without a call"))
 	case n > 0:
-		d.answered(r, n)
+		d.handleResponse(r, n)
 	}
 }
 
-// answered takes a whole answer of n bytes. A long list is read beside the loop.
-func (d *Discovery) answered(r discovery.Response, n int) {
+// handleResponse handles a complete response of n bytes. A long list is parsed outside the loop.
+func (d *Discovery) handleResponse(r discovery.Response, n int) {
 	if r.Status != 200 {
-		d.failed(fmt.Errorf("status %d", r.Status))
+		d.fail(fmt.Errorf("status %d", r.Status))
 		return
 	}
-	if len(r.Body) <= longBody {
+	if len(r.Body) <= longBodyBytes {
 		l, err := discovery.ParseList(r.Body)
-		d.in.cut(n)
-		d.take(l, err, r.Close)
+		d.input.discard(n)
+		d.applyList(l, err, r.Close)
 		return
 	}
 	body := bytes.Clone(r.Body)
-	d.in.cut(n)
+	d.input.discard(n)
 	d.deadlines.Clear(&d.timer)
-	d.calling, d.reading = false, true
+	d.calling, d.parsing = false, true
 	if r.Close {
 		d.disconnect()
 	}
-	d.readings++
-	reading := d.readings
+	d.parseCount++
+	reading := d.parseCount
 	go func() {
-		l, err := discovery.ParseListInSteps(body, func() { time.Sleep(bodyPause) })
+		l, err := discovery.ParseListInSteps(body, func() { time.Sleep(parsePause) })
 		d.loop.Post(func() {
-			if d.reading && reading == d.readings {
-				d.take(l, err, false)
+			if d.parsing && reading == d.parseCount {
+				d.applyList(l, err, false)
 			}
 		})
 	}()
 }
 
-// take puts a list into effect, and goes on with the watch.
-func (d *Discovery) take(l discovery.List, err error, closes bool) {
+// applyList puts a list into effect and continues the watch.
+func (d *Discovery) applyList(list discovery.List, err error, closeAfter bool) {
 	if err != nil {
-		d.failed(err)
+		d.fail(err)
 		return
 	}
 	d.deadlines.Clear(&d.timer)
-	d.calling, d.reading = false, false
-	if closes {
+	d.calling, d.parsing = false, false
+	if closeAfter {
 		d.disconnect()
 	}
-	// A list older than the one in hand would undo drains that are known. The service may as well count anew: then its whole list, asked for
-	// without a generation, is the one that counts.
-	older := d.generation != discovery.NoList && l.Generation < d.generation
-	if d.first = older; older {
-		slog.Warn("discovery tells an older list than the one in hand; the whole list is asked for", "generation", l.Generation, "in_hand", d.generation)
-		l.Generation = discovery.NoList
+	// A list older than the known one would undo drains. But the service may also have restarted its generations:
+	// then its whole list, requested without a generation, is authoritative.
+	older := d.generation != discovery.NoList && list.Generation < d.generation
+	if d.firstCall = older; older {
+		slog.Warn("discovery returned an older list than the current one; fetching the whole list", "generation", list.Generation, "in_hand", d.generation)
+		list.Generation = discovery.NoList
 	}
-	d.generation = l.Generation
+	d.generation = list.Generation
 	if d.watching {
-		// The watch goes on if the next call follows closely. A service that answers at once all the same must
-		// not be called in a tight loop: it serves all proxies, one call after the other.
-		d.deadlines.Set(&d.timer, max(d.calledAt+minPeriod, d.clock.Now()), d.call)
+		// The watch continues if the next call follows soon. A service that answers at once must still not be called
+		// in a tight loop: it serves all proxies, one call after the other.
+		d.deadlines.Set(&d.timer, max(d.calledAt+minCallInterval, d.clock.Now()), d.call)
 	}
 	if !older {
-		d.front.UpdateList(ConvertList(l))
+		d.engine.UpdateList(ConvertList(list))
 	}
 }
 
-// ConvertList puts a list into the terms of the state.
+// ConvertList converts a list of the discovery service to a state.List.
 func ConvertList(l discovery.List) state.List {
 	out := state.List{Kind: logic.ListDelta}
 	if l.Whole {
@@ -233,38 +235,38 @@
 	return out
 }
 
-// lost notes that the service has closed the connection. Between two calls it may do so; the next one opens
-// another, and the watch goes on.
-func (d *Discovery) lost(turn int) {
+// connectionLost handles a connection that the service has closed. It may do so between two calls; the next call
+// opens another one, and the watch continues.
+func (d *Discovery) connectionLost(turn int) {
 	switch {
-	case turn != d.turn:
+	case turn != d.connectionCount:
 	case d.calling:
-		d.failed(errors.New("connection lost"))
+		d.fail(errors.New("connection lost"))
 	default:
 		d.disconnect()
 	}
 }
 
-// failed ends a watch; the router asks again when it sees fit.
-func (d *Discovery) failed(err error) {
-	was := d.calling || d.reading || d.watching
+// fail ends a watch with an error; the engine decides when to ask again.
+func (d *Discovery) fail(err error) {
+	active := d.calling || d.parsing || d.watching
 	d.watching = false
-	d.hangUp()
-	if was {
-		d.front.ListFailed(err)
+	d.abortCall()
+	if active {
+		d.engine.ListFailed(err)
 	}
 }
 
-func (d *Discovery) hangUp() {
-	d.calling, d.reading = false, false
+func (d *Discovery) abortCall() {
+	d.calling, d.parsing = false, false
 	d.deadlines.Clear(&d.timer)
 	d.disconnect()
 }
 
 func (d *Discovery) disconnect() {
-	d.in.cut(len(d.in.bytes))
+	d.input.discard(len(d.input.bytes))
 	d.parser = discovery.Parser{}
-	d.turn++
+	d.connectionCount++
 	if d.conn != nil {
 		conn := d.conn
 		d.conn = nil
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -284,7 +284,7 @@
 					changed-start, from-start, by-start)
 			}
 			for i := 1; i < len(s.calls); i++ {
-				if i > 1 && s.calls[i]-s.calls[i-2] < minPeriod {
+				if i > 1 && s.calls[i]-s.calls[i-2] < minCallInterval {
 					t.Fatalf("bound %v, seed %d: three calls within %v", bound, seed, s.calls[i]-s.calls[i-2])
 				}
 			}
@@ -340,7 +340,7 @@
 		t.Errorf("an older list was taken: the database is %s", s.listedAs("m"))
 	}
 	s.gen, s.gone = 1, []string{"n"} // it does count anew
-	s.run(s.clock.now + 5*minPeriod)
+	s.run(s.clock.now + 5*minCallInterval)
 	if len(s.calls) <= asked || s.listedAs("n") != "draining" {
 		t.Errorf("%d calls behind the older list, the new database is %s", len(s.calls)-asked, s.listedAs("n"))
 	}
--- a/internal/net/ending_test.go
+++ b/internal/net/ending_test.go
@@ -55,7 +55,7 @@
 // A query and its client's end come while the loop is elsewhere: both stand in its queue, the query first. It is not sent to anybody.
 func TestAQueryWhoseClientHasLeftIsNotSent(t *testing.T) {
 	var db counted
-	s, front, loop := proxy(t, db.serve(t, echo), 8, 1)
+	s, engine, loop := proxy(t, db.serve(t, echo), 8, 1)
 	p := dial(t, s)
 	p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("1a")))
 	p.said(len(welcome) + 3)
@@ -73,11 +73,11 @@
 	for c.conn.IsActive() { // and seen the end
 	}
 	letGo()
-	until(loop, func() bool { return front.Counters.Abandoned == 1 })
-	if n := onLoop(loop, func() uint64 { return front.Counters.Written }); n != 1 || db.queries.Load() != 1 {
+	until(loop, func() bool { return engine.Counters.Abandoned == 1 })
+	if n := onLoop(loop, func() uint64 { return engine.Counters.Written }); n != 1 || db.queries.Load() != 1 {
 		t.Errorf("%d attempts were written, %d came", n, db.queries.Load())
 	}
-	until(loop, func() bool { return front.OutstandingAnswers() == 0 && front.Pending() == 0 })
+	until(loop, func() bool { return engine.OutstandingAnswers() == 0 && engine.Pending() == 0 })
 }
 
 // Hundreds of clients whose requests wait for a connection leave at once: none of the requests goes out when connections come up, and all
@@ -100,14 +100,14 @@
 		})
 		cfg := settings
 		cfg.EnableCancel = cancel
-		s, front, loop := proxyWith(t, cfg, database, 400, 1)
+		s, engine, loop := proxyWith(t, cfg, database, 400, 1)
 		var clients []*peer
 		for range 300 {
 			p := dial(t, s)
 			p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query(string(rune('a'+len(clients)%26))+strings.Repeat("0", len(clients)/26))))
 			clients = append(clients, p)
 		}
-		until(loop, func() bool { return front.Counters.Received == 300 })
+		until(loop, func() bool { return engine.Counters.Received == 300 })
 		letGo := hold(loop)
 		for _, p := range clients {
 			p.conn.Close()
@@ -118,12 +118,12 @@
 		}
 		close(come)
 		letGo()
-		until(loop, func() bool { return len(s.clients) == 0 && front.OutstandingAnswers() == 0 && front.Pending() == 0 })
-		if n := onLoop(loop, func() uint64 { return front.Counters.Written }); n != 0 || queries.Load() != 0 {
+		until(loop, func() bool { return len(s.clients) == 0 && engine.OutstandingAnswers() == 0 && engine.Pending() == 0 })
+		if n := onLoop(loop, func() uint64 { return engine.Counters.Written }); n != 0 || queries.Load() != 0 {
 			t.Errorf("cancel %v: %d attempts were written, %d came", cancel, n, queries.Load())
 		}
 		if n := onLoop(loop, func() (out int) {
-			for _, d := range front.Databases() {
+			for _, d := range engine.Databases() {
 				out += d.InFlight
 			}
 			return out
@@ -139,7 +139,7 @@
 	for _, crossing := range []string{"half a line", "its end"} {
 		conns := make(chan stdnet.Conn, 9)
 		var db counted
-		s, front, loop := proxy(t, db.serve(t, func(conn stdnet.Conn, text string) bool {
+		s, engine, loop := proxy(t, db.serve(t, func(conn stdnet.Conn, text string) bool {
 			if _, err := conn.Write(row(text)); err != nil {
 				return false
 			}
@@ -166,7 +166,7 @@
 		if types, _ := p.said(3); types != "DCZ" {
 			t.Errorf("%s: behind it came %q", crossing, types)
 		}
-		if opened := onLoop(loop, func() uint64 { return front.Counters.Opened }); opened != 2 || db.queries.Load() != 2 {
+		if opened := onLoop(loop, func() uint64 { return engine.Counters.Opened }); opened != 2 || db.queries.Load() != 2 {
 			t.Errorf("%s: %d connections were opened, %d queries came", crossing, opened, db.queries.Load())
 		}
 	}
@@ -227,7 +227,7 @@
 		cfg := settings
 		cfg.Classes = slices.Clone(cfg.Classes)
 		cfg.Classes[0].Effect = effect
-		s, front, loop := proxyWith(t, cfg, db.serve(t, func(conn stdnet.Conn, text string) bool {
+		s, engine, loop := proxyWith(t, cfg, db.serve(t, func(conn stdnet.Conn, text string) bool {
 			conns <- conn
 			return echo(conn, text)
 		}), 8, 1)
@@ -235,7 +235,7 @@
 		p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("1a")))
 		p.said(len(welcome) + 3)
 		pooled := <-conns
-		until(loop, func() bool { return front.Counters.OK == 1 })
+		until(loop, func() bool { return engine.Counters.OK == 1 })
 		letLoopGo := hold(loop)
 		p.conn.Write(pg.AppendQuery(nil, query("2b")))
 		for c := range s.clients { // the loop is held
@@ -246,12 +246,12 @@
 		pooled.(*stdnet.TCPConn).CloseWrite()
 		finished(t, pooled)
 		letLoopGo()
-		until(loop, func() bool { return front.Counters.Sent == 2 })
+		until(loop, func() bool { return engine.Counters.Sent == 2 })
 		letPollerGo()
 		if types, _ := p.said(1); types != "D" { // an error has fewer messages
 			t.Errorf("effect %d: behind it came %q", effect, types)
 		}
-		if c := onLoop(loop, func() state.Counters { return front.Counters }); c.Opened != 2 || c.Sent != 2 || db.queries.Load() != 2 {
+		if c := onLoop(loop, func() state.Counters { return engine.Counters }); c.Opened != 2 || c.Sent != 2 || db.queries.Load() != 2 {
 			t.Errorf("effect %d: %d connections were opened, %d attempts made, %d queries came", effect, c.Opened, c.Sent, db.queries.Load())
 		}
 	}
@@ -276,7 +276,7 @@
 		in = pg.AppendQuery(in, query(id))
 	}
 	conn.Write(in)
-	until(loop, func() bool { return s.front.Counters.Served == 3 })
+	until(loop, func() bool { return s.engine.Counters.Served == 3 })
 	until(loop, func() bool { s.Drain(); return s.Drained() || s.lingering > 0 })
 	got, err := io.ReadAll(conn)
 	if err != nil || bytes.Count(got, []byte(value)) != 3 {
--- a/internal/net/health.go
+++ b/internal/net/health.go
@@ -10,22 +10,22 @@
 	"havenproxy/internal/wire/tier"
 )
 
-// HealthConfig says how health checks are shared with the tier.
+// HealthConfig configures how health checks are shared within the tier.
 type HealthConfig struct {
-	Zone            string  // of this proxy
-	ChecksPerSecond float64 // of this proxy at most; 0 = no budget is set, and each proxy checks all
-	BytesPerSecond  float64 // that it may send for reports
+	Zone            string  // the zone of this proxy
+	ChecksPerSecond float64 // maximum rate of this proxy; 0 = no budget is set, and each proxy checks all databases
+	BytesPerSecond  float64 // maximum rate at which reports are sent
 }
 
-// shares tells whether checks may be shared: others have to know the zone, to choose checkers by.
-func (c *HealthConfig) shares() bool { return c.ChecksPerSecond > 0 && c.Zone != "" }
+// enabled reports whether checks may be shared: the other proxies need to know the zone to choose the checkers.
+func (c *HealthConfig) enabled() bool { return c.ChecksPerSecond > 0 && c.Zone != "" }
 
-// tierHealth is what a link to the planners keeps for shared health checks.
-type tierHealth struct {
+// sharedHealth is the state that a planner link keeps for shared health checks.
+type sharedHealth struct {
 	config    HealthConfig
-	member    rollout.Member // as which this proxy shares checks; 0 = it doesn't
-	version   uint64         // of the list of members that the front was told
-	connected bool           // the front knows of this link
+	member    rollout.Member // the member as which this proxy shares checks; 0 = it does not
+	version   uint64         // of the member list that the engine has
+	connected bool           // the engine knows of this link
 }
 
 // SendReports implements state.ReportSender.
@@ -42,37 +42,38 @@
 	}
 }
 
-// shareChecks follows the tier's members, as the planner's last message has left them. The planner believes a member's reports on its own
-// link only, so that nothing is sent before it is known to have taken this link for one.
+// shareChecks passes the tier's members to the engine as the planner's last message has left them. The planner
+// accepts a member's reports on that member's own link only, so nothing is sent before the planner is known to have
+// identified this link.
 func (t *PlannerLink) shareChecks(m *rollout.Message) {
-	h, known := &t.health, t.side.Membership()
-	if !h.config.shares() || t.side.Member() == 0 || known.Version == 0 {
+	h, known := &t.health, t.proxy.Membership()
+	if !h.config.enabled() || t.proxy.Member() == 0 || known.Version == 0 {
 		return
 	}
-	if h.member != t.side.Member() {
-		h.member, h.version, h.connected = t.side.Member(), 0, false
-		t.front.ShareChecks(state.SharedChecksConfig{Self: subset.Proxy{ID: subset.ProxyID(h.member), Zone: h.config.Zone},
+	if h.member != t.proxy.Member() {
+		h.member, h.version, h.connected = t.proxy.Member(), 0, false
+		t.engine.ShareChecks(state.SharedChecksConfig{Self: subset.Proxy{ID: subset.ProxyID(h.member), Zone: h.config.Zone},
 			Epoch: uint32(labclock.Wall().Unix()), ChecksPerSecond: h.config.ChecksPerSecond, BytesPerSecond: h.config.BytesPerSecond, Sender: t})
 	}
 	if h.version != known.Version {
 		h.version = known.Version
 		var members []subset.Proxy
 		for _, entry := range known.Members {
-			if entry.Zone != "" { // others run an earlier version, or don't share: they would be checkers that never report
+			if entry.Zone != "" { // others run an earlier version or do not share: as checkers they would never report
 				members = append(members, subset.Proxy{ID: subset.ProxyID(entry.Member), Zone: entry.Zone})
 			}
 		}
-		t.front.SetTier(members)
+		t.engine.SetTier(members)
 	}
 	if m.Kind == rollout.Granted && !h.connected {
 		h.connected = true
-		t.front.PlannerConnected()
+		t.engine.PlannerConnected()
 	}
 }
 
-// digest takes what a planner passes on of others' reports.
-func (t *PlannerLink) digest(message []byte) {
-	if err := t.front.ReceiveDigest(message); err != nil {
-		slog.Debug("a digest of health checks can't be read", "planner", t.planners[t.seek.Current()], "error", err)
+// receiveDigest handles the reports of other proxies that a planner passes on.
+func (t *PlannerLink) receiveDigest(message []byte) {
+	if err := t.engine.ReceiveDigest(message); err != nil {
+		slog.Debug("invalid digest of health checks", "planner", t.planners[t.selector.Current()], "error", err)
 	}
 }
--- a/internal/net/health_test.go
+++ b/internal/net/health_test.go
@@ -75,7 +75,7 @@
 func newSharer(t *testing.T, loop *Loop, clock state.Clock, address string, i int) *sharer {
 	all := &databases{loop: loop}
 	class := logic.Class{Name: "any", Aim: time.Second, Limit: time.Second}
-	front, err := state.New(state.Config{Logic: logic.Config{Seed: uint64(i), Tick: 5 * time.Millisecond, Classes: []logic.Class{class},
+	engine, err := state.New(state.Config{Logic: logic.Config{Seed: uint64(i), Tick: 5 * time.Millisecond, Classes: []logic.Class{class},
 		EnableProbes: true, Proxies: 6}, ConnectTimeout: time.Second, IdleClose: time.Minute, MaxConnections: 100}, clock, all)
 	if err != nil {
 		t.Fatal(err)
@@ -85,9 +85,9 @@
 		name := fmt.Sprint("db-", n)
 		list.Entries = append(list.Entries, state.Entry{Name: name, Address: name, Group: n / 4, State: logic.Ready, Size: 1})
 	}
-	front.Start(all, list)
-	x := &sharer{front: front, databases: all}
-	x.tier = JoinTier(loop, clock, front, TierConfig{Name: fmt.Sprint("proxy-", i), Planners: []string{address}, Nonce: uint64(2*i + 1),
+	engine.Start(all, list)
+	x := &sharer{front: engine, databases: all}
+	x.tier = JoinTier(loop, clock, engine, TierConfig{Name: fmt.Sprint("proxy-", i), Planners: []string{address}, Nonce: uint64(2*i + 1),
 		Seed: uint64(i), Rollout: rollout.Config{Lease: 2 * time.Second}, Check: func(rollout.Number, []byte) string { return "" },
 		Apply:  func(rollout.Number, []byte) {},
 		Health: HealthConfig{Zone: fmt.Sprint("zone-", i%3), ChecksPerSecond: 10, BytesPerSecond: 1600}})
--- a/internal/net/link.go
+++ b/internal/net/link.go
@@ -15,107 +15,110 @@
 	"havenproxy/logic"
 )
 
-// answerPatience is how long an answer may take from its first bytes to its end, which a database writes at once. One
-// that doesn't end is spoilt; waited for until the client's time is up, it leaves none for another attempt.
-const answerPatience = 100 * time.Millisecond
+// answerTimeout is how long an answer may take from its first bytes to its end, which a database writes at once.
+// After it the answer counts as broken: waiting for it until the client's deadline would leave no time for another
+// attempt.
+const answerTimeout = 100 * time.Millisecond
 
 var (
-	errNoEnd   = errors.New("an answer without its end")
-	errUnasked = errors.New("an answer that nobody asked for")
+	errIncompleteAnswer = errors.New("an answer without its end")
+	errUnexpectedAnswer = errors.New("unexpected answer")
 )
 
-// tellSpoilt is how often it is logged that databases send what is no answer, at most.
-const tellSpoilt = 10 * time.Second
+// protocolErrorLogInterval is the minimum time between two log lines about protocol errors of databases.
+const protocolErrorLogInterval = 10 * time.Second
 
-func (d *Databases) noteSpoilt(address string, err error) {
-	if now := d.Loop.clock.Now(); d.toldAt == 0 || now-d.toldAt >= tellSpoilt {
-		d.toldAt = now
+func (d *Databases) logProtocolError(address string, err error) {
+	if now := d.Loop.clock.Now(); d.protocolErrorLoggedAt == 0 || now-d.protocolErrorLoggedAt >= protocolErrorLogInterval {
+		d.protocolErrorLoggedAt = now
 		slog.Warn("database sends what is no answer", "address", address, "error", err)
 	}
 }
 
-// talker is the protocol on a connection to a database. All that isn't the protocol's, the dial, the bytes left over, the
-// end of the connection, an answer that stops half way, is the link's.
-type talker interface {
-	start() error // the connection is there: the first words, if they are this side's
-	// take handles the first message of buf: its length, 0 = it isn't there as a whole yet, and whether an answer ends
-	// with it.
-	take(buf []byte) (n int, whole bool, err error)
-	answered() // an answer is whole
+// databaseProtocol is the wire protocol of a connection to a database. Dialling, leftover bytes, the end of the
+// connection and incomplete answers are handled by databaseLink.
+type databaseProtocol interface {
+	start() error // the connection is up: sends the first message, if this side speaks first
+	// parseNext handles the first message of buf. It returns its length, 0 if it is incomplete, and whether an answer
+	// ends with it.
+	parseNext(buf []byte) (n int, whole bool, err error)
+	answerComplete() // called when an answer is complete
 	ready() bool
-	handing() bool // the connection is handed over, with all that has come and is not taken yet
-	handed()       // it is
-	// ended tells what is known of the command in hand once the connection has ended, by an error or without one, or has
-	// brought nonsense; false = it may have run.
-	ended(err error) (state.Reply, bool)
+	detaching() bool // the connection is being handed over, with all input that has not been parsed yet
+	detached()       // called when netpoll has closed its connection
+	// replyAtEnd returns the reply to the current command, if it is known, when the connection has ended, with an
+	// error or without, or a protocol error has occurred; false = the command may have run.
+	replyAtEnd(err error) (state.Reply, bool)
 }
 
-// link is a connection to a database. With a talker it implements state.Conn.
-type link struct {
-	d       *Databases
-	address string
-	to      state.Listener
-	talks   talker
-	conn    netpoll.Connection // nil until it is connected
-	in      buffer
-	out     []byte
-	dialled bool // the dial has ended, one way or the other
-	owes    bool // an answer: to the first words, or to the last command
-	probing bool // the last command was one for the load report
-	closed  bool
-	begun   bool // a part of an answer has come, and rest is set
-	rest    state.Deadline
+// databaseLink is a connection to a database. Together with a databaseProtocol it implements state.Conn.
+type databaseLink struct {
+	databases      *Databases
+	address        string
+	listener       state.Listener
+	protocol       databaseProtocol
+	conn           netpoll.Connection // nil until it is connected
+	input          buffer
+	out            []byte
+	dialDone       bool // the dial has succeeded or failed
+	awaitingAnswer bool // to the first message or to the last command
+	probing        bool // the last command was a query for the load report
+	closed         bool
+	answerStarted  bool // a part of an answer has arrived, and answerTimer is set
+	answerTimer    state.Deadline
 }
 
-func (l *link) open(d *Databases, address string, to state.Listener, talks talker) {
-	l.d, l.address, l.to, l.talks = d, address, to, talks
-	connect(d.Loop, address, d.ConnectTimeout, l.connected)
+func (l *databaseLink) open(databases *Databases, address string, listener state.Listener, protocol databaseProtocol) {
+	l.databases, l.address, l.listener, l.protocol = databases, address, listener, protocol
+	dialAsync(databases.Loop, address, databases.ConnectTimeout, l.connected)
 }
 
-// connect dials beside the loop and tells the loop how it went.
-func connect(loop *Loop, address string, timeout time.Duration, then func(netpoll.Connection, error)) {
+// dialAsync dials outside the loop and passes the result to callback on the loop.
+func dialAsync(loop *Loop, address string, timeout time.Duration, callback func(netpoll.Connection, error)) {
 	go func() {
 		conn, err := netpoll.DialConnection("tcp", address, timeout)
 		if errors.Is(err, netpoll.ErrConnClosed) {
-			err = refusal(address, err)
+			err = dialError(address, err)
 		}
 		if err == nil {
-			conn.SetWriteTimeout(writePatience)
-			// As much room as the largest query takes: a database that doesn't read must not stop the loop.
+			conn.SetWriteTimeout(writeTimeout)
+			// Room for the largest query: a database that does not read must not block the loop.
 			if c, ok := conn.(netpoll.Conn); ok {
 				syscall.SetsockoptInt(c.Fd(), syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBuffer)
-				// And no more is read ahead of a long value than this, and what netpoll takes out of it meanwhile.
+				// This also bounds how much of a long value is read ahead, apart from what netpoll reads meanwhile.
 				syscall.SetsockoptInt(c.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
 			}
 		}
-		loop.Post(func() { then(conn, err) })
+		loop.Post(func() { callback(conn, err) })
 	}()
 }
 
-// localShortages are the errors of socket and connect that tell of a want on this machine, and not of the peer or the way to it.
+// localShortages are the errors of socket and connect that are caused by a shortage on this machine, not by the peer
+// or the network.
 var localShortages = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
 
-// isLocalShortage tells whether a dial failed for want of something on this machine.
+// isLocalShortage reports whether a dial failed for lack of a resource on this machine.
 func isLocalShortage(err error) bool {
 	return slices.ContainsFunc(localShortages, func(shortage error) bool { return errors.Is(err, shortage) })
 }
 
-// refusal asks why a dial failed at once: netpoll tells a refused one, behind which no process listens, like any other that the
-// peer ended. A second dial by the standard library tells them apart; it runs beside the loop, and only behind a failure.
-func refusal(address string, err error) error {
-	conn, again := stdnet.DialTimeout("tcp", address, answerPatience)
-	if again == nil {
+// dialError finds out why a dial failed at once: netpoll returns the same error for a refused connection, where no
+// process listens, as for any other that the peer closed. A second dial with the standard library tells them apart;
+// it runs outside the loop, and only after a failure.
+func dialError(address string, err error) error {
+	conn, retryErr := stdnet.DialTimeout("tcp", address, answerTimeout)
+	if retryErr == nil {
 		conn.Close()
 		return err
 	}
-	if errors.Is(again, syscall.ECONNREFUSED) {
-		return again
+	if errors.Is(retryErr, syscall.ECONNREFUSED) {
+		return retryErr
 	}
 	return err
 }
 
-// attach lets the loop know what comes on a connection that was dialled, and its end.
-func attach(loop *Loop, conn netpoll.Connection, readable, down func()) {
+// attachCallbacks makes the loop run handleInput for input on a dialled connection, and down when it ends.
+func attachCallbacks(loop *Loop, conn netpoll.Connection, readable, down func()) {
 	conn.AddCloseCallback(func(netpoll.Connection) error {
 		loop.Post(down)
 		return nil
@@ -124,40 +127,40 @@
 		readable()
 		return nil
 	})
-	if !conn.IsActive() { // it ended before the callbacks were there
+	if !conn.IsActive() { // it ended before the callbacks were set
 		conn.Close()
 	}
 }
 
-func (l *link) connected(conn netpoll.Connection, err error) {
-	l.dialled = true
+func (l *databaseLink) connected(conn netpoll.Connection, err error) {
+	l.dialDone = true
 	switch {
 	case l.closed:
-		l.d.givenUp--
+		l.databases.abandonedDials--
 		if err == nil {
 			conn.Close()
 		}
 		return
 	case err != nil:
-		l.lost(err)
+		l.connectionLost(err)
 		return
 	}
 	l.conn = conn
 	conn.AddCloseCallback(func(netpoll.Connection) error {
-		if l.talks.handing() {
-			l.talks.handed()
+		if l.protocol.detaching() {
+			l.protocol.detached()
 		}
 		return nil
 	})
-	attach(l.d.Loop, conn, l.readable, func() { l.lost(nil) })
+	attachCallbacks(l.databases.Loop, conn, l.handleInput, func() { l.connectionLost(nil) })
 	if !l.closed {
-		l.owes = true
-		l.talks.start()
+		l.awaitingAnswer = true
+		l.protocol.start()
 	}
 }
 
-// write sends bytes; an error tells that the last one was not written, and ends the connection.
-func (l *link) write(b []byte) error {
+// write sends bytes. After an error the last byte was not written; the connection is ending.
+func (l *databaseLink) write(b []byte) error {
 	if l.closed || l.conn == nil {
 		return stdnet.ErrClosed
 	}
@@ -165,28 +168,29 @@
 	return err
 }
 
-// writeOut writes what stands in the link's own buffer, and keeps that for the next unless it has become large.
-func (l *link) writeOut(b []byte) error {
+// writeBuffered writes b, which is built in the link's own buffer, and keeps the buffer for reuse unless it has
+// become large.
+func (l *databaseLink) writeBuffered(b []byte) error {
 	err := l.write(b)
-	if l.out = b; cap(b) > keepRoom {
+	if l.out = b; cap(b) > maxIdleBuffer {
 		l.out = nil
 	}
 	return err
 }
 
-// misfit answers a command of another protocol: it is the request's own fault, and nothing goes out.
-func (l *link) misfit() {
-	l.owes = false
-	l.d.Loop.Post(func() { l.to.Reply(state.Reply{Result: logic.Failed, BadRequest: true}) })
+// rejectCommand answers a command of another protocol. It is a bad request, and nothing is sent.
+func (l *databaseLink) rejectCommand() {
+	l.awaitingAnswer = false
+	l.databases.Loop.Post(func() { l.listener.Reply(state.Reply{Result: logic.Failed, BadRequest: true}) })
 }
 
 // Reusable implements state.Conn.
-func (l *link) Reusable() bool { return !l.owes && l.clean() }
+func (l *databaseLink) Reusable() bool { return !l.awaitingAnswer && l.hasNoInput() }
 
-// clean tells that nothing has come which belongs to no command. Answers bear no name: whatever comes without one, even
-// what the kernel still holds, would be taken for the answer to the next.
-func (l *link) clean() bool {
-	if l.closed || l.conn == nil || !l.conn.IsActive() || len(l.in.bytes) > 0 || l.conn.Reader().Len() > 0 {
+// hasNoInput reports that no bytes have arrived that belong to no command. Answers carry no identifier: any leftover
+// bytes, even those still in the kernel, would be taken for the answer to the next command.
+func (l *databaseLink) hasNoInput() bool {
+	if l.closed || l.conn == nil || !l.conn.IsActive() || len(l.input.bytes) > 0 || l.conn.Reader().Len() > 0 {
 		return false
 	}
 	c, ok := l.conn.(netpoll.Conn)
@@ -194,102 +198,102 @@
 		return true
 	}
 	_, _, err := syscall.Recvfrom(c.Fd(), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	return err == syscall.EAGAIN // neither bytes nor their end
+	return err == syscall.EAGAIN // neither bytes nor end of file
 }
 
 // Close implements state.Conn.
-func (l *link) Close() {
+func (l *databaseLink) Close() {
 	if l.closed {
 		return
 	}
 	l.closed = true
-	l.whole()
+	l.stopAnswerTimer()
 	if l.conn != nil {
 		l.conn.Close()
-	} else if !l.dialled {
-		l.d.givenUp++
+	} else if !l.dialDone {
+		l.databases.abandonedDials++
 	}
 }
 
-// lost tells the state that the connection has ended, unless it closed it itself.
-func (l *link) lost(err error) {
-	if l.closed || l.talks.handing() {
+// connectionLost reports to the listener that the connection has ended, unless this side closed it.
+func (l *databaseLink) connectionLost(err error) {
+	if l.closed || l.protocol.detaching() {
 		return
 	}
-	if r, told := l.talks.ended(err); told {
-		l.to.Reply(r)
+	if reply, known := l.protocol.replyAtEnd(err); known {
+		l.listener.Reply(reply)
 	}
 	if l.closed {
 		return
 	}
-	up := l.conn != nil
+	connected := l.conn != nil
 	l.Close()
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		l.to.Refused()
-	case !up && isLocalShortage(err):
-		l.to.NotOpened()
+		l.listener.Refused()
+	case !connected && isLocalShortage(err):
+		l.listener.NotOpened()
 	default:
-		l.to.Down()
+		l.listener.Down()
 	}
 }
 
-func (l *link) readable() {
-	if err := l.in.fill(l.conn.Reader()); err != nil {
-		l.lost(err)
+func (l *databaseLink) handleInput() {
+	if err := l.input.fill(l.conn.Reader()); err != nil {
+		l.connectionLost(err)
 		return
 	}
 	for used := 0; !l.closed; {
-		n, whole, err := l.talks.take(l.in.bytes[used:])
-		if err != nil { // what comes behind broken bytes can't be trusted either
-			l.spoilt(err)
+		n, whole, err := l.protocol.parseNext(l.input.bytes[used:])
+		if err != nil { // bytes after malformed ones cannot be trusted either
+			l.protocolError(err)
 			return
 		}
 		if used += n; n > 0 && !whole {
 			continue
 		}
-		if l.talks.handing() {
-			l.in.cut(used)
+		if l.protocol.detaching() {
+			l.input.discard(used)
 			return
 		}
-		// What has come behind an answer is left where it is: it makes the connection unfit for another command, but
-		// the answer counts.
-		l.in.cut(used)
+		// Bytes after an answer are left in the buffer: they make the connection unfit for another command, but the
+		// answer is valid.
+		l.input.discard(used)
 		if whole {
-			l.whole()
-			l.talks.answered()
-		} else if l.owes && l.talks.ready() { // each piece gives the next one its time
-			l.begun = true
-			l.d.Loop.deadlines.Set(&l.rest, l.d.Loop.clock.Now()+answerPatience, l.stalled)
+			l.stopAnswerTimer()
+			l.protocol.answerComplete()
+		} else if l.awaitingAnswer && l.protocol.ready() { // each piece restarts the timer for the next one
+			l.answerStarted = true
+			l.databases.Loop.deadlines.Set(&l.answerTimer, l.databases.Loop.clock.Now()+answerTimeout, l.answerTimedOut)
 		}
 		return
 	}
 }
 
-// whole ends the wait for the rest of an answer.
-func (l *link) whole() {
-	l.begun = false
-	l.d.Loop.deadlines.Clear(&l.rest)
+// stopAnswerTimer stops the timer for the rest of an answer.
+func (l *databaseLink) stopAnswerTimer() {
+	l.answerStarted = false
+	l.databases.Loop.deadlines.Clear(&l.answerTimer)
 }
 
-// stalled finds an answer without its end, unless that has come and only the loop was late.
-func (l *link) stalled() {
-	if l.begun = false; l.conn.Reader().Len() == 0 {
-		l.spoilt(errNoEnd)
+// answerTimedOut handles an answer that is still incomplete, unless the rest has arrived and only the loop was late.
+func (l *databaseLink) answerTimedOut() {
+	if l.answerStarted = false; l.conn.Reader().Len() == 0 {
+		l.protocolError(errIncompleteAnswer)
 	}
 }
 
-// spoilt ends a connection on which sense and nonsense can't be told apart any more.
-func (l *link) spoilt(err error) {
-	l.d.noteSpoilt(l.address, err)
-	r, told := l.talks.ended(err)
+// protocolError ends a connection on which answers can no longer be told apart.
+func (l *databaseLink) protocolError(err error) {
+	l.databases.logProtocolError(l.address, err)
+	reply, known := l.protocol.replyAtEnd(err)
 	l.Close()
-	// netpoll closes it when this callback has returned; no further attempt may go out before that.
-	l.d.Loop.Post(func() {
-		if told {
-			l.to.Reply(r)
+	// netpoll closes the connection when this callback has returned; no further attempt may be sent before that
+	l.databases.Loop.Post(func() {
+		if known {
+			l.listener.Reply(reply)
 			return
 		}
-		l.to.ProtocolError()
+		l.listener.ProtocolError()
 	})
 }
--- a/internal/net/long_list_test.go
+++ b/internal/net/long_list_test.go
@@ -35,14 +35,14 @@
 		})
 	}
 	old, next := serve("old", 3200), serve("next", 4000)
-	_, front, loop := proxy(t, "127.0.0.1:1", 4, 4)
+	_, engine, loop := proxy(t, "127.0.0.1:1", 4, 4)
 	moved := make(chan struct{})
 	loop.Post(func() {
-		d := NewDiscovery(loop, front.Clock(), front, old, discovery.NoList, 0)
+		d := NewDiscovery(loop, engine.Clock(), engine, old, discovery.NoList, 0)
 		d.Fetch()
 		var look func()
 		look = func() {
-			if !d.reading {
+			if !d.parsing {
 				loop.Post(look)
 				return
 			}
@@ -55,7 +55,7 @@
 	look := func() (figures, logged string, failures uint64) {
 		done := make(chan struct{})
 		loop.Post(func() {
-			figures, logged, failures = string(front.AppendMetrics(nil)), log.String(), front.Counters.ListFailures
+			figures, logged, failures = string(engine.AppendMetrics(nil)), log.String(), engine.Counters.ListFailures
 			close(done)
 		})
 		<-done
--- a/internal/net/loop.go
+++ b/internal/net/loop.go
@@ -1,5 +1,6 @@
-// Package net serves the proxy's sockets: the listener, clients, databases and discovery. Each connection is an
-// object with callbacks, which all run on one goroutine, the loop's; nothing here decides anything.
+// Package net serves the proxy's sockets: listeners, clients, databases, discovery and the other members of the tier.
+// Each connection is an object with callbacks that all run on one goroutine, the loop's. The package makes no routing
+// decisions.
 package net
 
 import (
@@ -12,20 +13,20 @@
 	"havenproxy/internal/state"
 )
 
-// Loop is an event loop: one goroutine, in Run, that owns the router and the state of all connections. netpoll's poller
-// reads the sockets and posts its callbacks to the loop, so that they run one at a time.
+// Loop is an event loop: one goroutine, in Run, that owns the engine and the state of all connections. netpoll's
+// poller reads the sockets and posts its callbacks to the loop, so that they run one at a time.
 type Loop struct {
 	clock     state.Clock
 	deadlines *state.Deadlines
 
-	mu     sync.Mutex
-	queue  []func()
-	wake   chan struct{}
-	stop   bool
-	fence  *fence // nil before the poller was first waited for
-	waited uint64 // how often it was
+	mu          sync.Mutex
+	queue       []func()
+	wake        chan struct{}
+	stopped     bool
+	barrier     *pollerBarrier // nil until the poller is first waited for
+	pollerWaits uint64         // number of completed waits for the poller
 
-	turns      turns
+	stats      callbackStats
 	receivedAt time.Duration
 }
 
@@ -47,22 +48,23 @@
 	})
 }
 
-// ReceivedAt tells when the poller read the bytes of the callback in hand; 0 = no such callback is running. What waited in the queue since then
-// is late already.
+// ReceivedAt returns when the poller read the bytes that the current callback handles; 0 = no such callback is
+// running. Time that they spent in the queue since then counts as delay.
 func (l *Loop) ReceivedAt() time.Duration { return l.receivedAt }
 
-// Measure lets the loop count how often it is held up, and note for how long at most. It must be called before Run.
+// Measure makes the loop count slow callbacks and record the longest delays. It must be called before Run.
 func (l *Loop) Measure(counters *state.Counters, delays *state.Delays) {
-	l.turns.counters, l.turns.delays = counters, delays
+	l.stats.counters, l.stats.delays = counters, delays
 }
 
-// pollers is the number of netpoll's pollers. Loop.behindPoller relies on a single one; netpoll's default grows with GOMAXPROCS.
+// pollers is the number of netpoll's pollers. Loop.waitForPoller relies on a single one; netpoll's default grows with
+// GOMAXPROCS.
 const pollers = 1
 
-// useRunner makes netpoll hand its callbacks to run, and keeps it to one poller; its other settings keep their defaults.
+// useRunner makes netpoll pass its callbacks to run, and limits it to one poller; other settings keep their defaults.
 func useRunner(run func(context.Context, func())) {
 	if err := netpoll.Configure(netpoll.Config{Runner: run, PollerNum: pollers}); err != nil {
-		panic(err) // netpoll refuses a number of pollers below one only, or an unknown load balancing method
+		panic(err) // netpoll refuses only a number of pollers below one or an unknown load balancing method
 	}
 }
 
@@ -77,14 +79,15 @@
 	}
 }
 
-// mostDelay is how late a deadline may be run for the sake of what was posted before it. Answers that are already in the queue go first up to then.
-const mostDelay = 20 * time.Millisecond
+// maxDeadlineDelay is how late a deadline may be run in favour of callbacks posted before it, so that answers that
+// are already queued are handled before the timeouts that they prevent.
+const maxDeadlineDelay = 20 * time.Millisecond
 
 // Run runs posted functions and due deadlines until Stop is called.
 func (l *Loop) Run() {
 	timer := time.NewTimer(time.Hour)
 	var work []func()
-	for !l.stop {
+	for !l.stopped {
 		l.mu.Lock()
 		work, l.queue = l.queue, work[:0]
 		l.mu.Unlock()
@@ -92,14 +95,14 @@
 		for i, f := range work {
 			f()
 			now := l.clock.Now()
-			l.turns.ended(f, before, now)
+			l.stats.recordCallback(f, before, now)
 			work[i], before = nil, now
-			if due, ok := l.deadlines.Next(); ok && now-due >= mostDelay && !l.stop {
+			if due, ok := l.deadlines.Next(); ok && now-due >= maxDeadlineDelay && !l.stopped {
 				l.runDeadlines(now)
 			}
 		}
 		l.runDeadlines(before)
-		if l.stop || len(work) > 0 {
+		if l.stopped || len(work) > 0 {
 			continue
 		}
 		if at, ok := l.deadlines.Next(); ok {
@@ -112,28 +115,28 @@
 	}
 }
 
-// runDeadlines runs what is due.
+// runDeadlines runs the deadlines that are due.
 func (l *Loop) runDeadlines(now time.Duration) {
 	due, ok := l.deadlines.Next()
 	if !ok || due > now {
 		return
 	}
-	l.turns.late(due, now)
+	l.stats.recordDeadlineDelay(due, now)
 	l.deadlines.Run(now)
-	l.turns.ended(l.deadlines.Run, now, l.clock.Now())
+	l.stats.recordCallback(l.deadlines.Run, now, l.clock.Now())
 }
 
 // Stop makes Run return. It must be called on the loop.
-func (l *Loop) Stop() { l.stop = true }
+func (l *Loop) Stop() { l.stopped = true }
 
-// buffer is the one buffer of a connection for what comes in. It grows as it needs; what is left behind the
-// messages taken out moves to its front.
+// buffer is the input buffer of a connection. It grows as needed; bytes that remain after complete messages have been
+// removed move to its front.
 type buffer struct{ bytes []byte }
 
-// keepRoom is the room that a connection keeps between messages.
-const keepRoom = 16 << 10
+// maxIdleBuffer is the buffer capacity that a connection keeps between messages.
+const maxIdleBuffer = 16 << 10
 
-// fill takes all that netpoll has read.
+// fill appends all bytes that netpoll has read.
 func (b *buffer) fill(r netpoll.Reader) error {
 	n := r.Len()
 	in, err := r.Next(n)
@@ -144,11 +147,11 @@
 	return r.Release()
 }
 
-// cut drops the first n bytes.
-func (b *buffer) cut(n int) {
+// discard drops the first n bytes.
+func (b *buffer) discard(n int) {
 	left := copy(b.bytes, b.bytes[n:])
 	b.bytes = b.bytes[:left]
-	if left == 0 && cap(b.bytes) > keepRoom {
+	if left == 0 && cap(b.bytes) > maxIdleBuffer {
 		b.bytes = nil
 	}
 }
--- a/internal/net/mysql_client.go
+++ b/internal/net/mysql_client.go
@@ -15,90 +15,90 @@
 )
 
 const (
-	// One client's statements: their texts stay here for as long as it keeps them.
+	// Statements that one client may keep prepared; their texts are held here.
 	maxStatements = 1024
-	// What a client may have sent of values in pieces, all its statements together.
+	// Bytes of parameter values sent in pieces, for all statements of one client.
 	maxLongData = 256 << 10
-	// What one client's statements may take, and those of all clients. Of a text that many have prepared there is one copy,
-	// but it is counted with each.
-	maxTexts    = 1 << 20
-	maxAllTexts = 8 << 20
-	// What databases said of statements is kept for so many texts, in so many bytes, and so long.
-	keptShapes = 1024
-	shapeRoom  = 1 << 20
-	shapeKeep  = time.Minute
+	// Bytes that the statements of one client, and of all clients, may take. A text that many clients have prepared
+	// is stored once but counted for each of them.
+	maxStatementBytes      = 1 << 20
+	maxTotalStatementBytes = 8 << 20
+	// Limits of the cache of statement metadata from databases: texts, bytes and age.
+	maxCachedMetadata = 1024
+	maxMetadataBytes  = 1 << 20
+	metadataLifetime  = time.Minute
 )
 
 var (
-	errNotYourTurn   = errors.New("packet out of order")
-	errDenied        = errors.New("access denied")
-	errNoHints       = errors.New("a statement needs a routing comment with its class (c=...) and its group (cluster=...)")
-	errFixedGroup    = errors.New("a prepared statement's class and group must stand in its comment")
-	errPacketsTooBig = mysql.ErrTooLarge
+	errOutOfOrder           = errors.New("packet out of order")
+	errDenied               = errors.New("access denied")
+	errMissingHints         = errors.New("a statement needs a routing comment with its class (c=...) and its group (cluster=...)")
+	errParameterizedRouting = errors.New("a prepared statement's class and group must stand in its comment")
+	errPacketTooLarge       = mysql.ErrTooLarge
 )
 
-// mysqlStatement is a statement that a client has prepared: a text with what it says of itself.
+// mysqlStatement is a statement that a client has prepared, with the routing hints in its text.
 type mysqlStatement struct {
-	text   string
-	hints  routing.Hints
-	params int
-	types  []byte // of its parameters, as last told
-	long   map[int][]byte
-	over   bool // more came in pieces than may
+	text             string
+	hints            routing.Hints
+	params           int
+	paramTypes       []byte // of its parameters, as last sent
+	longData         map[int][]byte
+	longDataExceeded bool // the values sent in pieces exceed the limit
 }
 
-// mysqlSpeaker speaks MySQL with one client.
-type mysqlSpeaker struct {
-	front      *mysqlFront
-	phase      loginPhase
-	caps       uint32
-	scramble   []byte
-	user       string
-	changing   bool // by COM_CHANGE_USER
-	seq        byte // of the next packet to the client
-	statements map[uint32]*mysqlStatement
-	last       uint32
-	share      prepared.Share
-	preparing  *mysqlStatement // its PREPARE is out
-	running    *mysqlStatement // its EXECUTE is out
+// mysqlProtocol speaks MySQL with one client.
+type mysqlProtocol struct {
+	shared          *mysqlShared
+	phase           loginPhase
+	capabilities    uint32
+	scramble        []byte
+	user            string
+	changingUser    bool // by COM_CHANGE_USER
+	sequence        byte // of the next packet to the client
+	statements      map[uint32]*mysqlStatement
+	lastStatementID uint32
+	budgetShare     prepared.Share
+	preparing       *mysqlStatement // its PREPARE is pending
+	running         *mysqlStatement // its EXECUTE is pending
 }
 
-func (m *mysqlSpeaker) pipelines() int { return 1 }
+func (m *mysqlProtocol) maxPending() int { return 1 }
 
-func (m *mysqlSpeaker) greet(c *client) {
-	if c.full {
-		c.s.front.Counters.ClientsRejected++
-		c.leave(endTooMany, "too many clients")
+func (m *mysqlProtocol) greet(c *client) {
+	if c.overLimit {
+		c.server.engine.Counters.ClientsRejected++
+		c.closeWithError(reasonTooManyClients, "too many clients")
 		return
 	}
 	m.newScramble()
-	m.front.last++
-	c.write(mysql.AppendHandshake(nil, mysql.Handshake{Version: mysql.ServerVersion, ID: m.front.last, Scramble: m.scramble,
+	m.shared.lastConnectionID++
+	c.write(mysql.AppendHandshake(nil, mysql.Handshake{Version: mysql.ServerVersion, ID: m.shared.lastConnectionID, Scramble: m.scramble,
 		Caps: mysql.ServerCaps, Plugin: mysql.CachingSHA2}))
-	m.seq = 1
+	m.sequence = 1
 }
 
-func (m *mysqlSpeaker) next(c *client, buf []byte) (int, error) {
-	if !c.takesMore() || m.phase == loginChecking {
+func (m *mysqlProtocol) parseNext(c *client, buf []byte) (int, error) {
+	if !c.acceptsQuery() || m.phase == loginChecking {
 		return 0, nil
 	}
 	body, seq, n, err := mysql.Next(buf, mysql.MaxPacket)
 	if n == 0 || err != nil {
 		if err != nil {
-			m.seq = seq + 1
+			m.sequence = seq + 1
 		}
 		return 0, err
 	}
 	if m.phase != loginDone {
-		if seq != m.seq {
-			return n, errNotYourTurn
+		if seq != m.sequence {
+			return n, errOutOfOrder
 		}
-		m.seq = seq + 1
+		m.sequence = seq + 1
 		return n, m.login(c, body)
 	}
-	m.seq = seq + 1
+	m.sequence = seq + 1
 	if seq != 0 {
-		return n, errNotYourTurn
+		return n, errOutOfOrder
 	}
 	if len(body) == 0 {
 		return n, mysql.ErrMalformed
@@ -108,29 +108,29 @@
 
 // ---- Commands ----
 
-func (m *mysqlSpeaker) command(c *client, body []byte) error {
-	c.spoke()
+func (m *mysqlProtocol) command(c *client, body []byte) error {
+	c.noteQuery()
 	switch body[0] {
 	case mysql.ComQuit:
-		c.hangUp()
+		c.closeNow()
 	case mysql.ComPing, mysql.ComInitDB:
-		m.ok(c)
+		m.sendOK(c)
 	case mysql.ComSetOption:
 		m.send(c, func(dst []byte, seq byte) []byte {
-			return mysql.AppendOK(dst, seq, mysql.OK{}, m.caps, m.caps&mysql.ClientDeprecateEOF != 0)
+			return mysql.AppendOK(dst, seq, mysql.OK{}, m.capabilities, m.capabilities&mysql.ClientDeprecateEOF != 0)
 		})
 	case mysql.ComResetConnection:
-		m.forgetAll(c)
-		m.ok(c)
+		m.dropAllStatements(c)
+		m.sendOK(c)
 	case mysql.ComChangeUser:
-		l, err := mysql.ParseChangeUser(body, m.caps)
+		l, err := mysql.ParseChangeUser(body, m.capabilities)
 		if err != nil {
 			return err
 		}
-		m.forgetAll(c)
+		m.dropAllStatements(c)
 		return m.changeUser(c, l.User)
 	case mysql.ComQuery:
-		text, attributes, err := mysql.ParseQuery(body, m.caps)
+		text, attributes, err := mysql.ParseQuery(body, m.capabilities)
 		if err != nil {
 			return err
 		}
@@ -146,66 +146,66 @@
 		if err != nil {
 			return err
 		}
-		m.drop(c, id, body[0] == mysql.ComStmtClose)
+		m.dropStatement(c, id, body[0] == mysql.ComStmtClose)
 		if body[0] == mysql.ComStmtReset {
 			if m.statements[id] == nil {
-				m.refuse(c, mysql.ErrUnknownStatement, "unknown statement")
+				m.sendError(c, mysql.ErrUnknownStatement, "unknown statement")
 				break
 			}
-			m.ok(c)
+			m.sendOK(c)
 		}
 	default:
-		m.refuse(c, mysql.ErrUnknownCommand, fmt.Sprintf("command %#x is not known here", body[0]))
+		m.sendError(c, mysql.ErrUnknownCommand, fmt.Sprintf("command %#x is not known here", body[0]))
 	}
 	return nil
 }
 
-// refuse answers a command with an error that is its own fault; the connection goes on.
-func (m *mysqlSpeaker) refuse(c *client, number uint16, text string) {
+// sendError answers an invalid command with an error; the connection stays open.
+func (m *mysqlProtocol) sendError(c *client, number uint16, text string) {
 	m.send(c, func(dst []byte, seq byte) []byte { return mysql.AppendErr(dst, seq, number, text) })
 }
 
-// own answers what drivers ask of a server at their start, and what changes nothing here.
-func (m *mysqlSpeaker) own(c *client, text string) bool {
+// answerLocally answers statements that drivers send when they connect, and that have no effect here.
+func (m *mysqlProtocol) answerLocally(c *client, text string) bool {
 	words := strings.Fields(strings.ToLower(strings.Trim(text, " \t\r\n;")))
 	switch {
 	case len(words) == 0:
-		m.refuse(c, mysql.ErrParse, "an empty query")
+		m.sendError(c, mysql.ErrParse, "an empty query")
 	case words[0] == "set":
-		m.ok(c)
+		m.sendOK(c)
 	case len(words) == 2 && words[0] == "select" && strings.HasPrefix(words[1], "@@"):
 		value := map[string]string{"@@max_allowed_packet": strconv.Itoa(mysql.MaxPacket), "@@version_comment": "havenproxy",
 			"@@version": mysql.ServerVersion}[words[1]]
 		r := mysql.Reply{IsResult: true, Columns: [][]byte{mysql.AppendColumn(nil, 0, words[1], mysql.TypeVarString)[4:]},
 			Rows: [][]byte{mysql.AppendTextRow(nil, 0, value)[4:]}}
-		c.write(r.AppendTo(nil, m.seq, m.caps))
+		c.write(r.AppendTo(nil, m.sequence, m.capabilities))
 	default:
 		return false
 	}
 	return true
 }
 
-func (m *mysqlSpeaker) query(c *client, text string, attributes []mysql.Attribute) {
-	h, err := routing.Parse(text)
-	if err != nil && m.own(c, text) {
+func (m *mysqlProtocol) query(c *client, text string, attributes []mysql.Attribute) {
+	hints, err := routing.Parse(text)
+	if err != nil && m.answerLocally(c, text) {
 		return
 	}
-	if len(h.Refs) > 0 {
+	if len(hints.Refs) > 0 {
 		err = routing.ErrStatement
 	}
 	if err == nil || len(attributes) > 0 {
-		err = attribute(&h, attributes)
+		err = applyAttributes(&hints, attributes)
 	}
-	if err != nil || h.Class == "" || !h.Grouped {
-		m.refuse(c, mysql.ErrFailed, errNoHints.Error())
+	if err != nil || hints.Class == "" || !hints.Grouped {
+		m.sendError(c, mysql.ErrFailed, errMissingHints.Error())
 		return
 	}
-	m.take(c, &h, &mysqlQuery{text: text, waitAt: h.WaitAt, waitEnd: h.WaitEnd, rows: asksRows(text)})
+	m.submit(c, &hints, &mysqlQuery{text: text, waitAt: hints.WaitAt, waitEnd: hints.WaitEnd, rows: returnsRows(text)})
 }
 
-// asksRows tells that a text asks for rows for sure: then an OK is none of its answers. SELECT ... INTO has no rows, and
-// what stands in a comment or a quoted text doesn't matter: when in doubt it doesn't ask.
-func asksRows(text string) bool {
+// returnsRows reports that a text certainly asks for rows, so that an OK is not a valid answer. SELECT ... INTO
+// returns no rows. Comments and quoted text are not parsed: in doubt the result is false.
+func returnsRows(text string) bool {
 	text = strings.TrimLeft(text, " \t\r\n(")
 	if len(text) < 7 || !strings.EqualFold(text[:6], "select") {
 		return false
@@ -218,11 +218,11 @@
 	return true
 }
 
-// attribute takes the words that came beside a statement.
-func attribute(h *routing.Hints, list []mysql.Attribute) error {
+// applyAttributes adds the routing hints that were sent as query attributes.
+func applyAttributes(hints *routing.Hints, list []mysql.Attribute) error {
 	for _, a := range list {
 		if v, ok := a.Text(); ok {
-			if err := h.Set(a.Name, v); err != nil {
+			if err := hints.Set(a.Name, v); err != nil {
 				return err
 			}
 		}
@@ -230,237 +230,240 @@
 	return nil
 }
 
-// take gives a request to the front. What it doesn't say has a default: a name of its own, the class's limit, no session.
-func (m *mysqlSpeaker) take(c *client, h *routing.Hints, cmd state.Command) bool {
-	wait := h.Wait
-	if !h.Waits {
-		wait = c.s.front.ClassLimit(h.Class)
+// submit hands a request to the engine. Hints that are missing have defaults: a generated name, the class's time
+// limit, no session.
+func (m *mysqlProtocol) submit(c *client, hints *routing.Hints, cmd state.Command) bool {
+	wait := hints.Wait
+	if !hints.Waits {
+		wait = c.server.engine.ClassLimit(hints.Class)
 	}
-	err := c.take(&slot{c: c}, state.Request{Name: h.ID, Class: h.Class, Wait: wait, Session: h.Session, Group: h.Group, LastCommit: h.After,
-		Retry: h.Retry, Command: cmd})
+	err := c.submit(&pendingQuery{client: c}, state.Request{Name: hints.ID, Class: hints.Class, Wait: wait, Session: hints.Session, Group: hints.Group, LastCommit: hints.After,
+		Retry: hints.Retry, Command: cmd})
 	if err != nil {
-		m.refuse(c, mysql.ErrFailed, err.Error())
+		m.sendError(c, mysql.ErrFailed, err.Error())
 	}
 	return err == nil
 }
 
-func (m *mysqlSpeaker) prepare(c *client, text string) {
-	if err := m.share.CheckFits(text); err != nil {
-		m.refuse(c, mysql.ErrTooManyStatements, err.Error())
+func (m *mysqlProtocol) prepare(c *client, text string) {
+	if err := m.budgetShare.CheckFits(text); err != nil {
+		m.sendError(c, mysql.ErrTooManyStatements, err.Error())
 		return
 	}
-	h, err := routing.Parse(text)
-	if err != nil || h.Class == "" || !h.Grouped {
-		m.refuse(c, mysql.ErrFailed, errFixedGroup.Error())
+	hints, err := routing.Parse(text)
+	if err != nil || hints.Class == "" || !hints.Grouped {
+		m.sendError(c, mysql.ErrFailed, errParameterizedRouting.Error())
 		return
 	}
-	st := &mysqlStatement{text: text, hints: h}
-	if shape, same, ok := m.front.shapes.Get(c.s.clock.Now(), h.Group, text); ok {
-		st.text = same // one copy for all
-		c.write(m.rebuilt(st, false, shape))
+	statement := &mysqlStatement{text: text, hints: hints}
+	if metadata, shared, ok := m.shared.metadata.Get(c.server.clock.Now(), hints.Group, text); ok {
+		statement.text = shared // one copy for all clients
+		c.write(m.reencode(statement, false, metadata))
 		return
 	}
-	// Preparing has no session and no key: whoever may run it may prepare it.
-	m.preparing = st
-	ask := routing.Hints{Class: h.Class, Group: h.Group, Wait: h.Wait, Waits: h.Waits}
-	if !m.take(c, &ask, &mysqlPrepare{text}) {
+	// PREPARE has no session and no key: whoever may run the statement may prepare it.
+	m.preparing = statement
+	prepareHints := routing.Hints{Class: hints.Class, Group: hints.Group, Wait: hints.Wait, Waits: hints.Waits}
+	if !m.submit(c, &prepareHints, &mysqlPrepare{text}) {
 		m.preparing = nil
 	}
 }
 
-func (m *mysqlSpeaker) execute(c *client, body []byte) error {
+func (m *mysqlProtocol) execute(c *client, body []byte) error {
 	id, err := mysql.StatementOf(body)
 	if err != nil {
 		return err
 	}
-	st := m.statements[id]
-	if st == nil {
-		m.refuse(c, mysql.ErrUnknownStatement, "unknown statement")
+	statement := m.statements[id]
+	if statement == nil {
+		m.sendError(c, mysql.ErrUnknownStatement, "unknown statement")
 		return nil
 	}
-	if st.over {
-		m.dropLong(c, st)
-		m.refuse(c, mysql.ErrPacketTooLarge, fmt.Sprintf("the values that came in pieces take more than there is room for (%d KiB a connection)", maxLongData>>10))
+	if statement.longDataExceeded {
+		m.dropLong(c, statement)
+		m.sendError(c, mysql.ErrPacketTooLarge, fmt.Sprintf("the values that came in pieces take more than there is room for (%d KiB a connection)", maxLongData>>10))
 		return nil
 	}
-	x, err := mysql.ParseExecute(bytes.Clone(body), st.params, st.types, m.caps, func(i int) bool { return st.long[i] != nil })
+	execution, err := mysql.ParseExecute(bytes.Clone(body), statement.params, statement.paramTypes, m.capabilities, func(i int) bool { return statement.longData[i] != nil })
 	if err != nil {
-		m.refuse(c, mysql.ErrMalformedPacket, "parameters that don't fit the statement")
+		m.sendError(c, mysql.ErrMalformedPacket, "parameters that don't fit the statement")
 		return nil
 	}
-	if x.Anew {
-		st.types = x.Types
+	if execution.Anew {
+		statement.paramTypes = execution.Types
 	}
-	h := st.hints
-	err = h.Resolve(func(i int) (string, bool) {
-		if i < 0 || i >= len(x.Values) {
+	hints := statement.hints
+	err = hints.Resolve(func(i int) (string, bool) {
+		if i < 0 || i >= len(execution.Values) {
 			return "", false
 		}
-		if data := st.long[i]; data != nil {
+		if data := statement.longData[i]; data != nil {
 			return string(data), true
 		}
-		return x.Values[i].Text()
+		return execution.Values[i].Text()
 	})
 	if err == nil {
-		err = attribute(&h, x.Attributes)
+		err = applyAttributes(&hints, execution.Attributes)
 	}
 	if err != nil {
-		m.refuse(c, mysql.ErrWrongArguments, "a parameter that the statement's comment names has no value that fits")
+		m.sendError(c, mysql.ErrWrongArguments, "a parameter that the statement's comment names has no value that fits")
 		return nil
 	}
-	cmd := &mysqlExecute{text: st.text, params: st.params, x: x, long: st.long, wait: -1}
-	for _, r := range h.Refs {
+	cmd := &mysqlExecute{text: statement.text, params: statement.params, execution: execution, longData: statement.longData, waitParam: -1}
+	for _, r := range hints.Refs {
 		if r.Word == "d" {
-			cmd.wait = r.Param
+			cmd.waitParam = r.Param
 		}
 	}
-	m.dropLong(c, st) // the request has them now
-	if m.running = st; !m.take(c, &h, cmd) {
+	m.dropLong(c, statement) // the request holds them now
+	if m.running = statement; !m.submit(c, &hints, cmd) {
 		m.running = nil
 	}
 	return nil
 }
 
-// longData gathers a value that comes in pieces. It has no answer; what is too much is told at the execution.
-func (m *mysqlSpeaker) longData(c *client, body []byte) {
-	d, err := mysql.ParseLongData(body)
-	st := m.statements[d.Statement]
-	if err != nil || st == nil || d.Param >= st.params {
-		return // the execution's parameters won't fit
-	}
-	if st.over = st.over || c.extra+len(d.Data) > maxLongData || c.s.buffered+len(d.Data) > c.s.maxBuffered; st.over {
-		m.dropLong(c, st)
-		st.over = true
+// longData collects a value that is sent in pieces. The command has no answer; an excess is reported by the
+// execution.
+func (m *mysqlProtocol) longData(c *client, body []byte) {
+	chunk, err := mysql.ParseLongData(body)
+	statement := m.statements[chunk.Statement]
+	if err != nil || statement == nil || chunk.Param >= statement.params {
+		return // the execution will fail because its parameters do not match
+	}
+	if statement.longDataExceeded = statement.longDataExceeded || c.statementBytes+len(chunk.Data) > maxLongData || c.server.buffered+len(chunk.Data) > c.server.maxBuffered; statement.longDataExceeded {
+		m.dropLong(c, statement)
+		statement.longDataExceeded = true
 		return
 	}
-	if st.long == nil {
-		st.long = map[int][]byte{}
+	if statement.longData == nil {
+		statement.longData = map[int][]byte{}
 	}
-	st.long[d.Param] = append(append(make([]byte, 0, len(st.long[d.Param])+len(d.Data)), st.long[d.Param]...), d.Data...)
-	c.extra += len(d.Data)
-	c.account()
+	statement.longData[chunk.Param] = append(append(make([]byte, 0, len(statement.longData[chunk.Param])+len(chunk.Data)), statement.longData[chunk.Param]...), chunk.Data...)
+	c.statementBytes += len(chunk.Data)
+	c.updateBufferedBytes()
 }
 
-// dropLong forgets a statement's values in pieces.
-func (m *mysqlSpeaker) dropLong(c *client, st *mysqlStatement) {
-	for _, data := range st.long {
-		c.extra -= len(data)
+// dropLong discards a statement's values sent in pieces.
+func (m *mysqlProtocol) dropLong(c *client, statement *mysqlStatement) {
+	for _, data := range statement.longData {
+		c.statementBytes -= len(data)
 	}
-	st.long, st.over = nil, false
-	c.account()
+	statement.longData, statement.longDataExceeded = nil, false
+	c.updateBufferedBytes()
 }
 
-// drop forgets a statement, or only its values in pieces.
-func (m *mysqlSpeaker) drop(c *client, id uint32, whole bool) {
-	st := m.statements[id]
-	if st == nil {
+// dropStatement discards a statement, or only its values sent in pieces.
+func (m *mysqlProtocol) dropStatement(c *client, id uint32, closeStatement bool) {
+	statement := m.statements[id]
+	if statement == nil {
 		return
 	}
-	m.dropLong(c, st)
-	if whole {
+	m.dropLong(c, statement)
+	if closeStatement {
 		delete(m.statements, id)
-		m.share.Remove(st.text)
+		m.budgetShare.Remove(statement.text)
 	}
 }
 
-func (m *mysqlSpeaker) forgetAll(c *client) {
+func (m *mysqlProtocol) dropAllStatements(c *client) {
 	for id := range m.statements {
-		m.drop(c, id, true)
+		m.dropStatement(c, id, true)
 	}
 }
 
-func (m *mysqlSpeaker) gone(c *client) { m.forgetAll(c) }
+func (m *mysqlProtocol) connectionClosed(c *client) { m.dropAllStatements(c) }
 
 // ---- Answers ----
 
-// served passes an answer on. It came in the form of connections to databases; a client that speaks another gets it in
-// its own.
-func (m *mysqlSpeaker) served(sl *slot, body []byte) []byte {
-	st, binary := m.preparing, m.running != nil
+// servedAnswer converts an answer for the client. It arrives in the format of database connections; a client with
+// other capabilities gets it re-encoded.
+func (m *mysqlProtocol) servedAnswer(query *pendingQuery, body []byte) []byte {
+	statement, binary := m.preparing, m.running != nil
 	m.preparing, m.running = nil, nil
-	if st == nil {
-		if out, ok := mysql.Relay(nil, body, m.caps); ok {
+	if statement == nil {
+		if out, ok := mysql.Relay(nil, body, m.capabilities); ok {
 			return out
 		}
 	} else {
-		m.front.shapes.Put(sl.c.s.clock.Now(), st.hints.Group, st.text, body)
+		m.shared.metadata.Put(query.client.server.clock.Now(), statement.hints.Group, statement.text, body)
 	}
-	return m.rebuilt(st, binary, body)
+	return m.reencode(statement, binary, body)
 }
 
-// rebuilt writes an answer in the client's form; st is the statement that it tells of, nil for any other answer.
-func (m *mysqlSpeaker) rebuilt(st *mysqlStatement, binary bool, body []byte) []byte {
+// reencode encodes an answer with the client's capabilities; statement is the one that a PREPARE answer describes,
+// nil for any other answer.
+func (m *mysqlProtocol) reencode(statement *mysqlStatement, binary bool, body []byte) []byte {
 	var r mysql.Reply
-	if r.Expect(linkCaps, st != nil); binary {
+	if r.Expect(databaseCapabilities, statement != nil); binary {
 		r.Binary()
 	}
 	for len(body) > 0 {
 		payload, seq, n, err := mysql.Next(body, mysql.MaxPacket)
 		if n == 0 || err != nil || r.Add(payload, seq) != nil {
-			return mysql.AppendErr(nil, m.seq, mysql.ErrFailed, "an answer that can't be passed on")
+			return mysql.AppendErr(nil, m.sequence, mysql.ErrFailed, "an answer that can't be passed on")
 		}
 		body = body[n:]
 	}
-	if st != nil {
-		m.last++
-		st.params = r.Prepared.Params
-		m.statements[m.last] = st
-		m.share.Add(st.text)
-		r.Prepared.Statement = m.last
+	if statement != nil {
+		m.lastStatementID++
+		statement.params = r.Prepared.Params
+		m.statements[m.lastStatementID] = statement
+		m.budgetShare.Add(statement.text)
+		r.Prepared.Statement = m.lastStatementID
 	}
-	return r.AppendTo(nil, m.seq, m.caps)
+	return r.AppendTo(nil, m.sequence, m.capabilities)
 }
 
-func (m *mysqlSpeaker) refused(_ *slot, comeBack time.Duration) []byte {
+func (m *mysqlProtocol) refusedAnswer(_ *pendingQuery, retryAfter time.Duration) []byte {
 	m.preparing, m.running = nil, nil
 	text := "no member can take this now"
-	if comeBack > 0 { // otherwise there is no knowing
-		text += fmt.Sprintf("; come again after %d ms", (comeBack+time.Millisecond-1)/time.Millisecond)
+	if retryAfter > 0 { // otherwise the time is unknown
+		text += fmt.Sprintf("; come again after %d ms", (retryAfter+time.Millisecond-1)/time.Millisecond)
 	}
-	return mysql.AppendErr(nil, m.seq, mysql.ErrTooManyConnections, text)
+	return mysql.AppendErr(nil, m.sequence, mysql.ErrTooManyConnections, text)
 }
 
-func (m *mysqlSpeaker) failed(*slot) []byte {
+func (m *mysqlProtocol) failedAnswer(*pendingQuery) []byte {
 	m.preparing, m.running = nil, nil
-	return mysql.AppendErr(nil, m.seq, mysql.ErrFailed, "no member answered in time")
+	return mysql.AppendErr(nil, m.sequence, mysql.ErrFailed, "no member answered in time")
 }
 
-func (m *mysqlSpeaker) unfit(_ *slot, body []byte) []byte {
-	if st := m.running; st != nil { // its table may be another now
-		m.front.shapes.Remove(st.hints.Group, st.text)
+func (m *mysqlProtocol) badRequestAnswer(_ *pendingQuery, body []byte) []byte {
+	if statement := m.running; statement != nil { // its table may have changed
+		m.shared.metadata.Remove(statement.hints.Group, statement.text)
 	}
 	m.preparing, m.running = nil, nil
 	if payload, _, n, err := mysql.Next(body, mysql.MaxPacket); n > 0 && err == nil {
 		if e, err := mysql.ParseErr(payload); err == nil {
-			return mysql.AppendErr(nil, m.seq, e.Number, e.Text)
+			return mysql.AppendErr(nil, m.sequence, e.Number, e.Text)
 		}
 	}
-	return mysql.AppendErr(nil, m.seq, mysql.ErrFailed, "the group's databases don't take this")
+	return mysql.AppendErr(nil, m.sequence, mysql.ErrFailed, "the group's databases don't take this")
 }
 
-func (m *mysqlSpeaker) fatal(why end, text string) []byte {
+func (m *mysqlProtocol) fatalError(reason closeReason, text string) []byte {
 	number := uint16(mysql.ErrMalformedPacket)
 	switch {
-	case why == endTooMany || why == endNoMemory || why == endTooOften:
+	case reason == reasonTooManyClients || reason == reasonNoMemory || reason == reasonTooManyLogins:
 		number = mysql.ErrTooManyConnections
 	case text == errDenied.Error():
 		number = mysql.ErrAccessDenied
-	case text == errNotYourTurn.Error():
+	case text == errOutOfOrder.Error():
 		number = mysql.ErrOutOfOrder
-	case text == errPacketsTooBig.Error():
+	case text == errPacketTooLarge.Error():
 		number = mysql.ErrPacketTooLarge
 	case m.phase != loginDone:
 		number = mysql.ErrHandshake
 	}
-	return mysql.AppendErr(nil, m.seq, number, text)
+	return mysql.AppendErr(nil, m.sequence, number, text)
 }
 
-// mysqlUser is the user by which databases are entered.
+// mysqlUser returns the user name with which the proxy logs in to databases.
 func (d *Databases) mysqlUser() string {
 	if d.MySQLUser != "" {
 		return d.MySQLUser
 	}
-	return databaseUser
+	return defaultDatabaseUser
 }
 
-func itoa(n int64) string { return strconv.FormatInt(n, 10) }
+func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
--- a/internal/net/mysql_database.go
+++ b/internal/net/mysql_database.go
@@ -10,46 +10,47 @@
 	"havenproxy/logic"
 )
 
-// linkCaps is what a connection to a MySQL database asks for. Answers are kept in their form until a client has them.
-const linkCaps = mysql.ClientLongPassword | mysql.ClientLongFlag | mysql.ClientConnectWithDB | mysql.ClientProtocol41 |
+// databaseCapabilities are the capabilities requested on connections to MySQL databases. Answers are kept in this
+// format until they are sent to a client.
+const databaseCapabilities = mysql.ClientLongPassword | mysql.ClientLongFlag | mysql.ClientConnectWithDB | mysql.ClientProtocol41 |
 	mysql.ClientTransactions | mysql.ClientSecureConnection | mysql.ClientMultiResults | mysql.ClientPSMultiResults |
 	mysql.ClientPluginAuth | mysql.ClientPluginAuthLenEncData | mysql.ClientSessionTrack | mysql.ClientDeprecateEOF
 
-// keptStatements is how many statements are held prepared on one connection.
-const keptStatements = 128
+// maxPreparedStatements is how many statements are kept prepared on one connection.
+const maxPreparedStatements = 128
 
 var (
-	errLogin  = errors.New("the database refuses the login")
-	errForgot = errors.New("the database forgets its statements")
+	errLoginRejected  = errors.New("the database rejected the login")
+	errStatementsLost = errors.New("the database repeatedly lost the prepared statement")
 )
 
-// loadQueryMySQL asks for the load report; its answer is one row, in the form of PostgreSQL's.
+// loadQueryMySQL queries the load report; its answer is one row, in the same form as PostgreSQL's.
 const loadQueryMySQL = "SHOW load"
 
-// mysqlQuery is a text for a MySQL database.
+// mysqlQuery is a text query for a MySQL database.
 type mysqlQuery struct {
 	text            string
-	waitAt, waitEnd int  // where the number of d stands; 0 = nowhere
-	rows            bool // it asks for rows: an OK is no answer to it
+	waitAt, waitEnd int  // where the number of d is in the text; 0 = nowhere
+	rows            bool // it asks for rows: an OK is not a valid answer
 }
 
-// mysqlPrepare asks a database to prepare a statement, so that its client learns what it holds.
+// mysqlPrepare asks a database to prepare a statement, so that the client learns its metadata.
 type mysqlPrepare struct{ text string }
 
-// mysqlExecute is one execution of a prepared statement.
+// mysqlExecute is an execution of a prepared statement.
 type mysqlExecute struct {
-	text   string
-	params int
-	x      mysql.Execute
-	long   map[int][]byte // values that came in pieces
-	wait   int            // the parameter that says how long the client waits; negative = none does
+	text      string
+	params    int
+	execution mysql.Execute
+	longData  map[int][]byte // values sent in pieces
+	waitParam int            // index of the parameter with the client's time limit; negative = none
 }
 
 // AppendTo implements state.Command.
 func (q *mysqlQuery) AppendTo(dst []byte, wait time.Duration) []byte {
 	text := q.text
 	if q.waitEnd > 0 {
-		text = text[:q.waitAt] + itoa(max(int64(wait/time.Millisecond), 1)) + text[q.waitEnd:]
+		text = text[:q.waitAt] + formatInt(max(int64(wait/time.Millisecond), 1)) + text[q.waitEnd:]
 	}
 	return mysql.AppendCommand(dst, mysql.ComQuery, text)
 }
@@ -59,192 +60,192 @@
 	return mysql.AppendCommand(dst, mysql.ComStmtPrepare, p.text)
 }
 
-// Size is how many bytes of a client it holds.
+// Size returns how many bytes of a client's data it holds.
 func (q *mysqlQuery) Size() int { return len(q.text) }
 
-// Size is how many bytes of a client it holds, the text aside, which is the statement's.
+// Size returns how many bytes of a client's data it holds, without the text, which belongs to the statement.
 func (e *mysqlExecute) Size() int {
-	n := len(e.x.Rest)
-	for _, data := range e.long {
+	n := len(e.execution.Rest)
+	for _, data := range e.longData {
 		n += len(data)
 	}
 	return n
 }
 
-// AppendTo implements state.Command; what goes out depends on the connection.
+// AppendTo implements state.Command; the bytes to send depend on the connection.
 func (e *mysqlExecute) AppendTo(dst []byte, _ time.Duration) []byte { return dst }
 
 type mysqlPhase uint8
 
 const (
-	mysqlGreeting mysqlPhase = iota
-	mysqlLogin
-	mysqlReady
+	mysqlPhaseGreeting mysqlPhase = iota
+	mysqlPhaseLogin
+	mysqlPhaseReady
 )
 
 // mysqlDatabase is a connection to a MySQL database.
 type mysqlDatabase struct {
-	link
-	raw     []byte // the packets of the answer in hand, as they came
-	phase   mysqlPhase
-	caps    uint32
-	reply   mysql.Reply
-	cache   *prepared.Cache
-	run     *prepared.Execution // of the execution in hand
-	execute *mysqlExecute
-	asks    string        // the text that is being prepared; empty = none
-	until   time.Duration // the client's time for it
-	away    *state.Reply  // the word with which the server turns this connection away
+	databaseLink
+	rawAnswer      []byte // the packets of the current answer, as they arrived
+	phase          mysqlPhase
+	capabilities   uint32
+	reply          mysql.Reply
+	cache          *prepared.Cache
+	execution      *prepared.Execution // progress of the current execution
+	executeCommand *mysqlExecute
+	preparingText  string        // the text that is being prepared; empty = none
+	executeBy      time.Duration // the client's deadline for the execution
+	loginRejection *state.Reply  // the reply if the server refused the connection during login
 }
 
 func (d *Databases) openMySQL(address string, to state.Listener) state.Conn {
-	db := &mysqlDatabase{cache: prepared.New(keptStatements)}
-	db.link.open(d, address, to, db)
+	db := &mysqlDatabase{cache: prepared.New(maxPreparedStatements)}
+	db.databaseLink.open(d, address, to, db)
 	return db
 }
 
-// start implements talker: the server speaks first.
+// start implements databaseProtocol: in this protocol the server speaks first.
 func (db *mysqlDatabase) start() error { return nil }
 
-// Send implements state.Conn. A statement that isn't prepared here is prepared first; its time is a part of the
-// request's, and a failure until EXECUTE has been written has run nothing.
+// Send implements state.Conn. A statement that is not prepared on this connection is prepared first; the time that
+// takes counts towards the request's, and after a failure before EXECUTE has been written nothing has run.
 func (db *mysqlDatabase) Send(cmd state.Command, wait time.Duration) error {
-	db.owes, db.probing, db.run, db.execute, db.asks = true, false, nil, nil, ""
+	db.awaitingAnswer, db.probing, db.execution, db.executeCommand, db.preparingText = true, false, nil, nil, ""
 	switch cmd := cmd.(type) {
 	case *mysqlExecute:
-		db.execute, db.run, db.until = cmd, &prepared.Execution{Text: cmd.text}, db.d.Loop.clock.Now()+wait
-		return db.step()
+		db.executeCommand, db.execution, db.executeBy = cmd, &prepared.Execution{Text: cmd.text}, db.databases.Loop.clock.Now()+wait
+		return db.writeNextStep()
 	case *mysqlPrepare:
-		db.asks = cmd.text
-		db.expect(true)
+		db.preparingText = cmd.text
+		db.expectAnswer(true)
 	case *mysqlQuery:
-		if db.expect(false); cmd.rows {
+		if db.expectAnswer(false); cmd.rows {
 			db.reply.Due()
 		}
-	default: // a PostgreSQL client asked for a group of MySQL's
-		db.misfit()
+	default: // a PostgreSQL client addressed a MySQL group
+		db.rejectCommand()
 		return nil
 	}
-	return db.writeOut(cmd.AppendTo(db.out[:0], wait))
+	return db.writeBuffered(cmd.AppendTo(db.out[:0], wait))
 }
 
-// Preparing tells that the request in hand has not been written yet, though something was for its sake.
-func (db *mysqlDatabase) Preparing() bool { return db.run != nil && !db.run.Sent }
+// Preparing reports that the current request has not been written yet, although a PREPARE for it has.
+func (db *mysqlDatabase) Preparing() bool { return db.execution != nil && !db.execution.Sent }
 
-// step writes what is next for the execution in hand.
-func (db *mysqlDatabase) step() error {
-	switch what, st := db.run.Next(db.cache); what {
+// writeNextStep writes the next command of the current execution.
+func (db *mysqlDatabase) writeNextStep() error {
+	switch step, statement := db.execution.Next(db.cache); step {
 	case prepared.Prepare:
-		db.asks = db.run.Text
-		db.expect(true)
-		db.d.Counters.Prepares++
-		return db.writeOut(mysql.AppendCommand(db.out[:0], mysql.ComStmtPrepare, db.run.Text))
+		db.preparingText = db.execution.Text
+		db.expectAnswer(true)
+		db.databases.Counters.Prepares++
+		return db.writeBuffered(mysql.AppendCommand(db.out[:0], mysql.ComStmtPrepare, db.execution.Text))
 	case prepared.Execute:
-		db.asks = ""
-		db.expect(false)
-		if db.reply.Binary(); st.ReturnsRows {
+		db.preparingText = ""
+		db.expectAnswer(false)
+		if db.reply.Binary(); statement.ReturnsRows {
 			db.reply.Due()
 		}
-		db.d.Counters.Executes++
+		db.databases.Counters.Executes++
 		out := db.out[:0]
-		for param, data := range db.execute.long {
-			out = mysql.AppendLongData(out, st.ID, param, data)
+		for param, data := range db.executeCommand.longData {
+			out = mysql.AppendLongData(out, statement.ID, param, data)
 		}
-		x := &db.execute.x
-		if x.Sets = db.execute.wait >= 0; x.Sets { // what preparing took is gone; rounded down, as in a text
-			x.Param, x.Number = db.execute.wait, max(int64((db.until-db.d.Loop.clock.Now())/time.Millisecond), 1)
+		execution := &db.executeCommand.execution
+		if execution.Sets = db.executeCommand.waitParam >= 0; execution.Sets { // the time that preparing took is subtracted; rounded down, as in a text query
+			execution.Param, execution.Number = db.executeCommand.waitParam, max(int64((db.executeBy-db.databases.Loop.clock.Now())/time.Millisecond), 1)
 		}
-		return db.writeOut(mysql.AppendExecute(out, st.ID, db.execute.params, x, db.caps))
+		return db.writeBuffered(mysql.AppendExecute(out, statement.ID, db.executeCommand.params, execution, db.capabilities))
 	}
-	return errForgot
+	return errStatementsLost
 }
 
-func (db *mysqlDatabase) expect(prepare bool) {
-	if cap(db.raw) > keepRoom {
-		db.raw = nil
+func (db *mysqlDatabase) expectAnswer(prepare bool) {
+	if cap(db.rawAnswer) > maxIdleBuffer {
+		db.rawAnswer = nil
 	}
-	db.raw = db.raw[:0]
-	db.reply.Expect(db.caps, prepare)
-	if db.caps == linkCaps && !db.probing { // it is passed on as it comes
+	db.rawAnswer = db.rawAnswer[:0]
+	db.reply.Expect(db.capabilities, prepare)
+	if db.capabilities == databaseCapabilities && !db.probing { // it is passed on as it arrives
 		db.reply.Skim()
 	}
 }
 
 // Probe implements state.Conn.
 func (db *mysqlDatabase) Probe() error {
-	db.owes, db.probing, db.run, db.asks = true, true, nil, ""
-	db.expect(false)
-	return db.writeOut(mysql.AppendCommand(db.out[:0], mysql.ComQuery, loadQueryMySQL))
+	db.awaitingAnswer, db.probing, db.execution, db.preparingText = true, true, nil, ""
+	db.expectAnswer(false)
+	return db.writeBuffered(mysql.AppendCommand(db.out[:0], mysql.ComQuery, loadQueryMySQL))
 }
 
-// ready implements talker.
-func (db *mysqlDatabase) ready() bool { return db.phase == mysqlReady }
+// ready implements databaseProtocol.
+func (db *mysqlDatabase) ready() bool { return db.phase == mysqlPhaseReady }
 
-// ended implements talker. While preparing, nothing has run.
-func (db *mysqlDatabase) ended(error) (state.Reply, bool) {
-	return state.Reply{Result: logic.ConnectFailed}, db.ready() && db.owes && db.Preparing()
+// replyAtEnd implements databaseProtocol. While a statement is being prepared, nothing has run.
+func (db *mysqlDatabase) replyAtEnd(error) (state.Reply, bool) {
+	return state.Reply{Result: logic.ConnectFailed}, db.ready() && db.awaitingAnswer && db.Preparing()
 }
 
-// take implements talker.
-func (db *mysqlDatabase) take(buf []byte) (n int, whole bool, err error) {
+// parseNext implements databaseProtocol.
+func (db *mysqlDatabase) parseNext(buf []byte) (n int, whole bool, err error) {
 	body, seq, n, err := mysql.Next(buf, mysql.MaxPacket)
 	if n == 0 || err != nil {
 		return 0, false, err
 	}
-	if !db.owes {
-		return n, false, errUnasked
+	if !db.awaitingAnswer {
+		return n, false, errUnexpectedAnswer
 	}
-	if db.phase != mysqlReady {
+	if db.phase != mysqlPhaseReady {
 		whole, err = db.login(body, seq)
 		return n, whole, err
 	}
 	if err = db.reply.Add(body, seq); err == nil {
-		db.raw = append(db.raw, buf[:n]...)
+		db.rawAnswer = append(db.rawAnswer, buf[:n]...)
 	}
 	return n, db.reply.Whole(), err
 }
 
-// login takes a packet of the handshake, and tells whether it was the last.
+// login handles a packet of the handshake and reports whether it was the last.
 func (db *mysqlDatabase) login(body []byte, seq byte) (done bool, err error) {
 	if len(body) == 0 {
 		return false, mysql.ErrMalformed
 	}
-	if body[0] == 0xff { // turned away at the door, or the login is wrong
+	if body[0] == 0xff { // the server refuses the connection, or the login is wrong
 		e, err := mysql.ParseErr(body)
 		if err != nil {
 			return false, err
 		}
-		r := db.failure(&e)
-		if r.Result != logic.Rejected {
-			return false, errLogin
+		reply := db.replyForError(&e)
+		if reply.Result != logic.Rejected {
+			return false, errLoginRejected
 		}
-		db.away = &r
+		db.loginRejection = &reply
 		return true, nil
 	}
-	if db.phase == mysqlGreeting {
+	if db.phase == mysqlPhaseGreeting {
 		h, err := mysql.ParseHandshake(body)
 		if err != nil {
 			return false, err
 		}
-		db.caps = linkCaps & h.Caps
-		auth, err := mysql.AnswerScramble(h.Plugin, db.d.MySQLPassword, h.Scramble)
+		db.capabilities = databaseCapabilities & h.Caps
+		auth, err := mysql.AnswerScramble(h.Plugin, db.databases.MySQLPassword, h.Scramble)
 		if err != nil {
-			auth = nil // it will ask for a method that both know
+			auth = nil // the server will ask for a method that both sides support
 		}
-		db.phase = mysqlLogin
-		return false, db.write(mysql.AppendLogin(nil, seq+1, mysql.Login{Caps: db.caps, User: db.d.mysqlUser(), Auth: auth,
+		db.phase = mysqlPhaseLogin
+		return false, db.write(mysql.AppendLogin(nil, seq+1, mysql.Login{Caps: db.capabilities, User: db.databases.mysqlUser(), Auth: auth,
 			Database: databaseName, Plugin: h.Plugin}))
 	}
 	switch {
 	case body[0] == 0x00:
-		_, err := mysql.ParseOK(body, db.caps)
+		_, err := mysql.ParseOK(body, db.capabilities)
 		return err == nil, err
 	case body[0] == 0xfe:
 		plugin, scramble, err := mysql.ParseAuthSwitch(body)
 		if err != nil {
 			return false, err
 		}
-		auth, err := mysql.AnswerScramble(plugin, db.d.MySQLPassword, scramble)
+		auth, err := mysql.AnswerScramble(plugin, db.databases.MySQLPassword, scramble)
 		if err != nil {
 			return false, err
 		}
@@ -252,88 +253,89 @@
 	case len(body) == 2 && body[0] == 0x01 && body[1] == mysql.FastOK[0]:
 		return false, nil
 	}
-	return false, errLogin
+	return false, errLoginRejected
 }
 
-// answered implements talker: it hands a whole answer over, or goes on with what it was for.
-func (db *mysqlDatabase) answered() {
+// answerComplete implements databaseProtocol: it reports a complete answer, or continues the execution that it
+// belongs to.
+func (db *mysqlDatabase) answerComplete() {
 	switch {
-	case db.away != nil:
-		r := *db.away
+	case db.loginRejection != nil:
+		r := *db.loginRejection
 		db.Close()
-		db.d.Loop.Post(func() { db.to.Reply(r) })
+		db.databases.Loop.Post(func() { db.listener.Reply(r) })
 		return
-	case db.phase != mysqlReady:
-		db.phase, db.owes = mysqlReady, false
-		db.to.Up()
+	case db.phase != mysqlPhaseReady:
+		db.phase, db.awaitingAnswer = mysqlPhaseReady, false
+		db.listener.Up()
 		return
 	}
-	if e := db.reply.Err; e != nil && db.run != nil && db.run.Sent && mysql.OutcomeOf(e) == mysql.Forgotten {
-		db.run.StatementUnknown(db.cache)
-		db.goOn()
+	if e := db.reply.Err; e != nil && db.execution != nil && db.execution.Sent && mysql.OutcomeOf(e) == mysql.Forgotten {
+		db.execution.StatementUnknown(db.cache)
+		db.continueExecution()
 		return
 	}
-	if db.asks != "" && db.reply.Err == nil {
-		closes, must := db.cache.Put(db.asks, prepared.Statement{ID: db.reply.Prepared.Statement, ReturnsRows: db.reply.Prepared.Columns > 0})
-		if must && db.clean() {
-			db.write(mysql.AppendStatement(nil, mysql.ComStmtClose, closes)) // it has no answer
+	if db.preparingText != "" && db.reply.Err == nil {
+		evictedID, evicted := db.cache.Put(db.preparingText, prepared.Statement{ID: db.reply.Prepared.Statement, ReturnsRows: db.reply.Prepared.Columns > 0})
+		if evicted && db.hasNoInput() {
+			db.write(mysql.AppendStatement(nil, mysql.ComStmtClose, evictedID)) // it has no answer
 		}
-		if db.run != nil {
-			db.goOn()
+		if db.execution != nil {
+			db.continueExecution()
 			return
 		}
 	}
-	db.owes = false
-	db.to.Reply(db.outcome())
+	db.awaitingAnswer = false
+	db.listener.Reply(db.outcome())
 }
 
-// goOn takes the next step of an execution. Nothing goes out behind bytes that are left over, nor where there is no
-// further step: then nothing has run.
-func (db *mysqlDatabase) goOn() {
-	err := errUnasked
-	if db.clean() {
-		err = db.step()
+// continueExecution takes the next step of an execution. If there are leftover bytes or no further step, nothing is
+// sent and nothing has run.
+func (db *mysqlDatabase) continueExecution() {
+	err := errUnexpectedAnswer
+	if db.hasNoInput() {
+		err = db.writeNextStep()
 	}
 	if err != nil {
 		db.Close()
-		db.d.Loop.Post(func() { db.to.Reply(state.Reply{Result: logic.ConnectFailed}) })
+		db.databases.Loop.Post(func() { db.listener.Reply(state.Reply{Result: logic.ConnectFailed}) })
 	}
 }
 
-// outcome puts an answer into the terms of the decisions.
+// outcome converts an answer to a state.Reply.
 func (db *mysqlDatabase) outcome() state.Reply {
 	if e := db.reply.Err; e != nil {
-		return db.failure(e)
+		return db.replyForError(e)
 	}
-	if db.caps != linkCaps { // a server without the newer ways
-		db.raw = db.reply.AppendTo(db.raw[:0], 1, linkCaps)
+	if db.capabilities != databaseCapabilities { // a server that lacks some of these capabilities
+		db.rawAnswer = db.reply.AppendTo(db.rawAnswer[:0], 1, databaseCapabilities)
 	}
-	r := state.Reply{Result: logic.OK, Body: db.raw, Role: roleOf(db.reply.OK.Role), Position: db.reply.OK.Position}
+	reply := state.Reply{Result: logic.OK, Body: db.rawAnswer, Role: parseRole(db.reply.OK.Role), Position: db.reply.OK.Position}
 	if db.probing && len(db.reply.Rows) == 1 && len(db.reply.Rows[0]) > 1 {
-		r.Load = loadOf(string(db.reply.Rows[0][1:])) // one short text: one byte of length
+		reply.Load = parseLoad(string(db.reply.Rows[0][1:])) // a short text, with a length of one byte
 	}
-	return r
+	return reply
 }
 
-// failure says what an error means for the attempt. While preparing, nothing has run.
-func (db *mysqlDatabase) failure(e *mysql.ServerError) state.Reply {
-	r := state.Reply{Result: logic.Failed, Body: db.raw}
+// replyForError returns what an error means for the attempt. While a statement is being prepared, nothing has run.
+func (db *mysqlDatabase) replyForError(e *mysql.ServerError) state.Reply {
+	reply := state.Reply{Result: logic.Failed, Body: db.rawAnswer}
 	switch mysql.OutcomeOf(e) {
 	case mysql.Miss:
-		r.Result = logic.Misdirected
+		reply.Result = logic.Misdirected
 		if e.Number != mysql.ErrTooFarBehind {
-			r.Role = logic.RoleReplica
+			reply.Role = logic.RoleReplica
 		}
 	case mysql.TurnedAway:
-		r.Result = logic.Rejected
+		reply.Result = logic.Rejected
 	case mysql.Unfit:
-		r.BadRequest = true
+		reply.BadRequest = true
 	case mysql.Forgotten:
-		r.Result = logic.ConnectFailed
+		reply.Result = logic.ConnectFailed
 	}
-	return r
+	return reply
 }
 
-// handing implements talker: MySQL's answers are held as a whole.
-func (db *mysqlDatabase) handing() bool { return false }
-func (db *mysqlDatabase) handed()       {}
+// detaching implements databaseProtocol: MySQL's answers are never streamed.
+func (db *mysqlDatabase) detaching() bool { return false }
+func (db *mysqlDatabase) detached()       {}
--- a/internal/net/mysql_hard_test.go
+++ b/internal/net/mysql_hard_test.go
@@ -50,7 +50,7 @@
 }
 
 // twoMembers runs a proxy before two members. The first that gets an EXECUTE or a text turns it away, once.
-func twoMembers(t *testing.T, slow time.Duration) (s *Server, front *state.Engine, loop *Loop, all *script) {
+func twoMembers(t *testing.T, slow time.Duration) (s *Server, engine *state.Engine, loop *Loop, all *script) {
 	all = &script{}
 	var turned atomic.Bool
 	var members []string
@@ -68,15 +68,15 @@
 			return mysqlAnswer(conn, body, caps)
 		}))
 	}
-	s, front, loop = mysqlProxy(t, nil, members...)
-	return s, front, loop, all
+	s, engine, loop = mysqlProxy(t, nil, members...)
+	return s, engine, loop, all
 }
 
 // A statement prepared on one server is executed on another: it is prepared there first, and the time that takes is off the
 // client's, also as the server is told of it.
 func TestAStatementMovesWithItsRequest(t *testing.T) {
 	const slow = 120 * time.Millisecond
-	s, front, loop, all := twoMembers(t, slow)
+	s, engine, loop, all := twoMembers(t, slow)
 	p := mysqlDial(t, s, mysql.ServerCaps&^mysql.ClientQueryAttributes)
 	const text = "SELECT val FROM state WHERE uid = ? AND ? > 0 AND ? != '' /* c=any,cluster=0,session=?1,d=?2 */"
 	r := p.ask(t, mysql.ServerCaps, mysql.AppendCommand(nil, mysql.ComStmtPrepare, text), true)
@@ -110,7 +110,7 @@
 	if ms, _ := strconv.Atoi(told); ms > int(most/time.Millisecond) || ms < 10000 {
 		t.Errorf("the second server is told of %s ms", told)
 	}
-	if c := counters(front, loop); c.Full != 1 || c.Served != 2 || c.Reset > 0 {
+	if c := counters(engine, loop); c.Full != 1 || c.Served != 2 || c.Reset > 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -141,7 +141,7 @@
 // The same text from 500 clients is one entry on the server, and one question to it.
 func TestFiveHundredClientsPrepareOneStatement(t *testing.T) {
 	all := &script{}
-	s, front, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+	s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 		all.note(body)
 		return mysqlAnswer(conn, body, caps)
 	}))
@@ -158,7 +158,7 @@
 	if n, e := all.count(mysql.ComStmtPrepare), all.count(mysql.ComStmtExecute); n != 1 || e != 500 {
 		t.Errorf("%d prepared, %d executed", n, e)
 	}
-	if c := counters(front, loop); c.Sent != 501 {
+	if c := counters(engine, loop); c.Sent != 501 {
 		t.Errorf("%d attempts: a PREPARE that was known is none", c.Sent)
 	}
 }
@@ -232,7 +232,7 @@
 // Bytes left over behind the answer to a PREPARE: the execution doesn't go out behind them, so it has never run.
 func TestNothingIsExecutedBehindASecondCopy(t *testing.T) {
 	all := &script{}
-	s, front, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+	s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 		all.note(body)
 		if body[0] == mysql.ComStmtPrepare && all.count(mysql.ComStmtPrepare) == 1 {
 			mysqlAnswer(conn, body, caps) // the client's own,
@@ -248,7 +248,7 @@
 	}))
 	p := mysqlDial(t, s, mysql.ServerCaps&^mysql.ClientQueryAttributes)
 	id := p.ask(t, mysql.ServerCaps, mysql.AppendCommand(nil, mysql.ComStmtPrepare, mysqlRead), true).Prepared.Statement
-	noLinks(t, front, loop)
+	noLinks(t, engine, loop)
 	x := mysql.Execute{Nulls: []byte{0}, Types: []byte{mysql.TypeVarString, 0}, Rest: []byte{1, 'x'}}
 	if r := p.ask(t, mysql.ServerCaps, mysql.AppendExecute(nil, id, 1, &x, 0), false); r.Err == nil {
 		t.Error("answered")
@@ -256,7 +256,7 @@
 	if n := all.count(mysql.ComStmtExecute); n > 0 {
 		t.Errorf("%d went out behind bytes that were left over", n)
 	}
-	if c := counters(front, loop); c.Reset > 0 || c.ConnectFailed == 0 {
+	if c := counters(engine, loop); c.Reset > 0 || c.ConnectFailed == 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -265,7 +265,7 @@
 func TestMoreThanAWelcome(t *testing.T) {
 	var asked atomic.Int32
 	more := mysql.AppendOK(nil, 1, mysql.OK{}, mysql.ServerCaps, false)
-	s, front, loop := mysqlProxy(t, nil, listen(t, func(conn stdnet.Conn) {
+	s, engine, loop := mysqlProxy(t, nil, listen(t, func(conn stdnet.Conn) {
 		if p, _ := mysqlWelcome(conn, mysql.ServerCaps, more); p != nil {
 			if _, _, err := p.next(); err == nil {
 				asked.Add(1)
@@ -275,7 +275,7 @@
 	if _, err := mysqlOpen(t, s, "").Exec("UPDATE x SET y = 1 /* c=any,cluster=0,d=15000 */"); err == nil {
 		t.Error("answered by what came before it was asked")
 	}
-	if c := counters(front, loop); asked.Load() > 0 || c.Served > 0 || c.Reset > 0 {
+	if c := counters(engine, loop); asked.Load() > 0 || c.Served > 0 || c.Reset > 0 {
 		t.Errorf("%d were asked, %+v", asked.Load(), c)
 	}
 }
@@ -308,7 +308,7 @@
 		"a definition that is none": func(caps uint32) []byte { return packets(caps, []byte{1}, []byte{1, 'x'}, []byte{0, 0, 1, 'x'}) },
 	} {
 		for _, prepares := range []bool{false, true} {
-			s, front, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+			s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 				if body[0] == mysql.ComStmtPrepare || body[0] == mysql.ComStmtClose {
 					return mysqlAnswer(conn, body, caps)
 				}
@@ -323,7 +323,7 @@
 			} else {
 				err = db.QueryRow("SELECT 1 /* c=any,cluster=0,d=15000 */").Scan(&got)
 			}
-			if c := counters(front, loop); err == nil || c.Reset == 0 {
+			if c := counters(engine, loop); err == nil || c.Reset == 0 {
 				t.Errorf("%s, prepared %v: %v, %q, %+v", name, prepares, err, got, c)
 			}
 		}
@@ -464,7 +464,7 @@
 	p, _ := open()
 	p.conn.Write(mysql.AppendPacket(nil, 0, change))
 	p.next()
-	skip(s, queryPatience)
+	skip(s, queryTimeout)
 	body, _, err := p.next()
 	if e, _ := mysql.ParseErr(body); err != nil || e.Number == 0 {
 		t.Errorf("half of it: %x, %v", body, err)
@@ -474,7 +474,7 @@
 // Query attributes say of a request what its text doesn't, and don't reach the database.
 func TestQueryAttributes(t *testing.T) {
 	all := &script{}
-	s, front, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+	s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 		all.note(body)
 		return mysqlAnswer(conn, body, caps)
 	}))
@@ -508,7 +508,7 @@
 	if r := p.ask(t, caps, mysql.AppendPacket(nil, 0, body), false); r.Err == nil {
 		t.Error("served though its time had run out, as its attribute says")
 	}
-	if c := counters(front, loop); c.Served != 2 || all.count(mysql.ComStmtExecute) != 0 {
+	if c := counters(engine, loop); c.Served != 2 || all.count(mysql.ComStmtExecute) != 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -516,7 +516,7 @@
 // A refusal is 1040 with the time to come back, where there is one.
 func TestMySQLRefusals(t *testing.T) {
 	for after, want := range map[time.Duration]string{0: "now", 1500 * time.Microsecond: "now; come again after 2 ms"} {
-		body, _, _, err := mysql.Next((&mysqlSpeaker{seq: 1}).refused(nil, after), mysql.MaxPacket)
+		body, _, _, err := mysql.Next((&mysqlProtocol{sequence: 1}).refusedAnswer(nil, after), mysql.MaxPacket)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -525,13 +525,13 @@
 			t.Errorf("%+v, %v", e, err)
 		}
 	}
-	s, front, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, mysqlAnswer))
+	s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, mysqlAnswer))
 	done := make(chan struct{})
-	loop.Post(func() { s.front.UpdateList(state.List{Kind: logic.ListFull}); close(done) })
+	loop.Post(func() { s.engine.UpdateList(state.List{Kind: logic.ListFull}); close(done) })
 	<-done
 	var said *driver.MySQLError
 	_, err := mysqlOpen(t, s, "").Exec("SELECT 1 /* c=any,cluster=0,d=15000 */")
-	if c := counters(front, loop); !errors.As(err, &said) || said.Number != mysql.ErrTooManyConnections || c.Refused != 1 {
+	if c := counters(engine, loop); !errors.As(err, &said) || said.Number != mysql.ErrTooManyConnections || c.Refused != 1 {
 		t.Errorf("%v, %+v", err, c)
 	}
 }
--- a/internal/net/mysql_login.go
+++ b/internal/net/mysql_login.go
@@ -11,21 +11,21 @@
 	"havenproxy/internal/wire/mysql"
 )
 
-// busyChecking is when a client is told to return for whom no check of a password is free.
-const busyChecking = time.Second
+// loginRetryAfter is the time after which a client is asked to retry when no password check can be started.
+const loginRetryAfter = time.Second
 
-// MySQLOptions is what MySQL's front needs.
+// MySQLOptions configures the listener for MySQL clients.
 type MySQLOptions struct {
 	Users map[string]mysql.Secret // empty = anyone, without a password
-	Key   *mysql.Key              // for full exchanges; nil = it isn't there yet
+	Key   *mysql.Key              // for full authentication exchanges; nil = not available yet
 }
 
-// ListenMySQL opens an address for MySQL's clients.
+// ListenMySQL opens an address for MySQL clients.
 func (s *Server) ListenMySQL(address string, o *MySQLOptions) error {
-	front := &mysqlFront{options: o, cached: map[string]fullLogin{}, guard: logins.New(logins.Config{}),
-		shapes: prepared.NewMetadataCache(keptShapes, shapeRoom, shapeKeep), room: prepared.NewBudget(maxAllTexts), checking: make(chan struct{}, 1)}
-	err := s.listen(address, func() speaker {
-		return &mysqlSpeaker{front: front, share: front.room.NewShare(maxStatements, maxTexts), statements: map[uint32]*mysqlStatement{}}
+	engine := &mysqlShared{options: o, fullLogins: map[string]fullLogin{}, guard: logins.New(logins.Config{}),
+		metadata: prepared.NewMetadataCache(maxCachedMetadata, maxMetadataBytes, metadataLifetime), statementBudget: prepared.NewBudget(maxTotalStatementBytes), checkSlot: make(chan struct{}, 1)}
+	err := s.listen(address, func() clientProtocol {
+		return &mysqlProtocol{shared: engine, budgetShare: engine.statementBudget.NewShare(maxStatements, maxStatementBytes), statements: map[uint32]*mysqlStatement{}}
 	})
 	if err == nil {
 		s.mysql = s.listeners[len(s.listeners)-1]
@@ -33,7 +33,7 @@
 	return err
 }
 
-// MySQLAddress tells where MySQL's clients are listened for; empty = nowhere.
+// MySQLAddress returns the address that MySQL clients connect to; empty = there is none.
 func (s *Server) MySQLAddress() string {
 	if s.mysql == nil {
 		return ""
@@ -41,152 +41,153 @@
 	return s.mysql.Addr().String()
 }
 
-// mysqlFront is what all MySQL clients share.
-type mysqlFront struct {
-	options  *MySQLOptions
-	cached   map[string]fullLogin // of users who went through a full exchange
-	guard    *logins.Guard
-	checking chan struct{} // one check of a password at a time, beside the loop
-	shapes   *prepared.MetadataCache
-	room     *prepared.Budget // for all clients' statements
-	last     uint32
+// mysqlShared is the state that all MySQL clients share.
+type mysqlShared struct {
+	options          *MySQLOptions
+	fullLogins       map[string]fullLogin // of users who completed a full authentication exchange
+	guard            *logins.Guard
+	checkSlot        chan struct{} // one password check at a time, outside the loop
+	metadata         *prepared.MetadataCache
+	statementBudget  *prepared.Budget // for all clients' statements
+	lastConnectionID uint32
 }
 
-// fullLogin is what a full exchange has shown: the secret that it was checked against, and the one for the fast path. Once
-// the operator has changed the first, the second is worth nothing.
-type fullLogin struct{ against, fast mysql.Secret }
+// fullLogin is the result of a full authentication exchange: the secret that the password was checked against and the
+// one for the fast path. The second becomes invalid when the operator changes the first.
+type fullLogin struct{ checkedSecret, fastSecret mysql.Secret }
 
 type loginPhase uint8
 
 const (
 	loginFirst loginPhase = iota
-	loginSwitched
-	loginKey // it may ask for the key
-	loginSealed
-	loginChecking // its password is looked at beside the loop; nothing more is read
+	loginAuthSwitched
+	loginKeyExchange // the client may request the public key
+	loginSealedPassword
+	loginChecking // its password is being checked outside the loop; no more input is read
 	loginDone
 )
 
-func (m *mysqlSpeaker) newScramble() {
+func (m *mysqlProtocol) newScramble() {
 	m.scramble = make([]byte, mysql.ScrambleLen)
 	rand.Read(m.scramble)
-	for i := range m.scramble { // clients take it for a text
+	for i := range m.scramble { // clients treat it as text
 		m.scramble[i] = m.scramble[i]%94 + 33
 	}
 }
 
-func (m *mysqlSpeaker) send(c *client, add func(dst []byte, seq byte) []byte) {
-	out := add(nil, m.seq)
+func (m *mysqlProtocol) send(c *client, add func(dst []byte, seq byte) []byte) {
+	out := add(nil, m.sequence)
 	c.write(out)
-	m.seq++
+	m.sequence++
 }
 
-func (m *mysqlSpeaker) login(c *client, body []byte) error {
+func (m *mysqlProtocol) login(c *client, body []byte) error {
 	switch m.phase {
 	case loginFirst:
 		l, err := mysql.ParseLogin(body)
 		if err != nil {
 			return err
 		}
-		m.caps, m.user = l.Caps&mysql.ServerCaps, l.User
-		return m.check(c, l.Plugin, l.Auth)
-	case loginSwitched:
+		m.capabilities, m.user = l.Caps&mysql.ServerCaps, l.User
+		return m.checkAuth(c, l.Plugin, l.Auth)
+	case loginAuthSwitched:
 		secret := m.secret()
-		return m.check(c, secret.Plugin(), body)
-	case loginKey:
+		return m.checkAuth(c, secret.Plugin(), body)
+	case loginKeyExchange:
 		if !mysql.AsksKey(body) {
-			return m.denied(c) // a password in clear, which nobody should send here
+			return m.denyLogin(c) // a cleartext password, which must not be sent here
 		}
-		m.phase = loginSealed
-		m.send(c, func(dst []byte, seq byte) []byte { return mysql.AppendAuthMore(dst, seq, m.front.options.Key.PEM()) })
+		m.phase = loginSealedPassword
+		m.send(c, func(dst []byte, seq byte) []byte { return mysql.AppendAuthMore(dst, seq, m.shared.options.Key.PEM()) })
 		return nil
 	}
-	m.open(c, append([]byte(nil), body...))
+	m.checkSealedPassword(c, append([]byte(nil), body...))
 	return nil
 }
 
-// who tells the guard who tries.
-func (m *mysqlSpeaker) who(c *client) logins.Login {
-	host, _, _ := stdnet.SplitHostPort(c.from)
-	return logins.Login{Peer: host, User: m.user}
+// loginID returns the peer and user by which the guard counts logins.
+func (m *mysqlProtocol) loginID(c *client) logins.Login {
+	peer, _, _ := stdnet.SplitHostPort(c.remoteAddress)
+	return logins.Login{Peer: peer, User: m.user}
 }
 
-// denied ends a login that was wrong.
-func (m *mysqlSpeaker) denied(c *client) error {
-	m.front.guard.Failed(c.s.clock.Now(), m.who(c))
+// denyLogin records a failed login and returns its error.
+func (m *mysqlProtocol) denyLogin(c *client) error {
+	m.shared.guard.Failed(c.server.clock.Now(), m.loginID(c))
 	return errDenied
 }
 
-func (m *mysqlSpeaker) notNow(c *client, why string, wait time.Duration) {
-	c.s.front.Counters.ClientsRejected++
-	c.leave(endTooOften, fmt.Sprintf("%s; come again after %d ms", why, (wait+time.Millisecond-1)/time.Millisecond))
+func (m *mysqlProtocol) rejectLogin(c *client, reason string, wait time.Duration) {
+	c.server.engine.Counters.ClientsRejected++
+	c.closeWithError(reasonTooManyLogins, fmt.Sprintf("%s; come again after %d ms", reason, (wait+time.Millisecond-1)/time.Millisecond))
 }
 
-// open checks a password that came sealed. Opening it and hashing it take milliseconds, which the loop doesn't have.
-func (m *mysqlSpeaker) open(c *client, sealed []byte) {
-	who := m.who(c)
-	if !m.front.guard.StartCheck(who.Peer) {
-		m.notNow(c, "too many logins at once", busyChecking)
+// checkSealedPassword checks an encrypted password. Decrypting and hashing it take milliseconds, so they run outside
+// the loop.
+func (m *mysqlProtocol) checkSealedPassword(c *client, sealed []byte) {
+	login := m.loginID(c)
+	if !m.shared.guard.StartCheck(login.Peer) {
+		m.rejectLogin(c, "too many logins at once", loginRetryAfter)
 		return
 	}
 	m.phase = loginChecking
-	key, scramble, secret := m.front.options.Key, m.scramble, m.front.options.Users[m.user]
+	key, scramble, secret := m.shared.options.Key, m.scramble, m.shared.options.Users[m.user]
 	go func() {
-		m.front.checking <- struct{}{}
+		m.shared.checkSlot <- struct{}{}
 		password, err := key.Open(sealed, scramble)
 		fast, ok := mysql.Secret{}, false
 		if err == nil {
 			fast, ok = secret.Full(password)
 		}
-		<-m.front.checking
-		c.s.loop.Post(func() {
-			m.front.guard.EndCheck(who.Peer)
-			if ok { // no more than there are users
-				m.front.cached[who.User] = fullLogin{secret, fast}
+		<-m.shared.checkSlot
+		c.server.loop.Post(func() {
+			m.shared.guard.EndCheck(login.Peer)
+			if ok { // at most one entry for each user
+				m.shared.fullLogins[login.User] = fullLogin{secret, fast}
 			}
-			if c.phase >= phaseLeaving {
+			if c.phase >= phaseClosing {
 				return
 			}
 			if ok {
-				m.welcome(c)
+				m.acceptLogin(c)
 			} else {
-				c.malformed(m.denied(c))
+				c.closeMalformed(m.denyLogin(c))
 			}
 			c.parse()
 		})
 	}()
 }
 
-// secret is that of the user who logs in; an unknown one has one that nothing fits.
-func (m *mysqlSpeaker) secret() mysql.Secret {
-	if len(m.front.options.Users) == 0 {
+// secret returns the secret of the user who logs in; for an unknown user, one that no password matches.
+func (m *mysqlProtocol) secret() mysql.Secret {
+	if len(m.shared.options.Users) == 0 {
 		return mysql.Secret{}
 	}
-	s, ok := m.front.options.Users[m.user]
+	s, ok := m.shared.options.Users[m.user]
 	if !ok {
 		return mysql.Secret{Kind: mysql.SecretSHA2}
 	}
-	if full, ok := m.front.cached[m.user]; ok && full.against.Equal(&s) {
-		return full.fast
+	if full, ok := m.shared.fullLogins[m.user]; ok && full.checkedSecret.Equal(&s) {
+		return full.fastSecret
 	}
 	return s
 }
 
-func (m *mysqlSpeaker) check(c *client, plugin string, auth []byte) error {
-	if len(m.front.options.Users) == 0 {
-		m.welcome(c)
+func (m *mysqlProtocol) checkAuth(c *client, plugin string, auth []byte) error {
+	if len(m.shared.options.Users) == 0 {
+		m.acceptLogin(c)
 		return nil
 	}
-	if wait, ok := m.front.guard.Allow(c.s.clock.Now(), m.who(c)); !ok {
-		m.notNow(c, "too many logins have failed", wait)
+	if wait, ok := m.shared.guard.Allow(c.server.clock.Now(), m.loginID(c)); !ok {
+		m.rejectLogin(c, "too many logins have failed", wait)
 		return nil
 	}
 	secret := m.secret()
 	if plugin != secret.Plugin() {
-		if m.phase == loginSwitched {
-			return m.denied(c)
+		if m.phase == loginAuthSwitched {
+			return m.denyLogin(c)
 		}
-		m.phase = loginSwitched
+		m.phase = loginAuthSwitched
 		m.send(c, func(dst []byte, seq byte) []byte {
 			return mysql.AppendAuthSwitch(dst, seq, secret.Plugin(), m.scramble)
 		})
@@ -197,40 +198,40 @@
 		if secret.Kind == mysql.SecretSHA2 {
 			m.send(c, func(dst []byte, seq byte) []byte { return mysql.AppendAuthMore(dst, seq, mysql.FastOK) })
 		}
-		m.welcome(c)
+		m.acceptLogin(c)
 		return nil
-	case secret.Kind == mysql.SecretSalted && len(auth) > 0 && m.front.options.Key == nil:
-		m.notNow(c, "logins are not ready yet", busyChecking)
+	case secret.Kind == mysql.SecretSalted && len(auth) > 0 && m.shared.options.Key == nil:
+		m.rejectLogin(c, "logins are not ready yet", loginRetryAfter)
 		return nil
 	case secret.Kind == mysql.SecretSalted && len(auth) > 0:
-		m.phase = loginKey
+		m.phase = loginKeyExchange
 		m.send(c, func(dst []byte, seq byte) []byte { return mysql.AppendAuthMore(dst, seq, mysql.FullNeeded) })
 		return nil
 	}
-	return m.denied(c)
+	return m.denyLogin(c)
 }
 
-// changeUser logs another user in on a connection that is up, by a scramble of its own: an answer to the first one, which
-// somebody may have heard, is of no use. The client has as long for it as for its first login.
-func (m *mysqlSpeaker) changeUser(c *client, user string) error {
+// changeUser logs another user in on an existing connection, with a new scramble: an answer to the first one, which
+// may have been intercepted, must not be valid again. The client has as long for it as for its first login.
+func (m *mysqlProtocol) changeUser(c *client, user string) error {
 	m.user, m.phase = user, loginFirst
 	m.newScramble()
-	m.changing, c.asked = true, false
-	c.s.deadlines.Set(&c.timer, c.s.clock.Now()+queryPatience, c.tooSlow)
-	return m.check(c, "", nil)
+	m.changingUser, c.hasQueried = true, false
+	c.server.deadlines.Set(&c.timer, c.server.clock.Now()+queryTimeout, c.queryTimedOut)
+	return m.checkAuth(c, "", nil)
 }
 
-func (m *mysqlSpeaker) welcome(c *client) {
-	if len(m.front.options.Users) > 0 {
-		m.front.guard.Succeeded(m.who(c))
+func (m *mysqlProtocol) acceptLogin(c *client) {
+	if len(m.shared.options.Users) > 0 {
+		m.shared.guard.Succeeded(m.loginID(c))
 	}
-	if m.changing {
-		c.spoke()
+	if m.changingUser {
+		c.noteQuery()
 	}
-	m.phase, m.changing = loginDone, false
-	m.ok(c)
+	m.phase, m.changingUser = loginDone, false
+	m.sendOK(c)
 }
 
-func (m *mysqlSpeaker) ok(c *client) {
-	m.send(c, func(dst []byte, seq byte) []byte { return mysql.AppendOK(dst, seq, mysql.OK{}, m.caps, false) })
+func (m *mysqlProtocol) sendOK(c *client) {
+	m.send(c, func(dst []byte, seq byte) []byte { return mysql.AppendOK(dst, seq, mysql.OK{}, m.capabilities, false) })
 }
--- a/internal/net/mysql_test.go
+++ b/internal/net/mysql_test.go
@@ -138,10 +138,10 @@
 // mysqlProxy runs a server with a MySQL front before members that speak MySQL, all of group 0.
 func mysqlProxy(t *testing.T, users map[string]mysql.Secret, members ...string) (*Server, *state.Engine, *Loop) {
 	t.Helper()
-	s, front, loop := proxy(t, members[0], 8, 2)
+	s, engine, loop := proxy(t, members[0], 8, 2)
 	done := make(chan error)
 	loop.Post(func() {
-		d := front.Opener().(*Databases)
+		d := engine.Opener().(*Databases)
 		d.MySQL = func(int) bool { return true }
 		done <- s.ListenMySQL("127.0.0.1:0", &MySQLOptions{Users: users})
 	})
@@ -154,10 +154,10 @@
 			for i, m := range members {
 				list.Entries = append(list.Entries, state.Entry{Name: fmt.Sprint("m", i), Address: m, State: logic.Ready})
 			}
-			front.UpdateList(list)
+			engine.UpdateList(list)
 		})
 	}
-	return s, front, loop
+	return s, engine, loop
 }
 
 func mysqlOpen(t *testing.T, s *Server, options string) *sql.DB {
@@ -173,18 +173,18 @@
 
 const mysqlRead = "SELECT val FROM state WHERE uid = ? /* c=any,cluster=0,d=15000,session=?1 */"
 
-func counters(front *state.Engine, loop *Loop) state.Counters {
+func counters(engine *state.Engine, loop *Loop) state.Counters {
 	got := make(chan state.Counters)
-	loop.Post(func() { got <- front.Counters })
+	loop.Post(func() { got <- engine.Counters })
 	return <-got
 }
 
 // noLinks waits until the proxy has noticed that the databases have ended its connections.
-func noLinks(t *testing.T, front *state.Engine, loop *Loop) {
+func noLinks(t *testing.T, engine *state.Engine, loop *Loop) {
 	t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		n := make(chan int)
-		loop.Post(func() { n <- front.Connections() })
+		loop.Post(func() { n <- engine.Connections() })
 		if <-n == 0 {
 			return
 		}
@@ -247,7 +247,7 @@
 func TestAForgottenStatementIsPreparedOnceMore(t *testing.T) {
 	for forgets, ok := range map[int32]bool{1: true, 99: false} {
 		var n, prepares atomic.Int32
-		s, front, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+		s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 			if body[0] == mysql.ComStmtPrepare {
 				prepares.Add(1)
 			}
@@ -262,7 +262,7 @@
 		if (err == nil) != ok {
 			t.Errorf("forgets %d times: %q, %v", forgets, got, err)
 		}
-		c := counters(front, loop)
+		c := counters(engine, loop)
 		if ok && (prepares.Load() != 2 || c.Sent != 2) {
 			t.Errorf("%d prepared, %d attempts", prepares.Load(), c.Sent)
 		}
@@ -276,7 +276,7 @@
 func TestAFailureWhilePreparingHasNeverRun(t *testing.T) {
 	for _, at := range []byte{mysql.ComStmtPrepare, mysql.ComStmtExecute} {
 		var seen atomic.Int32
-		s, front, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+		s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 			if body[0] == mysql.ComStmtPrepare && seen.Add(1) == 1 {
 				mysqlAnswer(conn, body, caps) // the client's own
 				return false                  // and the connection ends behind it
@@ -290,12 +290,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		noLinks(t, front, loop)
+		noLinks(t, engine, loop)
 		var got string
 		if err := st.QueryRow("x").Scan(&got); err == nil {
 			t.Errorf("%#x: it was answered", at)
 		}
-		c := counters(front, loop)
+		c := counters(engine, loop)
 		if never := at == mysql.ComStmtPrepare; never != (c.Reset == 0) || never != (c.ConnectFailed > 0) {
 			t.Errorf("%#x: %d reset, %d could not connect", at, c.Reset, c.ConnectFailed)
 		}
@@ -304,7 +304,7 @@
 
 // A text that databases refuse: the client hears their word at once, and no member is blamed.
 func TestABadStatementIsItsOwnFault(t *testing.T) {
-	s, front, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+	s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 		conn.Write(mysql.AppendErr(nil, 1, mysql.ErrParse, "no such table"))
 		return true
 	}))
@@ -318,7 +318,7 @@
 			t.Error(err)
 		}
 	}
-	if c := counters(front, loop); c.Sent != 2 || c.Failed != 2 {
+	if c := counters(engine, loop); c.Sent != 2 || c.Failed != 2 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -356,7 +356,7 @@
 		in := false // it has logged in
 		for end := time.Now().Add(patience); told == nil && time.Now().Before(end); {
 			if name == "half a packet" && in || name == "silence" {
-				skip(s, queryPatience)
+				skip(s, queryTimeout)
 			}
 			body, _, err := p.next()
 			if err != nil {
@@ -439,7 +439,7 @@
 		conn.Write(mysql.AppendStatement(nil, mysql.ComStmtClose, uint32(n+2)))
 		told = ask(mysql.AppendCommand(nil, mysql.ComStmtPrepare, long), true).Err
 	}
-	if told == nil || told.Number != mysql.ErrTooManyStatements || n > maxTexts/len(long)+1 {
+	if told == nil || told.Number != mysql.ErrTooManyStatements || n > maxStatementBytes/len(long)+1 {
 		t.Errorf("long texts: %v at the %d.", told, n)
 	}
 	conn.Close()
@@ -449,7 +449,7 @@
 		loop.Post(func() {
 			sum := s.buffered
 			for c := range s.clients {
-				sum += c.speaks.(*mysqlSpeaker).share.Used() + 1
+				sum += c.protocol.(*mysqlProtocol).budgetShare.Used() + 1
 			}
 			got <- sum
 		})
@@ -470,19 +470,19 @@
 		"a file, please":   mysql.AppendPacket(nil, 1, []byte{0xfb, 'x'}),
 		"columns too many": mysql.AppendPacket(nil, 1, []byte{0xfc, 0xff, 0xff}),
 	} {
-		s, front, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+		s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 			conn.Write(says)
 			return true
 		}))
 		if _, err := mysqlOpen(t, s, "").Exec("SELECT 1 /* c=any,cluster=0,d=15000 */"); err == nil {
 			t.Errorf("%s: answered", name)
 		}
-		if c := counters(front, loop); c.Served > 0 || c.Reset+c.TimedOut == 0 {
+		if c := counters(engine, loop); c.Served > 0 || c.Reset+c.TimedOut == 0 {
 			t.Errorf("%s: %+v", name, c)
 		}
 	}
 	// A second copy makes the connection unfit for the next command; the first counts.
-	s, front, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+	s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 		conn.Write(append(append([]byte(nil), ok...), ok...))
 		return true
 	}))
@@ -492,7 +492,7 @@
 			t.Errorf("a second copy: %v", err)
 		}
 	}
-	if c := counters(front, loop); c.Served != 3 || c.Opened < 3 {
+	if c := counters(engine, loop); c.Served != 3 || c.Opened < 3 {
 		t.Errorf("a second copy: %+v", c)
 	}
 }
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -56,19 +56,19 @@
 	t.Helper()
 	clock := &skipClock{SystemClock: state.NewClock()}
 	databases := &Databases{ConnectTimeout: patience}
-	front, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, databases)
+	engine, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, databases)
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := NewLoop(clock, &front.Deadlines)
-	databases.Loop, databases.Counters = loop, &front.Counters
-	s := NewServer(loop, clock, front, clients, excess, 32<<20)
-	s.easy = clients // each test closes clients for one reason
+	loop := NewLoop(clock, &engine.Deadlines)
+	databases.Loop, databases.Counters = loop, &engine.Counters
+	s := NewServer(loop, clock, engine, clients, excess, 32<<20)
+	s.idleCloseThreshold = clients // each test closes clients for one reason
 	if err := s.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	loop.Post(func() {
-		front.Start(noWatch{}, state.List{Entries: []state.Entry{{Name: "m", Address: member, State: logic.Ready}}})
+		engine.Start(noWatch{}, state.List{Entries: []state.Entry{{Name: "m", Address: member, State: logic.Ready}}})
 	})
 	done := make(chan struct{})
 	go func() { loop.Run(); close(done) }()
@@ -76,7 +76,7 @@
 		loop.Post(func() { s.Drain(); loop.Stop() })
 		<-done
 	})
-	return s, front, loop
+	return s, engine, loop
 }
 
 // listen serves each connection to a port of its own.
@@ -291,9 +291,9 @@
 	second := comes(ask, welcome+"IZ")
 	third := comes(ask, welcome+"IZ")
 	comes(ask, "E!") // nobody has been idle or silent for long enough
-	skip(s, silentFor)
+	skip(s, minSilentTime)
 	comes(ask, welcome+"IZ")
-	skip(s, idleFor)
+	skip(s, minIdleTime)
 	second.conn.Write(pg.AppendQuery(nil, "")) // it isn't idle any more
 	second.said(2)
 	comes(ask, welcome+"IZ")
@@ -308,7 +308,7 @@
 			t.Errorf("a client that had a place got %q", types)
 		}
 	}
-	skip(s, idleFor)
+	skip(s, minIdleTime)
 	first := comes(start, welcome)
 	comes(start, welcome)
 	comes(start, welcome) // hundreds that stay silent leave room for those that don't
@@ -321,7 +321,7 @@
 // opens no more than a share of the descriptors: nobody came, and requests found no connection.
 func TestIdleClientsAreClosedBeforeThereIsNeed(t *testing.T) {
 	s, _, loop := proxy(t, member(t, echo), 6, 1)
-	loop.Post(func() { s.easy = 2 })
+	loop.Post(func() { s.idleCloseThreshold = 2 })
 	ask := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), "")
 	var came []*peer
 	for range 3 {
@@ -330,7 +330,7 @@
 		p.said(len(welcome) + 2)
 		came = append(came, p)
 	}
-	skip(s, idleFor)
+	skip(s, minIdleTime)
 	if types, _ := came[0].said(1); types != "!" {
 		t.Errorf("one of three, where two may stay, got %q", types)
 	}
@@ -367,7 +367,7 @@
 		s.loop.Post(func() { got <- s.buffered })
 		seen = <-got
 	}
-	skip(s, queryPatience)
+	skip(s, queryTimeout)
 	for i, p := range ends {
 		if types, bodies := p.said(99); !strings.HasSuffix(types, "E!") || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
 			t.Errorf("client %d got %q", i, types)
@@ -380,7 +380,7 @@
 }
 
 func TestExcessClientIsTurnedAwayWithAWholeAnswer(t *testing.T) {
-	s, front, loop := proxy(t, member(t, echo), 1, 4)
+	s, engine, loop := proxy(t, member(t, echo), 1, 4)
 	first := dial(t, s)
 	start := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), "")
 	first.conn.Write(start)
@@ -400,7 +400,7 @@
 		t.Errorf("the third client got %q", types)
 	}
 	figures := make(chan string)
-	loop.Post(func() { figures <- string(front.AppendMetrics(nil)) })
+	loop.Post(func() { figures <- string(engine.AppendMetrics(nil)) })
 	if got := <-figures; !strings.Contains(got, "proxy.handled.any.dropped:1|c") {
 		t.Errorf("%s", got)
 	}
@@ -427,7 +427,7 @@
 			loop.Post(func() {
 				sum := 0
 				for c := range s.clients {
-					sum += len(c.in.bytes)
+					sum += len(c.input.bytes)
 				}
 				got <- len(s.clients) == n && sum == bytes
 			})
@@ -465,14 +465,14 @@
 			return true
 		},
 	} {
-		s, front, loop := proxy(t, member(t, answer), 8, 1)
+		s, engine, loop := proxy(t, member(t, answer), 8, 1)
 		p := dial(t, s)
 		p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("a")))
 		if types, _ := p.said(len(welcome) + 2); types != welcome+"EZ" {
 			t.Errorf("%s: the client got %q", name, types)
 		}
 		got := make(chan uint64)
-		loop.Post(func() { got <- front.Counters.Reset })
+		loop.Post(func() { got <- engine.Counters.Reset })
 		if n := <-got; n == 0 {
 			t.Errorf("%s: no reset was counted", name)
 		}
@@ -508,7 +508,7 @@
 // closed before the loop hears of it.
 func TestOpenIDsAndBurstsOfClients(t *testing.T) {
 	asked, answer := make(chan struct{}), make(chan struct{})
-	s, front, loop := proxy(t, member(t, func(c stdnet.Conn, text string) bool {
+	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, text string) bool {
 		close(asked)
 		<-answer
 		return echo(c, text)
@@ -523,7 +523,7 @@
 	if types, _ := dial(t, s).said(1); types != "!" {
 		t.Errorf("one too many got %q", types)
 	}
-	skip(s, silentFor) // the one that is closed for want of a descriptor lets the loop close the silent one
+	skip(s, minSilentTime) // the one that is closed for want of a descriptor lets the loop close the silent one
 	for {
 		p := dial(t, s)
 		p.conn.Write(pg.AppendStartup(nil, "client", "core"))
@@ -541,7 +541,7 @@
 		t.Errorf("the first got %q", types)
 	}
 	got := make(chan uint64)
-	loop.Post(func() { got <- front.Counters.Clients })
+	loop.Post(func() { got <- engine.Counters.Clients })
 	if n := <-got; n != 3 {
 		t.Errorf("the loop has seen %d clients, there were descriptors for 2 and then for another", n)
 	}
@@ -550,7 +550,7 @@
 // An answer that does not end is a failed attempt long before the client's time is up.
 func TestAnswerWithoutItsEndIsSpoilt(t *testing.T) {
 	begun := make(chan struct{})
-	s, front, loop := proxy(t, member(t, func(c stdnet.Conn, text string) bool {
+	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, text string) bool {
 		c.Write(row(text)[:9])
 		close(begun)
 		return true
@@ -562,7 +562,7 @@
 		t.Errorf("the client got %q", types)
 	}
 	got := make(chan uint64)
-	loop.Post(func() { got <- front.Counters.Reset })
+	loop.Post(func() { got <- engine.Counters.Reset })
 	if n := <-got; n != 1 {
 		t.Errorf("%d resets", n)
 	}
@@ -579,7 +579,7 @@
 		p.said(2)
 	}
 	got := make(chan int)
-	loop.Post(func() { got <- s.front.Connections() })
+	loop.Post(func() { got <- s.engine.Connections() })
 	if n := <-got; n != 0 {
 		t.Errorf("%d connections are counted", n)
 	}
@@ -603,7 +603,7 @@
 		got := make(chan bool)
 		loop.Post(func() {
 			for c := range s.clients {
-				seen = len(c.in.bytes) == len(half)
+				seen = len(c.input.bytes) == len(half)
 			}
 			got <- seen
 		})
@@ -651,16 +651,16 @@
 
 // Queries that wait in the buffer of a client that has gone are not taken.
 func TestNothingIsTakenFromAClosedClient(t *testing.T) {
-	s, front, _ := proxy(t, "127.0.0.1:1", 8, 1)
-	c := &client{s: s, phase: phaseClosed, in: buffer{pg.AppendQuery(nil, query("a"))}}
-	if c.parse(); front.Counters.Received != 0 || len(c.in.bytes) != 0 {
-		t.Errorf("%d requests taken, %d bytes left", front.Counters.Received, len(c.in.bytes))
+	s, engine, _ := proxy(t, "127.0.0.1:1", 8, 1)
+	c := &client{server: s, phase: phaseClosed, input: buffer{pg.AppendQuery(nil, query("a"))}}
+	if c.parse(); engine.Counters.Received != 0 || len(c.input.bytes) != 0 {
+		t.Errorf("%d requests taken, %d bytes left", engine.Counters.Received, len(c.input.bytes))
 	}
 }
 
 func TestClientThatLeavesAbandonsItsRequest(t *testing.T) {
 	asked := make(chan struct{})
-	s, front, loop := proxy(t, member(t, func(c stdnet.Conn, _ string) bool {
+	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, _ string) bool {
 		close(asked)
 		c.Read(make([]byte, 1)) // until the proxy gives the attempt up
 		return false
@@ -671,7 +671,7 @@
 	p.conn.Close()
 	for { // the proxy notices when its poller does
 		got := make(chan uint64)
-		loop.Post(func() { got <- front.Counters.Abandoned })
+		loop.Post(func() { got <- engine.Counters.Abandoned })
 		if <-got == 1 {
 			break
 		}
@@ -716,8 +716,8 @@
 		}
 		io.Copy(io.Discard, conn)
 	}()
-	_, front, loop := proxy(t, "127.0.0.1:1", 8, 1)
-	d := NewDiscovery(loop, state.NewClock(), front, ln.Addr().String(), discovery.NoList, 0)
+	_, engine, loop := proxy(t, "127.0.0.1:1", 8, 1)
+	d := NewDiscovery(loop, state.NewClock(), engine, ln.Addr().String(), discovery.NoList, 0)
 	loop.Post(func() { d.Watch(true) })
 	for i, want := range []string{"/v1/endpoints", "/v1/endpoints?after=0&wait_ms=3000", "/v1/endpoints?after=5&wait_ms=3000"} {
 		if got := <-calls; got != want {
@@ -726,7 +726,7 @@
 	}
 	for {
 		got := make(chan uint64)
-		loop.Post(func() { got <- front.Counters.ListFailures })
+		loop.Post(func() { got <- engine.Counters.ListFailures })
 		if <-got == 1 {
 			break
 		}
--- a/internal/net/nodelay_test.go
+++ b/internal/net/nodelay_test.go
@@ -36,7 +36,7 @@
 		t.Error("a client's connection holds small writes back")
 	}
 	dialled := make(chan bool)
-	connect(loop, address, patience, func(conn netpoll.Connection, err error) {
+	dialAsync(loop, address, patience, func(conn netpoll.Connection, err error) {
 		if err != nil {
 			t.Error(err)
 			dialled <- false
--- a/internal/net/peers.go
+++ b/internal/net/peers.go
@@ -15,37 +15,37 @@
 	"havenproxy/internal/wire/peers"
 )
 
-// Peers carries datagrams between the proxies of a tier. netpoll serves no datagrams, so a goroutine of its own reads the socket and
-// hands what came to the loop. It implements state.PeerSender.
+// Peers carries datagrams between the proxies of a tier. netpoll does not support datagrams, so a separate goroutine
+// reads the socket and posts messages to the loop. It implements state.PeerSender.
 type Peers struct {
-	loop  *Loop
-	front *state.Engine
-	conn  *stdnet.UDPConn
-	known map[netip.AddrPort]bool // whom to listen to
-	all   netip.AddrPort
+	loop      *Loop
+	engine    *state.Engine
+	conn      *stdnet.UDPConn
+	known     map[netip.AddrPort]bool // addresses whose messages are accepted
+	broadcast netip.AddrPort
 
-	waiting atomic.Int32 // datagrams that the loop has not yet looked at
+	queued  atomic.Int32 // datagrams that the loop has not handled yet
 	dropped atomic.Uint64
 }
 
 const (
-	reusePort   = 15                    // SO_REUSEPORT, which package syscall doesn't name here
-	mostWaiting = 1024                  // beyond these, datagrams are lost, as they may be anywhere: a flood must not fill the memory
-	peerPause   = 10 * time.Millisecond // behind an error, so that a socket that fails all the time doesn't take the core
+	reusePort         = 15                    // SO_REUSEPORT, which package syscall does not define here
+	maxQueuedMessages = 1024                  // beyond these, datagrams are dropped, which can happen to any datagram: a flood must not fill the memory
+	peerErrorPause    = 10 * time.Millisecond // after an error, so that a socket that keeps failing does not occupy a core
 )
 
-// ErrPeerAddress tells of addresses in the configuration that are none.
+// ErrPeerAddress is returned for a configured address that cannot be parsed.
 var ErrPeerAddress = errors.New("configuration: peers")
 
-// ListenPeers begins to listen at an address, to the peers named; what is told goes to all, the address that stands for every one of
-// them. Whoever else sends is counted and not heard.
-func ListenPeers(loop *Loop, front *state.Engine, address string, peers []string, all string) (*Peers, error) {
-	p := &Peers{loop: loop, front: front, known: map[netip.AddrPort]bool{}}
+// ListenPeers listens on an address for messages of the given peers; messages are sent to all, an address that
+// reaches every peer. Messages of other senders are counted and ignored.
+func ListenPeers(loop *Loop, engine *state.Engine, address string, peers []string, all string) (*Peers, error) {
+	p := &Peers{loop: loop, engine: engine, known: map[netip.AddrPort]bool{}}
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("%w: peer_listen: %w", ErrPeerAddress, err)
 	}
-	if p.all, err = netip.ParseAddrPort(all); err != nil {
+	if p.broadcast, err = netip.ParseAddrPort(all); err != nil {
 		return nil, fmt.Errorf("%w: peers_all: %w", ErrPeerAddress, err)
 	}
 	for _, text := range peers {
@@ -55,7 +55,7 @@
 		}
 		p.known[peer] = true
 	}
-	// A new version of the program listens beside the one that it replaces: each hears a part.
+	// During an upgrade the new process listens beside the old one, and each receives a part of the messages.
 	lc := stdnet.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, reusePort, 1) })
 	}}
@@ -68,42 +68,42 @@
 	return p, nil
 }
 
-// Address is where it listens.
+// Address returns the address that it listens on.
 func (p *Peers) Address() string { return p.conn.LocalAddr().String() }
 
-// Close ends it.
+// Close stops listening.
 func (p *Peers) Close() { p.conn.Close() }
 
-// SendToPeers implements state.PeerSender. What can't be sent is lost, as any datagram may be.
+// SendToPeers implements state.PeerSender. Messages that cannot be sent are lost, as any datagram may be.
 func (p *Peers) SendToPeers(message []byte) {
-	p.conn.WriteToUDPAddrPort(message, p.all)
+	p.conn.WriteToUDPAddrPort(message, p.broadcast)
 }
 
 func (p *Peers) read() {
-	buf := make([]byte, peers.MaxMessage+1) // a longer one shows, and is none of ours
+	buf := make([]byte, peers.MaxMessage+1) // one byte more, so that a message that is too long is detected
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if errors.Is(err, stdnet.ErrClosed) {
 				return
 			}
-			time.Sleep(peerPause) // of one datagram: a refusal by the machine that it was sent to, say
+			time.Sleep(peerErrorPause) // an error about one datagram, such as a refusal by the receiving machine
 			continue
 		}
-		if p.waiting.Load() >= mostWaiting {
+		if p.queued.Load() >= maxQueuedMessages {
 			p.dropped.Add(1)
 			continue
 		}
 		known := p.known[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		message := append([]byte(nil), buf[:n]...)
-		p.waiting.Add(1)
+		p.queued.Add(1)
 		p.loop.Post(func() {
-			p.waiting.Add(-1)
+			p.queued.Add(-1)
 			if !known {
-				p.front.Counters.PeerInvalid++
+				p.engine.Counters.PeerInvalid++
 				return
 			}
-			if err := p.front.ReceivePeerMessage(message); err != nil && p.front.Counters.PeerInvalid == 1 {
+			if err := p.engine.ReceivePeerMessage(message); err != nil && p.engine.Counters.PeerInvalid == 1 {
 				slog.Warn("a peer's message can't be read", "from", from.String(), "error", err)
 			}
 		})
--- a/internal/net/pieces_test.go
+++ b/internal/net/pieces_test.go
@@ -24,7 +24,7 @@
 	}
 	held := func() (n int) {
 		for c := range s.clients {
-			n += len(c.in.bytes)
+			n += len(c.input.bytes)
 		}
 		return n
 	}
@@ -72,7 +72,7 @@
 	}
 	p.conn.Write(in)
 	p.said(len(welcome))
-	until(loop, func() bool { return s.front.Counters.Received == maxPipelined })
+	until(loop, func() bool { return s.engine.Counters.Received == maxPipelined })
 	onLoop(loop, func() bool {
 		s.Drain()
 		return s.Drained()
@@ -109,10 +109,10 @@
 		return false // the connection ends under the request
 	}
 	up := func() { skip(s, upAfter) }
-	s, front, loop := proxy(t, memberUp(t, up, answer), 8, 1)
+	s, engine, loop := proxy(t, memberUp(t, up, answer), 8, 1)
 	second := memberUp(t, up, answer)
 	onLoop(loop, func() bool {
-		front.UpdateList(state.List{Kind: logic.ListDelta, Entries: []state.Entry{{Name: "n", Address: second, State: logic.Ready}}})
+		engine.UpdateList(state.List{Kind: logic.ListDelta, Entries: []state.Entry{{Name: "n", Address: second, State: logic.Ready}}})
 		return true
 	})
 	p := dial(t, s)
