--- a/internal/net/planner_link.go
+++ b/internal/net/planner_link.go
@@ -14,76 +14,78 @@
 )
 
 const (
-	tierDial = time.Second // that a planner may take to answer a dial
-	tierTell = time.Minute // one line about unreadable frames
+	plannerDialTimeout = time.Second // timeout of a dial to a planner
+	plannerLogInterval = time.Minute // minimum time between log lines about invalid frames
 )
 
-// PlannerLink is a proxy's link to the planners of its tier: one at a time, the next where it ends, is silent, or doesn't lead. It implements
-// state.Gate.
+// PlannerLink is a proxy's link to the planners of its tier. It uses one planner at a time and switches to the next
+// when the link ends or the planner is silent or not the leader. It implements state.Gate.
 type PlannerLink struct {
 	loop      *Loop
 	clock     state.Clock
 	deadlines *state.Deadlines
-	front     *state.Engine
-	side      *rollout.Proxy
-	cfg       rollout.Config
+	engine    *state.Engine
+	proxy     *rollout.Proxy
+	config    rollout.Config
 	planners  []string
-	seek      *rollout.PlannerSelector
-	into      func(n rollout.Number, policy []byte) // puts a policy into effect
-
-	conn    netpoll.Connection
-	in      buffer
-	out     []byte
-	toldAt  time.Duration
-	waits   string // why it can't join, as last told
-	beat    state.Deadline
-	redial  state.Deadline
-	dialing bool
-	stopped bool
-	health  tierHealth
+	selector  *rollout.PlannerSelector
+	apply     func(n rollout.Number, policy []byte) // puts a policy into effect
+
+	conn                 netpoll.Connection
+	input                buffer
+	out                  []byte
+	invalidFrameLoggedAt time.Duration
+	joinDelayReason      string // why the proxy cannot join, as last logged
+	renewTimer           state.Deadline
+	redialTimer          state.Deadline
+	dialing              bool
+	stopped              bool
+	health               sharedHealth
 }
 
-// TierConfig is what a proxy is told of its tier.
+// TierConfig configures a proxy's part in its tier.
 type TierConfig struct {
-	Name     string // of this proxy; no two may share one
+	Name     string // of this proxy; unique in the tier
 	Planners []string
 	Rollout  rollout.Config
 	Seed     uint64
-	// Nonce tells this start from any other. It must not come of the configuration: a proxy that was killed would come back as the member that it
-	// was, and what that one had agreed to or held would count for one that holds nothing; and two processes of one name would be one member.
+	// Nonce distinguishes this process from any other. It must not be derived from the configuration: a proxy
+	// restarted after a kill would rejoin as its old member, and what that one had agreed to or held would be
+	// attributed to a process that holds nothing; and two processes with one name would be one member.
 	Nonce  uint64
-	Check  func(n rollout.Number, policy []byte) string // why it can't be served under here; empty = it can
-	Apply  func(n rollout.Number, policy []byte)        // puts it into effect; called on the loop
+	Check  func(n rollout.Number, policy []byte) string // returns why the policy cannot be served here; empty = it can
+	Apply  func(n rollout.Number, policy []byte)        // puts a policy into effect; called on the loop
 	Health HealthConfig
 }
 
-// JoinTier lets a proxy go by its tier's policy. Until it holds that, it takes no request. It is called on the loop.
-func JoinTier(loop *Loop, clock state.Clock, front *state.Engine, c TierConfig) *PlannerLink {
-	t := &PlannerLink{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front, cfg: c.Rollout.WithDefaults(), planners: c.Planners,
-		into: c.Apply, health: tierHealth{config: c.Health}}
+// JoinTier makes a proxy follow its tier's policy. Until it has received that policy, it admits no requests. It is
+// called on the loop.
+func JoinTier(loop *Loop, clock state.Clock, engine *state.Engine, c TierConfig) *PlannerLink {
+	t := &PlannerLink{loop: loop, clock: clock, deadlines: &engine.Deadlines, engine: engine, config: c.Rollout.WithDefaults(), planners: c.Planners,
+		apply: c.Apply, health: sharedHealth{config: c.Health}}
 	rng := rand.New(rand.NewPCG(c.Seed, 0x71e2))
-	t.side = rollout.NewProxy(t.cfg, c.Name, c.Nonce|1, c.Check)
-	if c.Health.shares() {
-		t.side.SetZone(c.Health.Zone)
+	t.proxy = rollout.NewProxy(t.config, c.Name, c.Nonce|1, c.Check)
+	if c.Health.enabled() {
+		t.proxy.SetZone(c.Health.Zone)
 	}
-	t.seek = rollout.NewPlannerSelector(t.cfg, len(t.planners), rng)
-	front.SetGate(t)
+	t.selector = rollout.NewPlannerSelector(t.config, len(t.planners), rng)
+	engine.SetGate(t)
 	t.dial()
 	return t
 }
 
 // Admit implements state.Gate.
 func (t *PlannerLink) Admit(now time.Duration) (uint64, state.GateDecision) {
-	n, v := t.side.AdmitRequest(now)
+	n, v := t.proxy.AdmitRequest(now)
 	return uint64(n), [...]state.GateDecision{rollout.Admit: state.GateOpen, rollout.Delay: state.GateWait, rollout.Reject: state.GateClosed}[v]
 }
 
-// Ready tells whether this proxy holds the tier's policy and may serve.
-func (t *PlannerLink) Ready() bool { return t.side.Ready(t.clock.Now()) }
+// Ready reports whether this proxy holds the tier's policy and may serve.
+func (t *PlannerLink) Ready() bool { return t.proxy.Ready(t.clock.Now()) }
 
-// Leave says that no more requests are taken here.
+// Leave announces that this proxy admits no more requests.
 func (t *PlannerLink) Leave() {
-	t.side.Leave()
+	t.proxy.Leave()
 	t.flush()
 	t.stopped = true
 }
@@ -93,77 +95,77 @@
 		return
 	}
 	t.dialing = true
-	address := t.planners[t.seek.Current()]
-	connect(t.loop, address, tierDial, func(conn netpoll.Connection, err error) {
+	address := t.planners[t.selector.Current()]
+	dialAsync(t.loop, address, plannerDialTimeout, func(conn netpoll.Connection, err error) {
 		t.dialing = false
 		switch {
 		case err != nil:
-			t.next()
+			t.tryNextPlanner()
 			return
 		case t.stopped:
 			conn.Close()
 			return
 		}
-		t.conn, t.in.bytes, t.health.connected = conn, nil, false
-		t.seek.Connected(t.clock.Now())
-		attach(t.loop, conn, func() { t.readable(conn) }, func() { t.down(conn) })
-		t.side.Connected()
+		t.conn, t.input.bytes, t.health.connected = conn, nil, false
+		t.selector.Connected(t.clock.Now())
+		attachCallbacks(t.loop, conn, func() { t.handleInput(conn) }, func() { t.connectionClosed(conn) })
+		t.proxy.Connected()
 		t.flush()
-		t.pulse()
+		t.renewLease()
 	})
 }
 
-// next tries the next planner, later.
-func (t *PlannerLink) next() {
-	t.deadlines.Set(&t.redial, t.clock.Now()+t.seek.Next(), t.dial)
+// tryNextPlanner schedules a dial to the next planner.
+func (t *PlannerLink) tryNextPlanner() {
+	t.deadlines.Set(&t.redialTimer, t.clock.Now()+t.selector.Next(), t.dial)
 }
 
-func (t *PlannerLink) down(conn netpoll.Connection) {
+func (t *PlannerLink) connectionClosed(conn netpoll.Connection) {
 	if conn != nil && conn == t.conn {
 		t.conn = nil
-		t.deadlines.Clear(&t.beat)
-		t.next()
+		t.deadlines.Clear(&t.renewTimer)
+		t.tryNextPlanner()
 	}
 }
 
-// pulse asks for the lease, and gives a planner up that has been silent.
-func (t *PlannerLink) pulse() {
+// renewLease requests a renewal of the lease, and gives up on a planner that has been silent.
+func (t *PlannerLink) renewLease() {
 	now := t.clock.Now()
-	if t.seek.TimedOut(now) {
-		slog.Warn("a planner is silent, the next is tried", "planner", t.planners[t.seek.Current()], "lease_left", t.side.LeaseEnd()-now)
+	if t.selector.TimedOut(now) {
+		slog.Warn("a planner is silent, the next is tried", "planner", t.planners[t.selector.Current()], "lease_left", t.proxy.LeaseEnd()-now)
 		t.drop()
 		return
 	}
-	t.side.RenewLease(now)
+	t.proxy.RenewLease(now)
 	t.flush()
-	t.deadlines.Set(&t.beat, now+t.seek.RenewInterval(t.side.LeaseDuration()), t.pulse)
+	t.deadlines.Set(&t.renewTimer, now+t.selector.RenewInterval(t.proxy.LeaseDuration()), t.renewLease)
 }
 
 func (t *PlannerLink) drop() {
 	conn := t.conn
-	t.down(conn)
+	t.connectionClosed(conn)
 	if conn != nil {
 		conn.Close()
 	}
 }
 
-func (t *PlannerLink) readable(conn netpoll.Connection) {
+func (t *PlannerLink) handleInput(conn netpoll.Connection) {
 	if conn != t.conn {
 		conn.Reader().Skip(conn.Reader().Len())
 		return
 	}
-	if err := t.in.fill(conn.Reader()); err != nil {
+	if err := t.input.fill(conn.Reader()); err != nil {
 		t.drop()
 		return
 	}
 	used := 0
 	for t.conn == conn {
-		f, n, err := tier.Next(t.in.bytes[used:])
+		f, n, err := tier.Next(t.input.bytes[used:])
 		if err != nil {
-			t.front.Counters.PlannerFramesInvalid++
-			if now := t.clock.Now(); t.toldAt == 0 || now-t.toldAt >= tierTell {
-				t.toldAt = now
-				slog.Warn("a planner's frame can't be read", "planner", t.planners[t.seek.Current()], "error", err)
+			t.engine.Counters.PlannerFramesInvalid++
+			if now := t.clock.Now(); t.invalidFrameLoggedAt == 0 || now-t.invalidFrameLoggedAt >= plannerLogInterval {
+				t.invalidFrameLoggedAt = now
+				slog.Warn("a planner's frame can't be read", "planner", t.planners[t.selector.Current()], "error", err)
 			}
 			t.drop()
 			return
@@ -173,45 +175,45 @@
 		}
 		used += n
 		if f.Tier != nil {
-			t.message(*f.Tier)
+			t.receiveMessage(*f.Tier)
 		}
 		if f.Health != nil {
-			t.digest(f.Health)
+			t.receiveDigest(f.Health)
 		}
 	}
 	if t.conn == conn {
-		t.in.cut(used)
+		t.input.discard(used)
 		t.flush()
 	}
 }
 
-func (t *PlannerLink) message(m rollout.Message) {
+func (t *PlannerLink) receiveMessage(m rollout.Message) {
 	now := t.clock.Now()
-	if t.seek.Receive(now, m.Kind) {
+	if t.selector.Receive(now, m.Kind) {
 		t.drop()
 		return
 	}
 	if m.Kind == rollout.JoinDelayed {
-		if m.Reason != t.waits {
-			t.waits = m.Reason
+		if m.Reason != t.joinDelayReason {
+			t.joinDelayReason = m.Reason
 			slog.Info("the tier lets this proxy wait", "reason", m.Reason, "lease_left", m.Lease)
 		}
 		return
 	}
-	t.waits = ""
-	t.side.Receive(now, m)
-	for _, s := range t.side.TakeSwitches() {
+	t.joinDelayReason = ""
+	t.proxy.Receive(now, m)
+	for _, s := range t.proxy.TakeSwitches() {
 		slog.Info("policy in force here", "number", uint64(s.Number))
-		t.into(s.Number, s.Policy)
+		t.apply(s.Number, s.Policy)
 	}
 	t.shareChecks(&m)
-	t.front.GateChanged()
+	t.engine.GateChanged()
 }
 
-// flush sends what there is to say; without a link it is dropped, and said anew with the next.
+// flush sends the pending messages; without a link they are dropped, and generated again for the next one.
 func (t *PlannerLink) flush() {
 	t.out = t.out[:0]
-	for _, m := range t.side.TakeMessages() {
+	for _, m := range t.proxy.TakeMessages() {
 		out, err := tier.Append(t.out, &tier.Frame{Tier: &m})
 		if err == nil {
 			t.out = out
@@ -225,18 +227,18 @@
 	}
 }
 
-// PolicyNumber gives the policy that holds here, and Until the end of the lease.
-func (t *PlannerLink) PolicyNumber() uint64 { return uint64(t.side.Number()) }
+// PolicyNumber returns the number of the policy in force.
+func (t *PlannerLink) PolicyNumber() uint64 { return uint64(t.proxy.Number()) }
 
-// Status tells what is known of the tier here.
+// Status returns the state of the tier as known here.
 func (t *PlannerLink) Status() console.Tier {
-	s := console.Tier{Policy: uint64(t.side.Number()), Member: uint64(t.side.Member()), JoinError: t.waits, UsesLeases: t.cfg.Lease > 0, Ready: t.Ready()}
+	s := console.Tier{Policy: uint64(t.proxy.Number()), Member: uint64(t.proxy.Member()), JoinError: t.joinDelayReason, UsesLeases: t.config.Lease > 0, Ready: t.Ready()}
 	if t.conn != nil {
-		s.Planner = t.planners[t.seek.Current()]
+		s.Planner = t.planners[t.selector.Current()]
 	}
 	if s.UsesLeases {
-		s.LeaseLeft = t.side.LeaseEnd() - t.clock.Now()
+		s.LeaseLeft = t.proxy.LeaseEnd() - t.clock.Now()
 	}
-	_, _, s.HoldsRequests = t.side.HeldRound()
+	_, _, s.HoldsRequests = t.proxy.HeldRound()
 	return s
 }
--- a/internal/net/poller_barrier.go
+++ b/internal/net/poller_barrier.go
@@ -12,16 +12,17 @@
 	"havenproxy/internal/state"
 )
 
-// fence is a pipe to oneself by way of netpoll's poller. A byte that arrives on it tells that the poller has done all that it began before.
-type fence struct {
-	conn    netpoll.Connection // the end that is read, by netpoll
+// pollerBarrier is a pipe from this process to itself through netpoll's poller. When a byte arrives on it, the poller
+// has finished all work that it started before.
+type pollerBarrier struct {
+	conn    netpoll.Connection // the read end, served by netpoll
 	writeFD int
 }
 
-// fenceTimeout bounds the wait for the poller.
-const fenceTimeout = time.Second
+// pollerBarrierTimeout limits the wait for the poller.
+const pollerBarrierTimeout = time.Second
 
-func newFence() (*fence, error) {
+func newPollerBarrier() (*pollerBarrier, error) {
 	var ends [2]int
 	if err := syscall.Pipe2(ends[:], syscall.O_CLOEXEC|syscall.O_NONBLOCK); err != nil {
 		return nil, err
@@ -32,12 +33,13 @@
 		syscall.Close(ends[1])
 		return nil, err
 	}
-	return &fence{conn: conn, writeFD: ends[1]}, nil
+	return &pollerBarrier{conn: conn, writeFD: ends[1]}, nil
 }
 
-// pass sends a byte through the poller and waits for it. A wait that takes longer than timeout ends by closing the connection: netpoll's own
-// read timeout panics on a connection without a remote address, which a pipe is. After an error the fence has to be closed.
-func (f *fence) pass(timeout time.Duration) error {
+// roundTrip sends a byte through the poller and waits for it. After timeout the wait ends by closing the connection:
+// netpoll's own read timeout panics on a connection without a remote address, such as a pipe. After an error the
+// barrier has to be closed.
+func (f *pollerBarrier) roundTrip(timeout time.Duration) error {
 	if _, err := syscall.Write(f.writeFD, []byte{1}); err != nil {
 		return err
 	}
@@ -49,41 +51,43 @@
 	return f.conn.Reader().Release()
 }
 
-func (f *fence) close() {
+func (f *pollerBarrier) close() {
 	f.conn.Close()
 	syscall.Close(f.writeFD)
 }
 
-// behindPoller returns when the poller has ended what it was about: it may be in the middle of reading a connection that it has just been
-// told to leave alone. Whatever it fetches after a byte was written to a pipe, it fetches without that connection; the byte's arrival tells
-// that all before it is done. That takes as long as the poller's turn, some microseconds. This needs
-// a single poller, which useRunner sees to. An error tells that the poller could not be waited for, within fenceTimeout or at all.
-func (l *Loop) behindPoller() (err error) {
-	if l.fence == nil {
-		if l.fence, err = newFence(); err != nil {
+// waitForPoller returns when the poller has finished its current work: it may be in the middle of reading a
+// connection that it has just been told to leave. Events that it fetches after a byte was written to the pipe no
+// longer include that connection, and when the byte arrives, all earlier events have been handled. The wait takes one
+// round of the poller, some microseconds. It needs a single poller, which useRunner configures. An error means that
+// the wait failed or took longer than pollerBarrierTimeout.
+func (l *Loop) waitForPoller() (err error) {
+	if l.barrier == nil {
+		if l.barrier, err = newPollerBarrier(); err != nil {
 			return err
 		}
 	}
-	if err := l.fence.pass(fenceTimeout); err != nil {
-		l.fence.close() // its byte may still be on its way
-		l.fence = nil
+	if err := l.barrier.roundTrip(pollerBarrierTimeout); err != nil {
+		l.barrier.close() // its byte may still be on its way
+		l.barrier = nil
 		return err
 	}
-	l.waited++
+	l.pollerWaits++
 	return nil
 }
 
-// PostAfterPoller lets f run on the loop behind all that the poller has begun by now. It is called on the loop.
+// PostAfterPoller posts f to the loop behind everything that the poller has begun so far. It must be called on the
+// loop.
 func (l *Loop) PostAfterPoller(f func()) {
-	if err := l.behindPoller(); err != nil {
-		slog.Warn("the poller can't be waited for", "error", err)
+	if err := l.waitForPoller(); err != nil {
+		slog.Warn("waiting for the poller failed", "error", err)
 	}
 	l.Post(f)
 }
 
-// watch lets the client know what comes on its connection, and its end. Close callbacks come on the loop where this side closes, and on
-// the poller's goroutine where the other side has: only in the latter case the poller says so before.
-func (c *client) watch(conn netpoll.Connection) {
+// attachCallbacks makes the loop handle the end of a connection. Close callbacks run on the loop if this side closes,
+// and on the poller's goroutine if the peer does: only in the latter case is the disconnect callback called first.
+func (c *client) attachCallbacks(conn netpoll.Connection) {
 	var byPeer atomic.Bool
 	if d, ok := conn.(interface {
 		SetOnDisconnect(netpoll.OnDisconnect) error
@@ -91,42 +95,43 @@
 		d.SetOnDisconnect(func(context.Context, netpoll.Connection) { byPeer.Store(true) })
 	}
 	conn.AddCloseCallback(func(netpoll.Connection) error {
-		if !byPeer.Load() && c.quits && c.phase != phaseClosed {
-			c.quit()
+		if !byPeer.Load() && c.closing && c.phase != phaseClosed {
+			c.finishClose()
 		} else {
-			c.s.loop.Post(c.closed)
+			c.server.loop.Post(c.release)
 		}
 		return nil
 	})
 }
 
-// quit ends a connection that owed nothing when this side began to close it. The poller reads ahead of the loop, and may have fetched a
-// query since that the loop had not heard of: a query that has been read is owed an answer, and only one that has not been is sent again
-// by its client. So the poller, which has been told to leave the connection alone, is waited for, and who is owed something stays, on a
-// second descriptor of the same socket. It is called on the loop, before the first descriptor and the poller's buffer end.
-func (c *client) quit() {
-	c.quits = false
-	err := c.s.loop.behindPoller()
-	if err == nil && len(c.in.bytes) == c.had && c.conn.Reader().Len() == 0 {
-		if !c.hurry {
-			c.s.linger(c.conn)
+// finishClose ends a connection to which no answer was due when this side began to close it. The poller reads ahead
+// of the loop and may have read a query since then: a query that has been read has to be answered, because its client
+// resends only one that has not been read. So the poller, which has been told to leave the connection, is waited for,
+// and if there is a query, the connection is kept open on a second descriptor of the same socket. It is called on the
+// loop, before the first descriptor and the poller's buffer are released.
+func (c *client) finishClose() {
+	c.closing = false
+	err := c.server.loop.waitForPoller()
+	if err == nil && len(c.input.bytes) == c.bytesBeforeClose && c.conn.Reader().Len() == 0 {
+		if !c.closeAtOnce {
+			c.server.closeGracefully(c.conn)
 		}
-		c.closed()
+		c.release()
 		return
 	}
 	if err == nil {
-		err = c.stay()
+		err = c.keepOpen()
 	}
 	if err != nil {
-		slog.Warn("a client's connection was closed, perhaps over a query", "error", err)
-		c.closed()
+		slog.Warn("client connection closed, possibly with an unanswered query", "error", err)
+		c.release()
 	}
 }
 
-// stay goes on with a connection that is being closed.
-func (c *client) stay() error {
+// keepOpen continues a connection that is being closed, on a new descriptor.
+func (c *client) keepOpen() error {
 	if r := c.conn.Reader(); r.Len() > 0 {
-		if err := c.in.fill(r); err != nil {
+		if err := c.input.fill(r); err != nil {
 			return err
 		}
 	}
@@ -140,35 +145,36 @@
 		syscall.Close(fd)
 		return err
 	}
-	conn.SetWriteTimeout(writePatience)
+	conn.SetWriteTimeout(writeTimeout)
 	c.conn = conn
-	open := &c.s.open
+	open := &c.server.open
 	open.Add(1)
 	conn.AddCloseCallback(func(netpoll.Connection) error { open.Add(-1); return nil })
-	c.watch(conn)
+	c.attachCallbacks(conn)
 	conn.SetOnRequest(func(context.Context, netpoll.Connection) error {
-		c.readable()
+		c.handleInput()
 		return nil
 	})
-	c.s.loop.Post(c.parse)
+	c.server.loop.Post(c.parse)
 	return nil
 }
 
-// lingerMost is how long a connection that has been shut is read on for its client's end.
-const lingerMost = 200 * time.Millisecond
+// maxLinger is how long a connection that has been shut down is still read while it waits for the client to close.
+const maxLinger = 200 * time.Millisecond
 
-// linger closes a connection in two steps (RFC 9112, section 9.6): it is shut, and what its client still writes, which nobody will act on, is
-// read until the client has closed too, or lingerMost is over. A close over unread bytes is a reset, and a reset takes the last answer with it,
-// as far as that is still on its way. The poller has let go of the connection, and nothing that was read is owed an answer; see quit. A client whose
-// query crossed sees its connection end with no answer to that, and sends it once more.
-func (s *Server) linger(old netpoll.Connection) {
+// closeGracefully closes a connection in two steps (RFC 9112, section 9.6): it shuts down the write side, then reads
+// and discards what the client still sends until the client has closed too, or maxLinger is over. Closing a
+// connection with unread input resets it, and a reset discards the part of the last answer that is still on its way.
+// The poller has released the connection, and no query that was read is unanswered; see finishClose. A client whose
+// query crossed the close sees the end of its connection without an answer, and resends the query.
+func (s *Server) closeGracefully(old netpoll.Connection) {
 	c, ok := old.(netpoll.Conn)
 	if !ok {
 		return
 	}
 	fd, err := syscall.Dup(c.Fd())
 	if err != nil {
-		return // it is closed in one step, as there are no descriptors
+		return // it is closed in one step, because there are no descriptors
 	}
 	syscall.CloseOnExec(fd)
 	syscall.Shutdown(fd, syscall.SHUT_WR)
@@ -180,9 +186,9 @@
 	s.open.Add(1)
 	s.lingering++
 	var timer state.Deadline
-	attach(s.loop, conn, func() {
+	attachCallbacks(s.loop, conn, func() {
 		r := conn.Reader()
-		s.front.Counters.DiscardedBytes += uint64(r.Len())
+		s.engine.Counters.DiscardedBytes += uint64(r.Len())
 		r.Skip(r.Len())
 		r.Release()
 	}, func() {
@@ -190,5 +196,5 @@
 		s.open.Add(-1)
 		s.deadlines.Clear(&timer)
 	})
-	s.deadlines.Set(&timer, s.clock.Now()+s.lingerMost, func() { conn.Close() })
+	s.deadlines.Set(&timer, s.clock.Now()+s.maxLinger, func() { conn.Close() })
 }
--- a/internal/net/poller_barrier_test.go
+++ b/internal/net/poller_barrier_test.go
@@ -11,17 +11,17 @@
 func TestAPollerThatStandsStillIsNotWaitedForBeyondTheBound(t *testing.T) {
 	const shortTimeout = time.Millisecond
 	loop := NewLoop(state.NewClock(), new(state.Deadlines))
-	if err := loop.behindPoller(); err != nil {
+	if err := loop.waitForPoller(); err != nil {
 		t.Fatal(err)
 	}
 	letPollerGo := holdPoller(t, loop)
-	if err := loop.fence.pass(shortTimeout); err == nil {
+	if err := loop.barrier.roundTrip(shortTimeout); err == nil {
 		t.Error("a byte has passed a poller that stands still")
 	}
 	letPollerGo()
-	loop.fence.close()
-	loop.fence = nil
-	if err := loop.behindPoller(); err != nil {
+	loop.barrier.close()
+	loop.barrier = nil
+	if err := loop.waitForPoller(); err != nil {
 		t.Errorf("behind it: %v", err)
 	}
 }
--- a/internal/net/poller_test.go
+++ b/internal/net/poller_test.go
@@ -33,7 +33,7 @@
 func TestThereIsOnePollerHoweverManyProcessors(t *testing.T) {
 	if os.Getenv(pollerChild) != "" {
 		loop := NewLoop(state.NewClock(), new(state.Deadlines))
-		if err := loop.behindPoller(); err != nil { // netpoll starts its pollers at the first connection
+		if err := loop.waitForPoller(); err != nil { // netpoll starts its pollers at the first connection
 			t.Fatal(err)
 		}
 		fmt.Printf("pollers=%d\n", countPollers(t))
--- a/internal/net/postgres_client.go
+++ b/internal/net/postgres_client.go
@@ -10,21 +10,21 @@
 	"havenproxy/internal/wire/pg"
 )
 
-// postgres speaks PostgreSQL with a client. It keeps nothing of its own.
-type postgres struct{}
+// postgresProtocol speaks PostgreSQL with a client. It has no state.
+type postgresProtocol struct{}
 
-func (postgres) greet(*client) {} // the client speaks first
+func (postgresProtocol) greet(*client) {} // the client speaks first
 
-func (postgres) gone(*client) {}
+func (postgresProtocol) connectionClosed(*client) {}
 
-func (postgres) pipelines() int { return maxPipelined }
+func (postgresProtocol) maxPending() int { return maxPipelined }
 
-// next handles the first message of buf and tells its length; 0 = nothing to do yet.
-func (postgres) next(c *client, buf []byte) (int, error) {
+// parseNext handles the first message of buf and returns its length; 0 = nothing to do yet.
+func (postgresProtocol) parseNext(c *client, buf []byte) (int, error) {
 	if c.phase == phaseStartup {
-		return postgres{}.startup(c, buf)
+		return postgresProtocol{}.startup(c, buf)
 	}
-	if !c.takesMore() {
+	if !c.acceptsQuery() {
 		return 0, nil
 	}
 	m, n, err := pg.Next(buf)
@@ -33,19 +33,19 @@
 	}
 	switch m.Type {
 	case pg.TypeTerminate:
-		c.hangUp()
+		c.closeNow()
 		return n, nil
 	case pg.TypeQuery:
 		text, err := pg.QueryText(m)
 		if err != nil {
 			return n, err
 		}
-		return n, postgres{}.query(c, string(text))
+		return n, postgresProtocol{}.query(c, string(text))
 	}
 	return n, pg.ErrMalformed // simple queries only
 }
 
-func (postgres) startup(c *client, buf []byte) (int, error) {
+func (postgresProtocol) startup(c *client, buf []byte) (int, error) {
 	o, n, err := pg.NextOpening(buf)
 	if n == 0 || err != nil {
 		return 0, err
@@ -54,31 +54,32 @@
 	case o == pg.OpenEncrypted:
 		c.write(pg.AppendRefuseEncryption(nil))
 	case o == pg.OpenCancel:
-		c.hangUp()
-	case c.full:
-		class, whole := asked(buf[n:])
-		if !whole && c.phase < phaseLeaving && !c.half { // its query is read for its class, if it comes at once
-			c.half = true
-			c.s.deadlines.Set(&c.timer, c.s.clock.Now()+fullFor, c.turnAway)
+		c.closeNow()
+	case c.overLimit:
+		class, whole := firstQueryClass(buf[n:])
+		if !whole && c.phase < phaseClosing && !c.partialQuery { // the class is read from its query, if that arrives soon
+			c.partialQuery = true
+			c.server.deadlines.Set(&c.timer, c.server.clock.Now()+overLimitQueryTimeout, c.rejectOverLimit)
 		}
 		if !whole {
 			return 0, nil
 		}
-		c.s.front.CountRejected(class)
-		c.turnAway()
+		c.server.engine.CountRejected(class)
+		c.rejectOverLimit()
 	default:
-		c.admin = c.s.console && pg.Opened(buf, "database") == console.DatabaseName && c.local()
+		c.usesConsole = c.server.consoleEnabled && pg.Opened(buf, "database") == console.DatabaseName && c.isLocal()
 		c.phase = phaseServing
 		c.write(pg.AppendWelcome(nil))
 	}
 	return n, nil
 }
 
-// fullFor is how long a client that there is no room for may take for its query, behind its startup message.
-const fullFor = 50 * time.Millisecond
+// overLimitQueryTimeout is how long a client beyond the limit may take to send its query after its startup message.
+const overLimitQueryTimeout = 50 * time.Millisecond
 
-// asked gives the class of the query that begins buf, empty where it names none, and whether it is there.
-func asked(buf []byte) (class string, whole bool) {
+// firstQueryClass returns the class of the query at the start of buf, empty if it names none, and whether a whole
+// message is there.
+func firstQueryClass(buf []byte) (class string, whole bool) {
 	m, n, err := pg.Next(buf)
 	if n == 0 && err == nil {
 		return "", false
@@ -93,58 +94,65 @@
 	return class, true
 }
 
-// turnAway tells a client that there is no room for it.
-func (c *client) turnAway() {
-	c.s.front.Counters.ClientsRejected++
-	c.leave(endTooMany, "too many clients")
+// rejectOverLimit rejects a client beyond the limit.
+func (c *client) rejectOverLimit() {
+	c.server.engine.Counters.ClientsRejected++
+	c.closeWithError(reasonTooManyClients, "too many clients")
 }
 
-func (postgres) query(c *client, text string) error {
-	c.spoke()
-	sl := &slot{c: c}
+func (postgresProtocol) query(c *client, text string) error {
+	c.noteQuery()
+	query := &pendingQuery{client: c}
 	if strings.Trim(text, " \t\r\n;") == "" {
-		c.slots = append(c.slots, sl)
-		if c.s.away {
-			sl.give(pg.AppendRefused(nil, 0))
+		c.pending = append(c.pending, query)
+		if c.server.operatorDrain {
+			query.complete(pg.AppendRefused(nil, 0))
 		} else {
-			sl.give(pg.AppendEmpty(nil))
+			query.complete(pg.AppendEmpty(nil))
 		}
 		return nil
 	}
-	if c.admin {
-		c.slots = append(c.slots, sl)
-		c.show(sl, text)
+	if c.usesConsole {
+		c.pending = append(c.pending, query)
+		c.answerConsole(query, text)
 		return nil
 	}
 	st, err := pg.ParseStatement(text)
 	if err != nil {
 		return err
 	}
-	return c.take(sl, state.Request{Name: st.ID, Class: st.Class, Wait: st.Wait, Session: st.Session, Group: st.Group,
+	return c.submit(query, state.Request{Name: st.ID, Class: st.Class, Wait: st.Wait, Session: st.Session, Group: st.Group,
 		LastCommit: st.After, Retry: st.Retry, Command: &st})
 }
 
-// told begins an answer: with the policy, where clients are told it and the request was taken under one.
-func (sl *slot) told() []byte {
-	if !sl.c.s.policy || !sl.taken {
+// policyPrefix returns the start of an answer: the policy, if it is reported to clients and the request was admitted
+// under one.
+func (query *pendingQuery) policyPrefix() []byte {
+	if !query.client.server.reportPolicy || !query.policyKnown {
 		return nil
 	}
-	return pg.AppendParameter(nil, "policy", strconv.FormatUint(sl.policy, 10))
+	return pg.AppendParameter(nil, "policy", strconv.FormatUint(query.policy, 10))
 }
 
-func (postgres) served(sl *slot, body []byte) []byte { return pg.AppendServed(sl.told(), body) }
+func (postgresProtocol) servedAnswer(query *pendingQuery, body []byte) []byte {
+	return pg.AppendServed(query.policyPrefix(), body)
+}
 
-func (postgres) refused(sl *slot, comeBack time.Duration) []byte {
-	return pg.AppendRefused(sl.told(), comeBack)
+func (postgresProtocol) refusedAnswer(query *pendingQuery, retryAfter time.Duration) []byte {
+	return pg.AppendRefused(query.policyPrefix(), retryAfter)
 }
 
-func (postgres) failed(sl *slot) []byte { return pg.AppendFailed(sl.told()) }
+func (postgresProtocol) failedAnswer(query *pendingQuery) []byte {
+	return pg.AppendFailed(query.policyPrefix())
+}
 
-func (postgres) unfit(sl *slot, _ []byte) []byte { return pg.AppendFailed(sl.told()) }
+func (postgresProtocol) badRequestAnswer(query *pendingQuery, _ []byte) []byte {
+	return pg.AppendFailed(query.policyPrefix())
+}
 
-func (postgres) fatal(why end, text string) []byte {
+func (postgresProtocol) fatalError(reason closeReason, text string) []byte {
 	code := pg.CodeTooMany
-	if why == endMalformed {
+	if reason == reasonMalformed {
 		code = pg.CodeProtocol
 	}
 	return pg.AppendFatal(nil, code, text)
--- a/internal/net/refused_test.go
+++ b/internal/net/refused_test.go
@@ -23,10 +23,10 @@
 func TestARefusedDialIsTold(t *testing.T) {
 	const closed = "127.0.0.1:1" // a reserved port on which nothing listens
 	ends := listen(t, func(stdnet.Conn) {})
-	_, front, loop := proxy(t, closed, 4, 4)
+	_, engine, loop := proxy(t, closed, 4, 4)
 	for address, want := range map[string]string{closed: "refused", ends: "down"} {
 		e := &ear{make(chan string, 4)}
-		loop.Post(func() { front.Opener().Open(address, 0, e) })
+		loop.Post(func() { engine.Opener().Open(address, 0, e) })
 		select {
 		case got := <-e.heard:
 			if got != want {
@@ -42,7 +42,7 @@
 // dead ones.
 func TestADialWithoutADescriptorIsNoDeadDatabase(t *testing.T) {
 	database := listen(t, func(stdnet.Conn) {})
-	_, front, loop := proxy(t, database, 4, 4)
+	_, engine, loop := proxy(t, database, 4, 4)
 	var before syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	loop.Post(func() { front.Opener().Open(database, 0, e) })
+	loop.Post(func() { engine.Opener().Open(database, 0, e) })
 	var got string
 	select {
 	case got = <-e.heard:
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	writePatience = 20 * time.Millisecond // a client whose buffer stays full for so long doesn't read
-	keepAlive     = time.Minute           // after which the kernel asks whether a silent client is still there
-	sendBuffer    = 256 << 10             // the kernel's, room for several of the largest answers
-	// Likewise for what comes in. netpoll reads all of it at a time, ahead of the loop: who sends at full speed
-	// must not make it hold megabytes.
+	writeTimeout      = 20 * time.Millisecond // a client whose socket buffer stays full for this long does not read
+	keepAliveInterval = time.Minute           // after which the kernel probes a silent connection
+	sendBuffer        = 256 << 10             // of the kernel; room for several of the largest answers
+	// Likewise for input. netpoll reads all of it at a time, ahead of the loop: a client that sends at full speed
+	// must not make the proxy hold megabytes.
 	receiveBuffer = 128 << 10
 
-	// For want of room the clients that use theirs for nothing are closed: first those that have said nothing for a
-	// time in which others ask and are answered, also where they are over one in silentPart, then those without an
-	// open request. The operators allow that after two seconds.
-	silentFor  = 250 * time.Millisecond
-	silentPart = 4
-	idleFor    = 2 * time.Second
-	easyPart   = 3 // beyond one in so many of the places, idle clients are closed before there is need
+	// When connections run out, clients that make no use of theirs are closed: first those that have sent nothing for
+	// minSilentTime, in which others ask and are answered, and also those beyond one in maxSilentFraction of all
+	// connections; then those without an open request. The operators allow the latter after two seconds.
+	minSilentTime     = 250 * time.Millisecond
+	maxSilentFraction = 4
+	minIdleTime       = 2 * time.Second
+	idleCloseFraction = 3 // above one in this many of the connections, idle clients are closed before connections run out
 
-	tellCrowded = 10 * time.Second // no more than one line about it
+	overLimitLogInterval = 10 * time.Second // minimum time between log lines about rejected clients
 )
 
 // Server serves clients.
@@ -40,48 +40,48 @@
 	loop      *Loop
 	clock     state.Clock
 	deadlines *state.Deadlines
-	front     *state.Engine
+	engine    *state.Engine
 	listeners []*listener
-	mysql     *listener // the one of them for MySQL's clients; nil = there is none
-
-	open        atomic.Int64 // connections that were accepted and not closed yet
-	clients     map[*client]struct{}
-	silent      list.List // those that have sent no whole query yet, the oldest first
-	idle        list.List // those that are owed nothing, idle for longest first
-	buffered    int       // bytes that wait in clients' buffers for the rest of their query
-	maxBuffered int       // beyond that, who holds more than a little is told to come again
-	maxClients  int
-	easy        int // beyond these, idle ones are closed in time
-	maxExcess   int // further ones that are told to come again
-	excess      int
-	easing      state.Deadline
-	crowdedAt   time.Duration // when it was last told that there are too many
-	lingering   int           // connections that are shut and wait for their clients' end
-	lingerMost  time.Duration // each of them, at most
-	draining    bool
-	away        bool // operators send clients away
-	sweeping    state.Deadline
-	console     bool // clients on loopback may use it
-	policy      bool // answers tell the policy
-	tier        *PlannerLink
+	mysql     *listener // the listener for MySQL clients; nil = there is none
+
+	open               atomic.Int64 // accepted connections that are not closed yet
+	clients            map[*client]struct{}
+	silent             list.List // clients that have sent no complete query yet, the oldest first
+	idle               list.List // clients to which no answer is due, the longest idle first
+	buffered           int       // bytes of incomplete queries in clients' buffers
+	maxBuffered        int       // above this, clients that hold more than a little are rejected and may retry
+	maxClients         int
+	idleCloseThreshold int // above this number of clients, idle ones are closed early
+	maxExcess          int // clients beyond maxClients that are rejected with an answer
+	excess             int
+	idleCloseTimer     state.Deadline
+	overLimitLoggedAt  time.Duration // when it was last logged that there are too many clients
+	lingering          int           // connections that are shut down and wait for their clients to close
+	maxLinger          time.Duration // for each of them
+	draining           bool
+	operatorDrain      bool // the operators have requested that clients are disconnected
+	drainTimer         state.Deadline
+	consoleEnabled     bool // clients on loopback may use the console
+	reportPolicy       bool // answers report the policy
+	tier               *PlannerLink
 }
 
-// NewServer makes a server for at most so many clients, whose half-sent queries may hold so many bytes; a few more
-// clients are turned away with an answer.
-func NewServer(loop *Loop, clock state.Clock, front *state.Engine, maxClients, maxExcess, maxBuffered int) *Server {
-	return &Server{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front,
-		lingerMost: lingerMost, clients: map[*client]struct{}{}, maxClients: maxClients, easy: maxClients / easyPart, maxExcess: maxExcess, maxBuffered: maxBuffered}
+// NewServer returns a server for at most maxClients clients, whose incomplete queries may hold maxBuffered bytes;
+// maxExcess further clients are rejected with an answer.
+func NewServer(loop *Loop, clock state.Clock, engine *state.Engine, maxClients, maxExcess, maxBuffered int) *Server {
+	return &Server{loop: loop, clock: clock, deadlines: &engine.Deadlines, engine: engine,
+		maxLinger: maxLinger, clients: map[*client]struct{}{}, maxClients: maxClients, idleCloseThreshold: maxClients / idleCloseFraction, maxExcess: maxExcess, maxBuffered: maxBuffered}
 }
 
-// Listen opens the address for PostgreSQL's clients and starts to accept.
+// Listen opens the address for PostgreSQL clients and starts to accept.
 func (s *Server) Listen(address string) error {
-	return s.listen(address, func() speaker { return postgres{} })
+	return s.listen(address, func() clientProtocol { return postgresProtocol{} })
 }
 
-// listen opens an address for clients that speak what one of them says.
-func (s *Server) listen(address string, speaks func() speaker) error {
+// listen opens an address for clients of the protocol that newProtocol creates.
+func (s *Server) listen(address string, newProtocol func() clientProtocol) error {
 	lc := stdnet.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) { // accepted sockets inherit it
+		return raw.Control(func(fd uintptr) { // accepted sockets inherit these options
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBuffer)
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
 		})
@@ -90,32 +90,32 @@
 	if err != nil {
 		return err
 	}
-	return s.serve(ln, speaks, nil)
+	return s.serve(ln, newProtocol, nil)
 }
 
-// Inherit serves PostgreSQL's clients on a socket that listens already, and that other processes may hold too.
+// Inherit serves PostgreSQL clients on a socket that is already listening, and that other processes may share.
 func (s *Server) Inherit(fd int) error {
 	file := os.NewFile(uintptr(fd), "clients")
 	if file == nil {
-		return fmt.Errorf("descriptor %d is none", fd)
+		return fmt.Errorf("invalid descriptor %d", fd)
 	}
-	ln, err := stdnet.FileListener(file) // on a descriptor of its own; the inherited one stays open for those started later
+	ln, err := stdnet.FileListener(file) // on its own descriptor; the inherited one stays open for processes started later
 	if err != nil {
 		return fmt.Errorf("descriptor %d: %w", fd, err)
 	}
 	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBuffer)
 	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
-	return s.serve(ln, func() speaker { return postgres{} }, &heldSocket{file})
+	return s.serve(ln, func() clientProtocol { return postgresProtocol{} }, &inheritedSocket{file})
 }
 
-// heldSocket keeps an inherited descriptor open, which would be closed with its file's last use.
-type heldSocket struct{ file *os.File }
+// inheritedSocket keeps an inherited descriptor open, which would otherwise be closed when its file is collected.
+type inheritedSocket struct{ file *os.File }
 
-func (s *Server) serve(ln stdnet.Listener, speaks func() speaker, held *heldSocket) error {
-	full := func() { s.loop.Post(s.makeRoom) }
-	l, err := serve(ln, int64(s.maxClients+s.maxExcess), &s.open, full, func(ctx context.Context, conn netpoll.Connection) context.Context {
-		return s.accept(ctx, conn, speaks())
-	}, held)
+func (s *Server) serve(ln stdnet.Listener, newProtocol func() clientProtocol, inherited *inheritedSocket) error {
+	requestRoom := func() { s.loop.Post(s.makeRoom) }
+	l, err := serveListener(ln, int64(s.maxClients+s.maxExcess), &s.open, requestRoom, func(ctx context.Context, conn netpoll.Connection) context.Context {
+		return s.accept(ctx, conn, newProtocol())
+	}, inherited)
 	if err != nil {
 		return err
 	}
@@ -123,29 +123,29 @@
 	return nil
 }
 
-// listener ends without closing its descriptor. netpoll's own Close closes the descriptor's number twice, and Serve,
-// which runs beside the loop, may register it only after that: either way the number may by then belong to another
-// connection or listener, which would be closed, or accepted for by a server that has ended. Shut down, the socket
-// refuses connections, and the poller lets go of it by itself.
+// listener ends without closing its descriptor. netpoll's own Close closes the descriptor number twice, and Serve,
+// which runs outside the loop, may register it only after that: in both cases the number may by then belong to
+// another connection or listener, which would be closed, or whose connections a server that has ended would accept. A
+// socket that is shut down refuses connections, and the poller drops it by itself.
 type listener struct {
 	netpoll.Listener
-	ended atomic.Bool
-	most  int64         // connections that may be open
-	open  *atomic.Int64 // of all listeners together
+	closing atomic.Bool
+	maxOpen int64         // limit of open connections
+	open    *atomic.Int64 // of all listeners that share the limit
 
-	full  func() // lets the loop make room
-	asked atomic.Int64
-	held  *heldSocket // where others share it
+	requestRoom     func() // asks the loop to close idle connections
+	lastRoomRequest atomic.Int64
+	inherited       *inheritedSocket // set if other processes share the socket
 }
 
-const askEvery = 2 // milliseconds: of a burst of hundreds not each asks for room
+const roomRequestInterval = 2 // milliseconds: in a burst of hundreds of connections, not each asks the loop
 
-// Accept implements netpoll.Listener. The poller still asks once when the socket has been shut down. It accepts
-// ahead of the loop: of a burst of hundreds, those that there are no descriptors for are closed here.
+// Accept implements netpoll.Listener. The poller calls it once more when the socket has been shut down. It accepts
+// ahead of the loop: in a burst of hundreds, connections beyond the descriptor limit are closed here.
 func (l *listener) Accept() (stdnet.Conn, error) {
-	if l.ended.Load() {
-		if l.held != nil {
-			return nil, errLeft
+	if l.closing.Load() {
+		if l.inherited != nil {
+			return nil, errListenerReleased
 		}
 		return nil, nil
 	}
@@ -153,166 +153,168 @@
 	if conn == nil || err != nil {
 		return conn, err
 	}
-	if l.open.Add(1) > l.most {
+	if l.open.Add(1) > l.maxOpen {
 		l.open.Add(-1)
 		conn.Close()
-		if now := time.Now().UnixMilli(); now-l.asked.Swap(now) >= askEvery { // who is closed here can't make room by coming
-			l.full()
+		if now := time.Now().UnixMilli(); now-l.lastRoomRequest.Swap(now) >= roomRequestInterval { // a connection closed here never reaches the loop, which would make room for it
+			l.requestRoom()
 		}
 		return nil, nil
 	}
 	return conn, nil
 }
 
-func (l *listener) end() {
-	if l.ended.Store(true); l.held != nil {
-		return // it listens on, for others
+func (l *listener) shutdown() {
+	if l.closing.Store(true); l.inherited != nil {
+		return // the socket keeps listening for the other processes
 	}
 	syscall.Shutdown(l.Fd(), syscall.SHUT_RD)
 }
 
-// Address tells where it listens.
+// Address returns the address that PostgreSQL clients connect to.
 func (s *Server) Address() string { return s.listeners[0].Addr().String() }
 
 type clientKey struct{}
 
-// accept makes the client of a new connection; it runs on the loop, before anything that the client sent.
-func (s *Server) accept(ctx context.Context, conn netpoll.Connection, speaks speaker) context.Context {
-	c := &client{s: s, conn: conn, speaks: speaks, from: conn.RemoteAddr().String()}
-	s.front.Counters.Clients++
+// accept creates the client of a new connection; it runs on the loop, before any input of the client is handled.
+func (s *Server) accept(ctx context.Context, conn netpoll.Connection, protocol clientProtocol) context.Context {
+	c := &client{server: s, conn: conn, protocol: protocol, remoteAddress: conn.RemoteAddr().String()}
+	s.engine.Counters.Clients++
 	s.makeRoom()
-	if c.full = s.crowded(); c.full {
+	if c.overLimit = s.atLimit(); c.overLimit {
 		s.excess++
-		if now := s.clock.Now(); s.crowdedAt == 0 || now-s.crowdedAt >= tellCrowded {
-			s.crowdedAt = now
-			slog.Warn("too many clients: further ones are turned away", "clients", len(s.clients))
+		if now := s.clock.Now(); s.overLimitLoggedAt == 0 || now-s.overLimitLoggedAt >= overLimitLogInterval {
+			s.overLimitLoggedAt = now
+			slog.Warn("too many clients: rejecting further ones", "clients", len(s.clients))
 		}
 	}
 	s.clients[c] = struct{}{}
-	c.settle()
-	s.ease()
-	c.watch(conn)
-	s.deadlines.Set(&c.timer, s.clock.Now()+queryPatience, c.tooSlow)
-	if s.excess > s.maxExcess { // not even a descriptor for an answer
-		c.hangUp()
+	c.updateIdleList()
+	s.closeIdleClients()
+	c.attachCallbacks(conn)
+	s.deadlines.Set(&c.timer, s.clock.Now()+queryTimeout, c.queryTimedOut)
+	if s.excess > s.maxExcess { // there is no descriptor even for an answer
+		c.closeNow()
 	} else {
-		speaks.greet(c)
+		protocol.greet(c)
 	}
 	return context.WithValue(ctx, clientKey{}, c)
 }
 
-func (s *Server) crowded() bool { return len(s.clients)-s.excess >= s.maxClients }
+func (s *Server) atLimit() bool { return len(s.clients)-s.excess >= s.maxClients }
 
-// makeRoom closes clients that use their place for nothing, as long as there is no room for another.
+// makeRoom closes silent and idle clients as long as the limit is reached.
 func (s *Server) makeRoom() {
 	now := s.clock.Now()
 	for {
 		e := s.silent.Front()
-		full := s.crowded() || len(s.clients) >= s.maxClients+s.maxExcess
-		if manySilent := s.silent.Len() > s.maxClients/silentPart; !manySilent && !full {
+		full := s.atLimit() || len(s.clients) >= s.maxClients+s.maxExcess
+		if manySilent := s.silent.Len() > s.maxClients/maxSilentFraction; !manySilent && !full {
 			return
-		} else if e == nil || !manySilent && now-e.Value.(*client).since < silentFor {
-			if e = s.idle.Front(); e == nil || now-e.Value.(*client).since < idleFor {
+		} else if e == nil || !manySilent && now-e.Value.(*client).since < minSilentTime {
+			if e = s.idle.Front(); e == nil || now-e.Value.(*client).since < minIdleTime {
 				return
 			}
 		}
-		s.closeFor(e.Value.(*client), now)
+		s.evict(e.Value.(*client), now)
 	}
 }
 
-// ease closes clients that are idle for long where many are connected. The place that one holds may be one of those
-// that others need: what stands before the proxies opens no more than a share of its descriptors.
-func (s *Server) ease() {
+// closeIdleClients closes clients that have long been idle when many are connected. Their connections may be needed
+// elsewhere: a load balancer in front of the proxies opens only a share of its descriptors.
+func (s *Server) closeIdleClients() {
 	now := s.clock.Now()
-	for e := s.idle.Front(); e != nil && len(s.clients) > s.easy; e = s.idle.Front() {
+	for e := s.idle.Front(); e != nil && len(s.clients) > s.idleCloseThreshold; e = s.idle.Front() {
 		c := e.Value.(*client)
-		if due := c.since + idleFor; due > now {
-			s.deadlines.Set(&s.easing, due, s.ease)
+		if due := c.since + minIdleTime; due > now {
+			s.deadlines.Set(&s.idleCloseTimer, due, s.closeIdleClients)
 			return
 		}
-		s.closeFor(c, now)
+		s.evict(c, now)
 	}
 }
 
-// closeFor closes a client for others, unless it has spoken, which the loop has yet to see.
-func (s *Server) closeFor(c *client, now time.Duration) {
+// evict closes a client to make room, unless input of it has arrived that the loop has not handled.
+func (s *Server) evict(c *client, now time.Duration) {
 	if c.conn.Reader().Len() > 0 {
 		c.since = now
-		c.list.MoveToBack(c.place)
+		c.list.MoveToBack(c.element)
 		return
 	}
-	c.hurry = true
-	if c.close(); c.phase != phaseClosed { // it has spoken just now
-		c.hurry = false
+	c.closeAtOnce = true
+	if c.beginClose(); c.phase != phaseClosed { // input has arrived just now
+		c.closeAtOnce = false
 		c.since = now
-		c.list.MoveToBack(c.place)
+		c.list.MoveToBack(c.element)
 		return
 	}
-	s.front.Counters.ClientsEvicted++
+	s.engine.Counters.ClientsEvicted++
 }
 
 const (
-	awayAfter = 500 * time.Millisecond // clients still come for 0.2 s behind the first no
-	awayIdle  = 300 * time.Millisecond // who has asked nothing for so long is not about to
-	awayStep  = 100 * time.Millisecond
+	drainStartDelay = 500 * time.Millisecond // clients still connect for 0.2 s after the first negative health check answer
+	drainMinIdle    = 300 * time.Millisecond // a client that has sent nothing for this long is unlikely to do so now
+	drainInterval   = 100 * time.Millisecond
 )
 
-// SetOperatorDrain sends clients away, or takes them again: the empty query, by which those that deal out clients ask, has no for an answer, each
-// connection ends behind its next answer, and those that are idle end a little later. Requests go on being served all the while.
-func (s *Server) SetOperatorDrain(on bool) {
-	if s.away == on {
+// SetOperatorDrain disconnects clients, or accepts them again. While it is on, the empty query, which load balancers
+// use as a health check, is refused, each connection is closed after its next answer, and idle ones are closed a
+// little later. Requests are still served.
+func (s *Server) SetOperatorDrain(enabled bool) {
+	if s.operatorDrain == enabled {
 		return
 	}
-	if s.away = on; !on {
-		s.deadlines.Clear(&s.sweeping)
+	if s.operatorDrain = enabled; !enabled {
+		s.deadlines.Clear(&s.drainTimer)
 		return
 	}
-	s.deadlines.Set(&s.sweeping, s.clock.Now()+awayAfter, s.sweep)
+	s.deadlines.Set(&s.drainTimer, s.clock.Now()+drainStartDelay, s.closeDrainedClients)
 }
 
-// sweep closes clients that are owed nothing.
-func (s *Server) sweep() {
+// closeDrainedClients closes clients to which no answer is due.
+func (s *Server) closeDrainedClients() {
 	now := s.clock.Now()
 	for c := range s.clients {
-		if c.list != nil && now-c.since >= awayIdle {
+		if c.list != nil && now-c.since >= drainMinIdle {
 			c.closeIdle()
 		}
 	}
-	s.deadlines.Set(&s.sweeping, now+awayStep, s.sweep)
+	s.deadlines.Set(&s.drainTimer, now+drainInterval, s.closeDrainedClients)
 }
 
-// leaving tells that a connection ends behind its next answer.
-func (s *Server) leaving() bool { return s.draining || s.away }
+// closesAfterAnswer reports whether connections are closed after their next answer.
+func (s *Server) closesAfterAnswer() bool { return s.draining || s.operatorDrain }
 
-// ReportPolicy lets answers tell PostgreSQL's clients under which policy of the tier, or revision of the proxy's own files, their request was
-// taken: a ParameterStatus "policy".
-func (s *Server) ReportPolicy(on bool) { s.policy = on }
+// ReportPolicy makes answers to PostgreSQL clients report the policy of the tier, or the revision of the proxy's own
+// files, under which the request was admitted, as the ParameterStatus "policy".
+func (s *Server) ReportPolicy(enabled bool) { s.reportPolicy = enabled }
 
-// DrainShared ends accepting on sockets that others share, and lets each client go behind its next answer: what comes anew has another
-// process to go to, so there is no waiting for late comers. It tells whether all sockets are shared.
+// DrainShared stops accepting on sockets shared with other processes, and closes each client after its next answer.
+// New clients connect to another process, so there is no wait for late ones. It reports whether all sockets are
+// shared; otherwise it does nothing.
 func (s *Server) DrainShared() bool {
 	for _, l := range s.listeners {
-		if l.held == nil {
+		if l.inherited == nil {
 			return false
 		}
 	}
 	s.draining = true
 	for _, l := range s.listeners {
-		l.end()
+		l.shutdown()
 	}
 	return true
 }
 
-// Drain ends the listener; clients are closed as soon as they are owed nothing.
+// Drain stops accepting; clients are closed as soon as no answer is due to them.
 func (s *Server) Drain() {
 	s.draining = true
 	for _, l := range s.listeners {
-		l.end()
+		l.shutdown()
 	}
 }
 
-// Drained closes the clients that are owed nothing and tells whether none is left. What netpoll has read and
-// the loop has not yet looked at is owed an answer too, so it is to be asked again until then.
+// Drained closes the clients to which no answer is due and reports whether none is left. Input that netpoll has read
+// and the loop has not handled has to be answered too, so Drained is to be called again until it returns true.
 func (s *Server) Drained() bool {
 	for c := range s.clients {
 		c.closeIdle()
--- a/internal/net/stream.go
+++ b/internal/net/stream.go
@@ -13,34 +13,36 @@
 )
 
 const (
-	streamRoom  = 64 << 10             // what of a long value is held at most; the rest waits in the kernel, and at the database
-	streamStep  = 3 * time.Millisecond // how often a stream is looked at that can't go on
-	streamTurn  = 8                    // pieces in one turn, so that others have theirs
-	streamStall = 10 * time.Second     // without a byte moved, it is given up
+	maxStreamBuffer      = 64 << 10             // bytes of a long value that are held; the rest waits in the kernel and at the database
+	streamPollInterval   = 3 * time.Millisecond // how often a stream that cannot progress is polled
+	maxPiecesPerCallback = 8                    // pieces transferred in one callback, so that others get their turn
+	streamStallTimeout   = 10 * time.Second     // a stream without progress for this long is given up
 )
 
-// stream passes on a value that is too long to be held, in pieces. netpoll reads ahead without a bound, so the database's connection is
-// taken out of its hands: the descriptor is doubled, netpoll closes its own, and what it had read is handed over. The client's is doubled
-// too, for netpoll may close that number any time. Neither is ever waited for; a stream that can't go on is looked at again a little later.
-type stream struct {
-	db    *database
-	c     *client
-	sl    *slot
-	from  int    // the database's descriptor
-	to    int    // the client's; -1 = none yet
-	out   []byte // on its way to the client
-	rest  int    // bytes of the row that are yet to come
-	ahead int    // bytes that netpoll had read when it was stopped: as much as came before the loop had its turn
-	tail  []byte // what has come behind it, short of a whole message
-	whole bool   // the answer's end has come
-	over  bool
-	moved time.Duration
-	timer state.Deadline
-	ended func()
+// valueStream passes on a value that is too long to be held, in pieces. netpoll reads ahead without a limit, so the
+// connection to the database is taken away from it: the descriptor is duplicated, netpoll closes its own, and its
+// unread input is handed over. The client's descriptor is duplicated too, because netpoll may close it at any time.
+// Neither side ever blocks; a stream that cannot progress is polled.
+type valueStream struct {
+	database          *database
+	client            *client
+	query             *pendingQuery
+	databaseFD        int    // duplicate of the database's descriptor
+	clientFD          int    // duplicate of the client's descriptor; -1 = none yet
+	output            []byte // bytes to be written to the client
+	remainingRowBytes int    // bytes of the row that have not arrived yet
+	readAheadBytes    int    // bytes that netpoll had read before it was stopped
+	unparsed          []byte // bytes after the row that are not a complete message yet
+	answerComplete    bool   // the end of the answer has arrived
+	finished          bool
+	lastProgress      time.Duration
+	timer             state.Deadline
+	onEnd             func()
 }
 
-// hand begins a stream with a long row, whose head begins buf; it is called from within readable.
-func (db *database) hand(row int) error {
+// startStream starts a stream for a long row, whose head is at the start of the input; row is the number of its
+// bytes. It is called from handleInput.
+func (db *database) startStream(row int) error {
 	c, ok := db.conn.(netpoll.Conn)
 	if !ok {
 		return pg.ErrMalformed
@@ -50,181 +52,186 @@
 		return err
 	}
 	syscall.CloseOnExec(fd)
-	db.streams = &stream{db: db, from: fd, to: -1, rest: row, out: append([]byte(nil), db.reply.Body...)}
-	db.whole()
-	db.conn.Close() // its callbacks follow when readable has returned
+	db.stream = &valueStream{database: db, databaseFD: fd, clientFD: -1, remainingRowBytes: row, output: append([]byte(nil), db.reply.Body...)}
+	db.stopAnswerTimer()
+	db.conn.Close() // its callbacks run when handleInput has returned
 	return nil
 }
 
-// handed takes what netpoll had read when it let go of the connection, which is all that the kernel has not. It is called between that and
-// the end of netpoll's buffer, on the loop.
-func (db *database) handed() {
-	st := db.streams
-	if db.closed || st.over {
+// detached takes over the input that netpoll had read when it released the connection; the rest is still in the
+// kernel. It is called on the loop, before netpoll's buffer is released.
+func (db *database) detached() {
+	stream := db.stream
+	if db.closed || stream.finished {
 		return
 	}
-	err := db.d.Loop.behindPoller()
+	err := db.databases.Loop.waitForPoller()
 	if r := db.conn.Reader(); err == nil && r.Len() > 0 {
-		err = db.in.fill(r)
+		err = db.input.fill(r)
 	}
-	db.d.Loop.Post(func() { db.begin(err) })
+	db.databases.Loop.Post(func() { db.beginStream(err) })
 }
 
-// begin tells of the answer, whose first bytes are there.
-func (db *database) begin(err error) {
-	st := db.streams
-	if db.closed || st.over {
+// beginStream reports the answer, whose first bytes have arrived.
+func (db *database) beginStream(err error) {
+	stream := db.stream
+	if db.closed || stream.finished {
 		return
 	}
 	db.conn = nil
 	if err != nil {
-		st.finish(false)
-		db.to.ProtocolError()
+		stream.finish(false)
+		db.listener.ProtocolError()
 		return
 	}
-	st.ahead = len(db.in.bytes)
-	st.feed(db.in.bytes)
-	db.in.bytes = nil
+	stream.readAheadBytes = len(db.input.bytes)
+	stream.consume(db.input.bytes)
+	db.input.bytes = nil
 	r := db.outcome()
-	r.Result, r.Body, r.Stream = logic.OK, nil, st
-	st.moved = db.d.Loop.clock.Now()
-	db.to.Reply(r)
+	r.Result, r.Body, r.Stream = logic.OK, nil, stream
+	stream.lastProgress = db.databases.Loop.clock.Now()
+	db.listener.Reply(r)
 }
 
-// feed takes bytes from the database.
-func (st *stream) feed(b []byte) {
-	n := min(st.rest, len(b))
-	st.out, st.rest = append(st.out, b[:n]...), st.rest-n
-	if st.rest > 0 {
+// consume handles bytes from the database.
+func (stream *valueStream) consume(b []byte) {
+	n := min(stream.remainingRowBytes, len(b))
+	stream.output, stream.remainingRowBytes = append(stream.output, b[:n]...), stream.remainingRowBytes-n
+	if stream.remainingRowBytes > 0 {
 		return
 	}
-	st.tail = append(st.tail, b[n:]...)
-	for !st.whole {
-		m, n, err := pg.Next(st.tail)
-		body := len(st.db.reply.Body)
+	stream.unparsed = append(stream.unparsed, b[n:]...)
+	for !stream.answerComplete {
+		m, n, err := pg.Next(stream.unparsed)
+		body := len(stream.database.reply.Body)
 		if err == nil && n > 0 {
-			err = st.db.reply.Add(m)
+			err = stream.database.reply.Add(m)
 		}
 		switch {
-		case err != nil || st.db.reply.Code != "":
-			st.finish(false)
+		case err != nil || stream.database.reply.Code != "":
+			stream.finish(false)
 			return
 		case n == 0:
 			return
 		}
-		st.out = append(st.out, st.db.reply.Body[body:]...)
-		st.tail = st.tail[n:]
-		if st.whole = st.db.reply.Ready(); st.whole {
-			st.out = pg.AppendReady(st.out)
+		stream.output = append(stream.output, stream.database.reply.Body[body:]...)
+		stream.unparsed = stream.unparsed[n:]
+		if stream.answerComplete = stream.database.reply.Ready(); stream.answerComplete {
+			stream.output = pg.AppendReady(stream.output)
 		}
 	}
 }
 
 // OnEnd implements state.ValueStream.
-func (st *stream) OnEnd(f func()) { st.ended = f }
+func (stream *valueStream) OnEnd(f func()) { stream.onEnd = f }
 
 // Stop implements state.ValueStream.
-func (st *stream) Stop() { st.finish(false) }
+func (stream *valueStream) Stop() { stream.finish(false) }
 
 // AcceptsStream implements state.StreamingCaller.
-func (sl *slot) AcceptsStream() bool { _, ok := sl.c.speaks.(postgres); return ok }
+func (query *pendingQuery) AcceptsStream() bool {
+	_, ok := query.client.protocol.(postgresProtocol)
+	return ok
+}
 
 // Stream implements state.StreamingCaller.
-func (sl *slot) Stream(from state.ValueStream) {
-	st := from.(*stream)
-	c, ok := sl.c.conn.(netpoll.Conn)
-	if st.over || !ok || sl.c.phase == phaseClosed {
-		st.finish(false)
-		sl.c.hangUp()
+func (query *pendingQuery) Stream(from state.ValueStream) {
+	stream := from.(*valueStream)
+	c, ok := query.client.conn.(netpoll.Conn)
+	if stream.finished || !ok || query.client.phase == phaseClosed {
+		stream.finish(false)
+		query.client.closeNow()
 		return
 	}
 	fd, err := syscall.Dup(c.Fd())
 	if err != nil {
-		slog.Warn("a long value can't be passed on", "error", err)
-		st.finish(false)
-		sl.c.hangUp()
+		slog.Warn("streaming a long value failed", "error", err)
+		stream.finish(false)
+		query.client.closeNow()
 		return
 	}
 	syscall.CloseOnExec(fd)
-	st.c, st.sl, st.to, sl.stream = sl.c, sl, fd, st
-	st.pump()
+	stream.client, stream.query, stream.clientFD, query.stream = query.client, query, fd, stream
+	stream.transfer()
 }
 
-// pump moves what can be moved now.
-func (st *stream) pump() {
-	now := st.db.d.Loop.clock.Now()
-	for range streamTurn {
-		pushed, ok1 := st.push()
-		pulled, ok2 := st.pull()
+// transfer moves as many bytes as possible now.
+func (stream *valueStream) transfer() {
+	now := stream.database.databases.Loop.clock.Now()
+	for range maxPiecesPerCallback {
+		written, clientOK := stream.writeToClient()
+		read, databaseOK := stream.readFromDatabase()
 		switch {
-		case st.over:
+		case stream.finished:
 			return
-		case st.whole && len(st.out) == 0:
-			st.finish(true)
+		case stream.answerComplete && len(stream.output) == 0:
+			stream.finish(true)
 			return
-		case !ok1 || !ok2:
-			st.finish(false)
+		case !clientOK || !databaseOK:
+			stream.finish(false)
 			return
 		}
-		if !pushed && !pulled {
+		if !written && !read {
 			break
 		}
-		st.moved = now
+		stream.lastProgress = now
 	}
-	if now-st.moved > streamStall {
-		st.finish(false)
+	if now-stream.lastProgress > streamStallTimeout {
+		stream.finish(false)
 		return
 	}
-	st.db.d.Loop.deadlines.Set(&st.timer, now+streamStep, st.pump)
+	stream.database.databases.Loop.deadlines.Set(&stream.timer, now+streamPollInterval, stream.transfer)
 }
 
-// push writes to the client, when it is this answer's turn. ok = false: the client is gone.
-func (st *stream) push() (moved, ok bool) {
-	if len(st.out) == 0 || st.c.slots[0] != st.sl {
+// writeToClient writes to the client, if this answer is the next one due. ok = false: the client is gone.
+func (stream *valueStream) writeToClient() (progressed, ok bool) {
+	if len(stream.output) == 0 || stream.client.pending[0] != stream.query {
 		return false, true
 	}
-	n, err := syscall.Write(st.to, st.out)
+	n, err := syscall.Write(stream.clientFD, stream.output)
 	if n > 0 {
-		st.out = st.out[:copy(st.out, st.out[n:])]
+		stream.output = stream.output[:copy(stream.output, stream.output[n:])]
 	}
 	return n > 0, err == nil || err == syscall.EAGAIN || err == syscall.EINTR
 }
 
-// pull reads from the database as long as there is room. ok = false: it has ended too early.
-func (st *stream) pull() (moved, ok bool) {
-	if st.whole || st.over || len(st.out) >= streamRoom {
+// readFromDatabase reads from the database as long as there is room. ok = false: the database's connection has ended
+// early.
+func (stream *valueStream) readFromDatabase() (progressed, ok bool) {
+	if stream.answerComplete || stream.finished || len(stream.output) >= maxStreamBuffer {
 		return false, true
 	}
-	buf := st.db.d.piece[:]
-	n, err := syscall.Read(st.from, buf)
+	buf := stream.database.databases.readBuffer[:]
+	n, err := syscall.Read(stream.databaseFD, buf)
 	if n > 0 {
-		st.feed(buf[:n])
+		stream.consume(buf[:n])
 		return true, true
 	}
 	return false, err == syscall.EAGAIN || err == syscall.EINTR
 }
 
-// finish ends it, once. A client that has not had all of it is let go: it sees that the value isn't whole.
-func (st *stream) finish(all bool) {
-	if st.over {
+// finish ends the stream, once. The connection of a client that has not received the complete value is closed, so
+// that the client notices.
+func (stream *valueStream) finish(complete bool) {
+	if stream.finished {
 		return
 	}
-	st.over = true
-	st.db.d.Loop.deadlines.Clear(&st.timer)
-	syscall.Close(st.from)
-	if st.to >= 0 {
-		syscall.Close(st.to)
+	stream.finished = true
+	stream.database.databases.Loop.deadlines.Clear(&stream.timer)
+	syscall.Close(stream.databaseFD)
+	if stream.clientFD >= 0 {
+		syscall.Close(stream.clientFD)
 	}
-	if st.ended != nil {
-		st.ended()
+	if stream.onEnd != nil {
+		stream.onEnd()
 	}
-	if st.sl == nil {
+	if stream.query == nil {
 		return
 	}
-	st.sl.stream = nil
-	if !all {
-		st.c.hangUp()
+	stream.query.stream = nil
+	if !complete {
+		stream.client.closeNow()
 		return
 	}
-	st.sl.give(nil)
+	stream.query.complete(nil)
 }
--- a/internal/net/stream_test.go
+++ b/internal/net/stream_test.go
@@ -39,7 +39,7 @@
 // one over 160 KiB counted as no answer, and a client that left its buffer full for 20 ms was closed.
 func TestLongValuesPassInPieces(t *testing.T) {
 	whole := longAnswer(6 << 20)
-	s, front, loop := proxy(t, member(t, func(c stdnet.Conn, text string) bool {
+	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, text string) bool {
 		if !bytes.Contains([]byte(text), []byte("'1a'")) {
 			return echo(c, text)
 		}
@@ -61,13 +61,13 @@
 		loop.Post(func() {
 			most := 0
 			for cl := range s.clients {
-				for _, sl := range cl.slots {
+				for _, sl := range cl.pending {
 					if sl.stream != nil {
-						most = max(most, len(sl.stream.out)-sl.stream.ahead)
+						most = max(most, len(sl.stream.output)-sl.stream.readAheadBytes)
 					}
 				}
 			}
-			held <- [2]int{most, front.Pending()}
+			held <- [2]int{most, engine.Pending()}
 		})
 		return <-held
 	}
@@ -76,7 +76,7 @@
 	if types, _ := other.said(len(welcome) + 3); types != welcome+"DCZ" {
 		t.Errorf("another client got %q while one doesn't read", types)
 	}
-	if x := look(); x[0] > streamRoom+len(new(Databases).piece)+1000 || x[1] == 0 {
+	if x := look(); x[0] > maxStreamBuffer+len(new(Databases).readBuffer)+1000 || x[1] == 0 {
 		t.Errorf("%d bytes held beyond what was read ahead, %d pending", x[0], x[1])
 	}
 	rest, err := io.ReadAll(io.LimitReader(c, int64(len(whole)-len(got))))
@@ -112,12 +112,12 @@
 	for m.Connection.Reader().Len() == 0 && !m.ends { // the poller goes on beside the loop
 		time.Sleep(50 * time.Microsecond)
 	}
-	m.ends, m.waited = true, m.loop.waited
+	m.ends, m.waited = true, m.loop.pollerWaits
 	return m.Connection.Close()
 }
 
 func (m *midRead) Reader() netpoll.Reader {
-	if m.ends && m.loop.waited == m.waited {
+	if m.ends && m.loop.pollerWaits == m.waited {
 		return empty{m.Connection.Reader()}
 	}
 	return m.Connection.Reader()
@@ -149,18 +149,18 @@
 	})
 	clock := state.NewClock()
 	s := &spy{Databases: &Databases{ConnectTimeout: patience}}
-	front, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, s)
+	engine, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := NewLoop(clock, &front.Deadlines)
-	s.Loop, s.Counters = loop, &front.Counters
-	server := NewServer(loop, clock, front, 8, 1, 32<<20)
+	loop := NewLoop(clock, &engine.Deadlines)
+	s.Loop, s.Counters = loop, &engine.Counters
+	server := NewServer(loop, clock, engine, 8, 1, 32<<20)
 	if err := server.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	loop.Post(func() {
-		front.Start(noWatch{}, state.List{Entries: []state.Entry{{Name: "m", Address: address, State: logic.Ready}}})
+		engine.Start(noWatch{}, state.List{Entries: []state.Entry{{Name: "m", Address: address, State: logic.Ready}}})
 	})
 	done := make(chan struct{})
 	go func() { loop.Run(); close(done) }()
@@ -188,7 +188,7 @@
 // A database that breaks off in the middle of a long value: the client sees that it isn't whole, and nothing is sent again.
 func TestABrokenLongValueShows(t *testing.T) {
 	asked := 0
-	s, front, loop := proxy(t, member(t, func(c stdnet.Conn, _ string) bool {
+	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, _ string) bool {
 		asked++
 		c.Write(longAnswer(1 << 20)[:300000])
 		return false
@@ -198,7 +198,7 @@
 		t.Errorf("%d bytes, asked %d times", len(got), asked)
 	}
 	n := make(chan [2]int)
-	loop.Post(func() { n <- [2]int{front.Pending(), front.Connections()} })
+	loop.Post(func() { n <- [2]int{engine.Pending(), engine.Connections()} })
 	if x := <-n; x[0] != 0 || x[1] > 1 {
 		t.Errorf("%d pending, %d connections", x[0], x[1])
 	}
@@ -207,7 +207,7 @@
 // A client that leaves in the middle leaves nothing behind.
 func TestAClientLeavesALongValue(t *testing.T) {
 	ended := make(chan bool, 1)
-	s, front, loop := proxy(t, member(t, func(c stdnet.Conn, _ string) bool {
+	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, _ string) bool {
 		for _, err := c.Write(longAnswer(8 << 20)); err == nil; _, err = c.Write(make([]byte, 1<<20)) {
 		}
 		ended <- true
@@ -219,7 +219,7 @@
 	<-ended
 	for end := time.Now().Add(patience); ; {
 		n := make(chan int)
-		loop.Post(func() { n <- front.Pending() })
+		loop.Post(func() { n <- engine.Pending() })
 		if <-n == 0 {
 			break
 		} else if time.Now().After(end) {
--- a/internal/net/takeover.go
+++ b/internal/net/takeover.go
@@ -16,285 +16,288 @@
 )
 
 const (
-	workDial    = 500 * time.Millisecond // that another proxy may take to answer a dial
-	workAgain   = 100 * time.Millisecond // before it is dialled anew, doubled each time, with jitter
-	workMost    = 2 * time.Second
-	workOut     = 1 << 20               // bytes that wait for a link that is being made; beyond, messages are lost, as they may be anywhere
-	workAtOnce  = 256 << 10             // bytes of a frame, about
-	workBeat    = 25 * time.Millisecond // of the book's clock: a few times in each of its Again
-	workClients = 4096                  // links from others; beyond, further ones are turned away
+	takeoverDialTimeout    = 500 * time.Millisecond // timeout of a dial to another proxy
+	takeoverRedialDelay    = 100 * time.Millisecond // delay before a redial, doubled each time, with jitter
+	takeoverMaxRedialDelay = 2 * time.Second
+	maxQueuedTakeoverBytes = 1 << 20               // bytes queued for a link that is being made; beyond, messages are dropped, which can happen to any message
+	takeoverFrameBytes     = 256 << 10             // approximate bytes of a frame
+	takeoverTickInterval   = 25 * time.Millisecond // of the registry's clock: several times in each of its resend intervals
+	maxTakeoverConns       = 4096                  // links from other proxies; further ones are rejected
 )
 
-// TakeoverTransport carries what a tier's proxies say to one another of work in hand: a link to each member that there is something to tell, and a listener for
-// theirs. It decides nothing: takeover.Registry does. All of it runs on the loop.
+// TakeoverTransport carries messages about requests in progress between a tier's proxies: it has a link to each
+// member that there are messages for, and a listener for the links of others. takeover.Registry makes all decisions.
+// All methods run on the loop.
 type TakeoverTransport struct {
 	loop      *Loop
 	clock     state.Clock
 	deadlines *state.Deadlines
-	book      *takeover.Registry
-	do        func(takeover.Action)
+	registry  *takeover.Registry
+	execute   func(takeover.Action)
 	listener  *listener
 	open      atomic.Int64
 
-	self   takeover.Member
-	where  map[takeover.Member]string
-	links  map[takeover.Member]*workLink
-	beat   state.Deadline
-	busy   bool // flush is under way
-	closed bool
+	self      takeover.Member
+	addresses map[takeover.Member]string
+	links     map[takeover.Member]*takeoverLink
+	tickTimer state.Deadline
+	flushing  bool // Flush is running
+	closed    bool
 
-	// Counters tell what the links have seen; they only grow.
+	// Counters count messages and frames since the start.
 	Counters TakeoverCounters
 }
 
-// TakeoverCounters count messages, but where they say else.
+// TakeoverCounters count messages, except where noted.
 type TakeoverCounters struct {
 	Sent, Received uint64
-	Dropped        uint64 // that no link took
-	Invalid        uint64 // frames that could not be read, or came from who is no member
+	Dropped        uint64 // messages that no link accepted
+	Invalid        uint64 // invalid frames, and messages of a sender that is not a member
 }
 
-// ListenTakeover opens the address where the tier's other proxies come. do carries out what the book orders; it is called on the loop.
-func ListenTakeover(loop *Loop, clock state.Clock, deadlines *state.Deadlines, address string, cfg takeover.Config, do func(takeover.Action)) (*TakeoverTransport, error) {
-	w := &TakeoverTransport{loop: loop, clock: clock, deadlines: deadlines, book: takeover.New(cfg), do: do, where: map[takeover.Member]string{},
-		links: map[takeover.Member]*workLink{}}
+// ListenTakeover opens the address that the tier's other proxies connect to. execute carries out the registry's
+// actions; it is called on the loop.
+func ListenTakeover(loop *Loop, clock state.Clock, deadlines *state.Deadlines, address string, cfg takeover.Config, execute func(takeover.Action)) (*TakeoverTransport, error) {
+	t := &TakeoverTransport{loop: loop, clock: clock, deadlines: deadlines, registry: takeover.New(cfg), execute: execute, addresses: map[takeover.Member]string{},
+		links: map[takeover.Member]*takeoverLink{}}
 	ln, err := stdnet.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	if w.listener, err = serve(ln, workClients, &w.open, func() {}, w.accept, nil); err != nil {
+	if t.listener, err = serveListener(ln, maxTakeoverConns, &t.open, func() {}, t.accept, nil); err != nil {
 		return nil, err
 	}
-	return w, nil
+	return t, nil
 }
 
-// Start begins to watch what is kept here.
-func (w *TakeoverTransport) Start() { w.tick() }
+// Start starts the registry's clock.
+func (t *TakeoverTransport) Start() { t.tick() }
 
-// Address is where it listens.
-func (w *TakeoverTransport) Address() string { return w.listener.Addr().String() }
+// Address returns the address that it listens on.
+func (t *TakeoverTransport) Address() string { return t.listener.Addr().String() }
 
-// Registry gives the decisions. Whoever calls them calls Flush behind that.
-func (w *TakeoverTransport) Registry() *takeover.Registry { return w.book }
+// Registry returns the registry. Callers of its methods have to call Flush afterwards.
+func (t *TakeoverTransport) Registry() *takeover.Registry { return t.registry }
 
-// Close ends all links.
-func (w *TakeoverTransport) Close() {
-	w.closed = true
-	w.deadlines.Clear(&w.beat)
-	for m := range w.links {
-		w.forget(m)
+// Close closes all links and stops listening.
+func (t *TakeoverTransport) Close() {
+	t.closed = true
+	t.deadlines.Clear(&t.tickTimer)
+	for m := range t.links {
+		t.removeLink(m)
 	}
-	w.listener.end()
+	t.listener.shutdown()
 }
 
-func (w *TakeoverTransport) tick() {
-	if w.closed {
+func (t *TakeoverTransport) tick() {
+	if t.closed {
 		return
 	}
-	w.book.Tick(w.clock.Now())
-	w.Flush()
-	w.deadlines.Set(&w.beat, w.clock.Now()+workBeat, w.tick)
+	t.registry.Tick(t.clock.Now())
+	t.Flush()
+	t.deadlines.Set(&t.tickTimer, t.clock.Now()+takeoverTickInterval, t.tick)
 }
 
-// SetMembership takes what is known of the members. It may be called with the same again; self is 0 for a proxy that is none.
-func (w *TakeoverTransport) SetMembership(self rollout.Member, t rollout.Membership, life time.Duration) {
-	known := takeover.Membership{Self: takeover.Member(self), Version: t.Version, Until: t.ValidUntil, Retention: life}
-	clear(w.where)
-	for _, s := range t.Members {
-		if s.Address != "" {
-			w.where[takeover.Member(s.Member)] = s.Address
-			known.Members = append(known.Members, takeover.Member(s.Member))
+// SetMembership sets the known members. It may be called again with the same ones; self is 0 for a proxy that is not
+// a member.
+func (t *TakeoverTransport) SetMembership(self rollout.Member, membership rollout.Membership, retention time.Duration) {
+	known := takeover.Membership{Self: takeover.Member(self), Version: membership.Version, Until: membership.ValidUntil, Retention: retention}
+	clear(t.addresses)
+	for _, member := range membership.Members {
+		if member.Address != "" {
+			t.addresses[takeover.Member(member.Member)] = member.Address
+			known.Members = append(known.Members, takeover.Member(member.Member))
 		}
 	}
-	for _, v := range t.Past {
-		p := takeover.PastMembers{Left: v.Remaining}
-		for _, m := range v.Members {
+	for _, past := range membership.Past {
+		p := takeover.PastMembers{Left: past.Remaining}
+		for _, m := range past.Members {
 			p.Members = append(p.Members, takeover.Member(m))
 		}
 		known.Past = append(known.Past, p)
 	}
-	for m := range w.links {
-		if w.where[m] == "" {
-			w.forget(m)
+	for m := range t.links {
+		if t.addresses[m] == "" {
+			t.removeLink(m)
 		}
 	}
-	w.self = known.Self
-	w.book.SetMembership(w.clock.Now(), known)
-	w.Flush()
+	t.self = known.Self
+	t.registry.SetMembership(t.clock.Now(), known)
+	t.Flush()
 }
 
-// Flush sends what the book has to say and carries out its orders, until there are no more.
-func (w *TakeoverTransport) Flush() {
-	if w.busy { // an order's way back into the book: the loop below goes on with it
+// Flush sends the registry's messages and executes its actions until there are none.
+func (t *TakeoverTransport) Flush() {
+	if t.flushing { // an action has called back into the registry: the loop below handles the results
 		return
 	}
-	w.busy = true
-	defer func() { w.busy = false }()
+	t.flushing = true
+	defer func() { t.flushing = false }()
 	for {
-		ready := w.book.TakeReady()
+		ready := t.registry.TakeReady()
 		if ready.Empty() {
 			break
 		}
-		for _, s := range ready.Messages {
-			w.tell(s)
+		for _, envelope := range ready.Messages {
+			t.queueMessage(envelope)
 		}
-		for _, o := range ready.Actions {
-			w.do(o)
+		for _, action := range ready.Actions {
+			t.execute(action)
 		}
 	}
-	for _, l := range w.links {
+	for _, l := range t.links {
 		l.flush()
 	}
 }
 
-func (w *TakeoverTransport) tell(s takeover.Envelope) {
-	address := w.where[s.To]
+func (t *TakeoverTransport) queueMessage(envelope takeover.Envelope) {
+	address := t.addresses[envelope.To]
 	if address == "" {
-		w.Counters.Dropped++
+		t.Counters.Dropped++
 		return
 	}
-	l := w.links[s.To]
+	l := t.links[envelope.To]
 	if l == nil {
-		l = &workLink{w: w, to: s.To, address: address}
-		w.links[s.To] = l
+		l = &takeoverLink{transport: t, to: envelope.To, address: address}
+		t.links[envelope.To] = l
 		l.dial()
 	}
-	size := len(s.Key) + 64
-	if s.Work != nil {
-		size += len(s.Work.Key) + len(s.Work.Statement) + len(s.Work.Class)
+	size := len(envelope.Key) + 64
+	if envelope.Work != nil {
+		size += len(envelope.Work.Key) + len(envelope.Work.Statement) + len(envelope.Work.Class)
 	}
-	if s.Result != nil {
-		size += len(s.Result.Value)
+	if envelope.Result != nil {
+		size += len(envelope.Result.Value)
 	}
-	if l.bytes+size > workOut {
-		w.Counters.Dropped++
+	if l.queuedBytes+size > maxQueuedTakeoverBytes {
+		t.Counters.Dropped++
 		return
 	}
-	l.out, l.bytes = append(l.out, s.Message), l.bytes+size
+	l.queue, l.queuedBytes = append(l.queue, envelope.Message), l.queuedBytes+size
 }
 
-func (w *TakeoverTransport) forget(m takeover.Member) {
-	l := w.links[m]
-	delete(w.links, m)
-	l.gone = true
-	w.deadlines.Clear(&l.redial)
+func (t *TakeoverTransport) removeLink(m takeover.Member) {
+	l := t.links[m]
+	delete(t.links, m)
+	l.removed = true
+	t.deadlines.Clear(&l.redialTimer)
 	if l.conn != nil {
 		l.conn.Close()
 	}
-	w.Counters.Dropped += uint64(len(l.out))
-	w.book.SetReachable(m, true) // nothing is known of it any more
+	t.Counters.Dropped += uint64(len(l.queue))
+	t.registry.SetReachable(m, true) // nothing is known about it any more
 }
 
-// workLink is the way to one other proxy. What that one says comes on a link of its own.
-type workLink struct {
-	w       *TakeoverTransport
-	to      takeover.Member
-	address string
-	conn    netpoll.Connection
-	out     []takeover.Message
-	bytes   int // of them, about
-	tries   int
-	since   time.Duration // when the link came up
-	redial  state.Deadline
-	gone    bool
+// takeoverLink is the outgoing link to another proxy, whose own messages arrive on a link that it makes.
+type takeoverLink struct {
+	transport    *TakeoverTransport
+	to           takeover.Member
+	address      string
+	conn         netpoll.Connection
+	queue        []takeover.Message
+	queuedBytes  int // approximate bytes in queue
+	dialAttempts int
+	connectedAt  time.Duration // when the link was connected
+	redialTimer  state.Deadline
+	removed      bool
 }
 
-func (l *workLink) dial() {
-	connect(l.w.loop, l.address, workDial, func(conn netpoll.Connection, err error) {
+func (l *takeoverLink) dial() {
+	dialAsync(l.transport.loop, l.address, takeoverDialTimeout, func(conn netpoll.Connection, err error) {
 		switch {
-		case l.gone:
+		case l.removed:
 			if err == nil {
 				conn.Close()
 			}
 			return
 		case err != nil:
-			l.again()
+			l.scheduleRedial()
 			return
 		}
-		l.conn, l.since = conn, l.w.clock.Now()
-		attach(l.w.loop, conn, func() { conn.Reader().Skip(conn.Reader().Len()) }, func() {
-			if l.conn == conn && !l.gone {
+		l.conn, l.connectedAt = conn, l.transport.clock.Now()
+		attachCallbacks(l.transport.loop, conn, func() { conn.Reader().Skip(conn.Reader().Len()) }, func() {
+			if l.conn == conn && !l.removed {
 				l.conn = nil
-				l.again()
+				l.scheduleRedial()
 			}
 		})
-		l.w.book.SetReachable(l.to, true)
+		l.transport.registry.SetReachable(l.to, true)
 		l.flush()
 	})
 }
 
-func (l *workLink) again() {
-	l.w.book.SetReachable(l.to, false)
-	now := l.w.clock.Now()
-	l.w.deadlines.Set(&l.redial, now+l.pause(now), l.dial)
+func (l *takeoverLink) scheduleRedial() {
+	l.transport.registry.SetReachable(l.to, false)
+	now := l.transport.clock.Now()
+	l.transport.deadlines.Set(&l.redialTimer, now+l.redialDelay(now), l.dial)
 }
 
-// pause tells how long to wait with the next dial.
-func (l *workLink) pause(now time.Duration) time.Duration {
-	if l.since > 0 && now-l.since >= workMost { // one that stands still takes dials and reads nothing: each such link stops the loop for a write's patience
-		l.tries = 0
+// redialDelay returns the time until the next dial.
+func (l *takeoverLink) redialDelay(now time.Duration) time.Duration {
+	if l.connectedAt > 0 && now-l.connectedAt >= takeoverMaxRedialDelay { // a peer that hangs accepts dials but reads nothing: each such link blocks the loop for a write timeout
+		l.dialAttempts = 0
 	}
-	l.since = 0
-	pause := min(workAgain<<min(l.tries, 8), workMost)
-	l.tries++
-	// Jitter by who dials whom, so that a proxy that comes back isn't dialled by all at once.
-	part := float64((uint64(l.w.self)*0x9e3779b97f4a7c15^uint64(l.to)*0xbf58476d1ce4e5b9)>>40) / (1 << 24)
+	l.connectedAt = 0
+	pause := min(takeoverRedialDelay<<min(l.dialAttempts, 8), takeoverMaxRedialDelay)
+	l.dialAttempts++
+	// The jitter depends on both members, so that a proxy that comes back is not dialled by all others at once.
+	part := float64((uint64(l.transport.self)*0x9e3779b97f4a7c15^uint64(l.to)*0xbf58476d1ce4e5b9)>>40) / (1 << 24)
 	return time.Duration((0.5 + part) * float64(pause))
 }
 
-// flush writes what waits, several messages to a frame.
-func (l *workLink) flush() {
-	if l.conn == nil || len(l.out) == 0 {
+// flush writes the queued messages, several to a frame.
+func (l *takeoverLink) flush() {
+	if l.conn == nil || len(l.queue) == 0 {
 		return
 	}
 	var text []byte
-	for from, size := 0, 0; from < len(l.out); size = 0 {
+	for from, size := 0, 0; from < len(l.queue); size = 0 {
 		to := from
-		for to < len(l.out) && (to == from || size < workAtOnce) {
-			if w := l.out[to].Work; w != nil {
+		for to < len(l.queue) && (to == from || size < takeoverFrameBytes) {
+			if w := l.queue[to].Work; w != nil {
 				size += len(w.Statement)
 			}
 			size += 256
 			to++
 		}
-		frame, err := tier.Append(text, &tier.Frame{Work: &tier.Work{From: l.w.self, To: l.to, Messages: l.out[from:to]}})
+		frame, err := tier.Append(text, &tier.Frame{Work: &tier.Work{From: l.transport.self, To: l.to, Messages: l.queue[from:to]}})
 		if err != nil {
-			l.w.Counters.Dropped += uint64(to - from)
-			slog.Warn("what a proxy was to be told can't be sent", "member", uint64(l.to), "error", err)
+			l.transport.Counters.Dropped += uint64(to - from)
+			slog.Warn("encoding messages to a member failed", "member", uint64(l.to), "error", err)
 		} else {
 			text = frame
-			l.w.Counters.Sent += uint64(to - from)
+			l.transport.Counters.Sent += uint64(to - from)
 		}
 		from = to
 	}
-	clear(l.out)
-	l.out, l.bytes = l.out[:0], 0
+	clear(l.queue)
+	l.queue, l.queuedBytes = l.queue[:0], 0
 	if _, err := l.conn.Write(text); err != nil {
 		l.conn.Close()
 	}
 }
 
-// workConn is a link that another proxy has made.
-type workConn struct {
-	w    *TakeoverTransport
-	conn netpoll.Connection
-	in   buffer
+// takeoverConn is a link made by another proxy.
+type takeoverConn struct {
+	transport *TakeoverTransport
+	conn      netpoll.Connection
+	input     buffer
 }
 
-func (w *TakeoverTransport) accept(ctx context.Context, conn netpoll.Connection) context.Context {
-	return context.WithValue(ctx, clientKey{}, &workConn{w: w, conn: conn})
+func (t *TakeoverTransport) accept(ctx context.Context, conn netpoll.Connection) context.Context {
+	return context.WithValue(ctx, clientKey{}, &takeoverConn{transport: t, conn: conn})
 }
 
-func (c *workConn) readable() {
-	if err := c.in.fill(c.conn.Reader()); err != nil {
+func (c *takeoverConn) handleInput() {
+	if err := c.input.fill(c.conn.Reader()); err != nil {
 		c.conn.Close()
 		return
 	}
 	used := 0
-	for !c.w.closed {
-		f, n, err := tier.Next(c.in.bytes[used:])
+	for !c.transport.closed {
+		f, n, err := tier.Next(c.input.bytes[used:])
 		if err != nil {
-			c.w.Counters.Invalid++
+			c.transport.Counters.Invalid++
 			c.conn.Close()
 			return
 		}
@@ -302,21 +305,22 @@
 			break
 		}
 		used += n
-		c.w.heard(f.Work)
+		c.transport.receive(f.Work)
 	}
-	c.in.cut(used)
-	c.w.Flush()
+	c.input.discard(used)
+	c.transport.Flush()
 }
 
-// heard takes what another proxy says. Only members are heard, and only what is for this very membership: a proxy that has joined anew has nothing of
-// what was said to it before. One that isn't known yet says it again.
-func (w *TakeoverTransport) heard(x *tier.Work) {
-	if x == nil || w.self == 0 || x.To != w.self || w.where[x.From] == "" || x.From == w.self {
-		w.Counters.Invalid++
+// receive handles messages of another proxy. Only messages of members to this very member are accepted: a proxy that
+// has rejoined gets none that were sent to its previous membership. A sender that is not known yet sends its messages
+// again.
+func (t *TakeoverTransport) receive(work *tier.Work) {
+	if work == nil || t.self == 0 || work.To != t.self || t.addresses[work.From] == "" || work.From == t.self {
+		t.Counters.Invalid++
 		return
 	}
-	for _, m := range x.Messages {
-		w.Counters.Received++
-		w.book.Receive(w.clock.Now(), x.From, m)
+	for _, m := range work.Messages {
+		t.Counters.Received++
+		t.registry.Receive(t.clock.Now(), work.From, m)
 	}
 }
--- a/internal/net/takeover_test.go
+++ b/internal/net/takeover_test.go
@@ -183,8 +183,8 @@
 	on(loop, func() {
 		begin(takeover.Required, "a", "b", "c", "d", "e", "f")
 		for m, l := range x.links {
-			if l.bytes > workOut {
-				t.Errorf("%d bytes wait for %d", l.bytes, m)
+			if l.queuedBytes > maxQueuedTakeoverBytes {
+				t.Errorf("%d bytes wait for %d", l.queuedBytes, m)
 			}
 		}
 		if x.Counters.Dropped == 0 {
@@ -208,21 +208,21 @@
 // Dials come less and less often, by who dials whom and so not of all at once, unless the link lived for a while: one that stands still takes dials and
 // reads nothing.
 func TestDialsOfWorkComeLessAndLessOften(t *testing.T) {
-	l, other := &workLink{w: &TakeoverTransport{self: 1}, to: 2}, &workLink{w: &TakeoverTransport{self: 3}, to: 2}
+	l, other := &takeoverLink{transport: &TakeoverTransport{self: 1}, to: 2}, &takeoverLink{transport: &TakeoverTransport{self: 3}, to: 2}
 	now := time.Hour
-	first := l.pause(now)
-	if first > 150*time.Millisecond || first == other.pause(now) {
+	first := l.redialDelay(now)
+	if first > 150*time.Millisecond || first == other.redialDelay(now) {
 		t.Errorf("%v for both", first)
 	}
 	for range 8 {
-		l.since = now - 10*time.Millisecond // it came up, and ended
-		l.pause(now)
+		l.connectedAt = now - 10*time.Millisecond // it came up, and ended
+		l.redialDelay(now)
 	}
-	if p := l.pause(now); p < workMost/2 || p > workMost*3/2 {
+	if p := l.redialDelay(now); p < takeoverMaxRedialDelay/2 || p > takeoverMaxRedialDelay*3/2 {
 		t.Errorf("%v", p)
 	}
-	l.since = now - workMost
-	if p := l.pause(now); p != first {
+	l.connectedAt = now - takeoverMaxRedialDelay
+	if p := l.redialDelay(now); p != first {
 		t.Errorf("%v behind a link that lived, %v at first", p, first)
 	}
 }
