--- a/internal/net/admin.go
+++ b/internal/net/admin.go
@@ -88,41 +88,41 @@
 		c.input.discard(len(c.input.bytes))
 		return
 	}
-	call, whole, err := wire.Next(c.input.bytes)
+	call, complete, err := wire.Next(c.input.bytes)
 	switch {
 	case err != nil:
 		c.respond(wire.BadRequest, []byte(err.Error()+"\n"))
-	case whole:
+	case complete:
 		c.handle(call)
 	}
 }
 
 func (c *adminConn) handle(call wire.Call) {
-	s := c.admin.handler
-	want := map[string]string{"/v1/readyz": "GET", "/v1/metrics": "GET", "/v1/proxy/drain": "PUT", "/v1/proxy/activate": "PUT"}[call.Path]
+	handler := c.admin.handler
+	method := map[string]string{"/v1/readyz": "GET", "/v1/metrics": "GET", "/v1/proxy/drain": "PUT", "/v1/proxy/activate": "PUT"}[call.Path]
 	switch {
-	case want == "":
+	case method == "":
 		c.respond(wire.NotFound, []byte("no such call; there are GET /v1/readyz, GET /v1/metrics, PUT /v1/proxy/drain, PUT /v1/proxy/activate\n"))
 		return
-	case call.Method != want:
-		c.respond(wire.MethodNotAllowed, []byte("the method for "+call.Path+" is "+want+"\n"))
+	case call.Method != method:
+		c.respond(wire.MethodNotAllowed, []byte("the method for "+call.Path+" is "+method+"\n"))
 		return
 	}
 	switch call.Path {
 	case "/v1/readyz":
-		if !s.Ready() {
+		if !handler.Ready() {
 			c.respond(wire.Unavailable, []byte("not ready\n"))
 			return
 		}
 	case "/v1/metrics":
-		c.respond(wire.OK, s.Metrics(nil))
+		c.respond(wire.OK, handler.Metrics(nil))
 		return
 	case "/v1/proxy/drain":
 		slog.Info("operators send clients away")
-		s.Drain()
+		handler.Drain()
 	case "/v1/proxy/activate":
 		slog.Info("operators take clients again")
-		s.Activate()
+		handler.Activate()
 	}
 	c.respond(wire.OK, []byte("ok\n"))
 }
--- a/internal/net/admin_test.go
+++ b/internal/net/admin_test.go
@@ -11,21 +11,21 @@
 	"havenproxy/internal/wire/pg"
 )
 
-// steward notes what it is asked.
-type steward struct {
+// adminStub records the calls of AdminHandler.
+type adminStub struct {
 	ready bool
-	told  chan string
+	calls chan string
 }
 
-func (s *steward) Ready() bool               { return s.ready }
-func (s *steward) Metrics(dst []byte) []byte { return append(dst, "proxy.in_progress:0|g\n"...) }
-func (s *steward) Drain()                    { s.told <- "drain" }
-func (s *steward) Activate()                 { s.told <- "activate" }
+func (s *adminStub) Ready() bool               { return s.ready }
+func (s *adminStub) Metrics(dst []byte) []byte { return append(dst, "proxy.in_progress:0|g\n"...) }
+func (s *adminStub) Drain()                    { s.calls <- "drain" }
+func (s *adminStub) Activate()                 { s.calls <- "activate" }
 
-// Operators' calls are answered, also while others send nothing or half a call; those are let go.
-func TestAdminCalls(t *testing.T) {
-	s, engine, loop := proxy(t, "127.0.0.1:1", 8, 4)
-	st := &steward{told: make(chan string, 4)}
+// Admin calls are answered while other connections send nothing or an incomplete call; those are closed.
+func TestAdminCallsAreAnsweredBesideIncompleteOnes(t *testing.T) {
+	s, engine, loop := startProxy(t, "127.0.0.1:1", 8, 4)
+	st := &adminStub{calls: make(chan string, 4)}
 	a, err := ListenAdmin(loop, s.clock, &engine.Deadlines, "127.0.0.1:0", st)
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c, text)
 		return c
 	}
@@ -67,69 +67,70 @@
 	}
 	ask("PUT /v1/proxy/drain"+end, "200")
 	ask("PUT /v1/proxy/activate"+end, "200")
-	if x, y := <-st.told, <-st.told; x != "drain" || y != "activate" {
+	if x, y := <-st.calls, <-st.calls; x != "drain" || y != "activate" {
 		t.Errorf("%s, then %s", x, y)
 	}
-	skip(s, adminCallTimeout+time.Second)
+	advance(s, adminCallTimeout+time.Second)
 	if got, _ := io.ReadAll(silent[len(silent)-1]); !strings.HasPrefix(string(got), "HTTP/1.1 400 ") {
-		t.Errorf("half a call is answered %q", got)
+		t.Errorf("an incomplete call got %q", got)
 	}
 }
 
-// hello connects as a client does.
-func hello(t *testing.T, address string) stdnet.Conn {
+// connectClient opens a client session.
+func connectClient(t *testing.T, address string) stdnet.Conn {
 	t.Helper()
 	c, err := stdnet.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	c.Write(pg.AppendStartup(nil, "client", "core"))
 	io.ReadFull(c, make([]byte, len(pg.AppendWelcome(nil))))
 	return c
 }
 
-func emptyQuery(c stdnet.Conn) string {
+func sendEmptyQuery(c stdnet.Conn) string {
 	c.Write(pg.AppendQuery(nil, ""))
 	b := make([]byte, 256)
 	n, _ := c.Read(b)
 	return string(b[:max(n, 0)])
 }
 
-// A proxy that operators drain says no and lets go of its clients; taken back, it says yes again.
-func TestClientsAreSentAwayAndTakenAgain(t *testing.T) {
-	s, _, loop := proxy(t, "127.0.0.1:1", 8, 4)
-	idle, asking := hello(t, s.Address()), hello(t, s.Address())
+// A drained proxy refuses the health check query and closes its clients; when it is activated again, it accepts both.
+func TestOperatorDrainDisconnectsClients(t *testing.T) {
+	s, _, loop := startProxy(t, "127.0.0.1:1", 8, 4)
+	idle, asking := connectClient(t, s.Address()), connectClient(t, s.Address())
 	yes := string(pg.AppendEmpty(nil))
-	if emptyQuery(idle) != yes || emptyQuery(asking) != yes {
-		t.Fatal("no before anything happened")
+	if sendEmptyQuery(idle) != yes || sendEmptyQuery(asking) != yes {
+		t.Fatal("the health check was refused before the drain")
 	}
 	done := make(chan bool)
 	loop.Post(func() { s.SetOperatorDrain(true); close(done) })
 	<-done
-	if got := emptyQuery(asking); got == yes || got == "" {
-		t.Fatalf("a drained proxy says %q", got)
+	if got := sendEmptyQuery(asking); got == yes || got == "" {
+		t.Fatalf("a drained proxy answered %q", got)
 	}
 	if _, err := asking.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("kept behind its answer: %v", err)
+		t.Errorf("the connection was not closed after its answer: %v", err)
 	}
-	for range 12 { // each a turn of the sweep
-		skip(s, drainInterval)
+	for range 12 { // each advances to the next run of closeDrainedClients
+		advance(s, drainInterval)
 	}
 	if _, err := idle.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("an idle client is kept: %v", err)
+		t.Errorf("an idle client was not closed: %v", err)
 	}
 	done = make(chan bool)
 	loop.Post(func() { s.SetOperatorDrain(false); close(done) })
 	<-done
-	if got := emptyQuery(hello(t, s.Address())); got != yes {
-		t.Errorf("taken back it says %q", got)
+	if got := sendEmptyQuery(connectClient(t, s.Address())); got != yes {
+		t.Errorf("after activation the proxy answered %q", got)
 	}
 }
 
-// Two processes accept on one socket. The one that leaves lets the other have what comes, and the socket listens on.
-func TestAnInheritedSocketListensOn(t *testing.T) {
+// Two processes accept on one socket. After one of them drains, all new connections go to the other, and the socket
+// keeps listening.
+func TestInheritedSocketKeepsListening(t *testing.T) {
 	ln, err := stdnet.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -141,8 +142,8 @@
 	}
 	defer file.Close()
 	inherit := func() *Server {
-		s, _, loop := proxy(t, "127.0.0.1:1", 8, 4)
-		fd, err := syscall.Dup(int(file.Fd())) // as if each were a process of its own
+		s, _, loop := startProxy(t, "127.0.0.1:1", 8, 4)
+		fd, err := syscall.Dup(int(file.Fd())) // as if each were a separate process
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -155,30 +156,30 @@
 		return s
 	}
 	first := inherit()
-	kept := hello(t, ln.Addr().String())
+	kept := connectClient(t, ln.Addr().String())
 	second := inherit()
 	done := make(chan bool)
 	first.loop.Post(func() { done <- first.DrainShared() })
 	if !<-done {
-		t.Fatal("a shared socket counts as its own")
+		t.Fatal("a shared socket is reported as not shared")
 	}
-	if got := emptyQuery(kept); got != string(pg.AppendEmpty(nil)) {
-		t.Errorf("a client of the one that leaves has %q", got)
+	if got := sendEmptyQuery(kept); got != string(pg.AppendEmpty(nil)) {
+		t.Errorf("a client of the draining process got %q", got)
 	}
 	if _, err := kept.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("kept behind its answer: %v", err)
+		t.Errorf("the connection was not closed after its answer: %v", err)
 	}
 	for range 6 {
-		if got := emptyQuery(hello(t, ln.Addr().String())); got != string(pg.AppendEmpty(nil)) {
+		if got := sendEmptyQuery(connectClient(t, ln.Addr().String())); got != string(pg.AppendEmpty(nil)) {
 			t.Fatalf("%q", got)
 		}
 	}
 	n := make(chan int)
 	second.loop.Post(func() { n <- len(second.clients) })
 	if <-n != 6 {
-		t.Error("not all went to the process that stays")
+		t.Error("not all clients went to the remaining process")
 	}
 	if err := second.Inherit(1 << 20); err == nil {
-		t.Error("a descriptor that is none is taken")
+		t.Error("an invalid descriptor was accepted")
 	}
 }
--- a/internal/net/callback_stats_test.go
+++ b/internal/net/callback_stats_test.go
@@ -10,12 +10,13 @@
 	"havenproxy/internal/state"
 )
 
-// Guards against incident 38 going unseen: what holds the loop is counted and named, and so is a deadline that is run late.
-func TestAHeldUpLoopIsCountedAndNamed(t *testing.T) {
+// Guards against incident 38 going unnoticed: a callback that holds the loop up is counted and named in the log, and
+// so is the delay of a deadline.
+func TestSlowCallbackIsCountedAndNamed(t *testing.T) {
 	var log bytes.Buffer
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
-	clock, deadlines, counters, delays := &handClock{now: time.Hour}, &state.Deadlines{}, &state.Counters{}, &state.Delays{}
+	clock, deadlines, counters, delays := &manualClock{now: time.Hour}, &state.Deadlines{}, &state.Counters{}, &state.Delays{}
 	loop := NewLoop(clock, deadlines)
 	loop.Measure(counters, delays)
 	var due state.Deadline
@@ -27,17 +28,17 @@
 		t.Errorf("%d slow turns, the longest %v; want 1 of %v", counters.SlowTurns, delays.LongestTurn, 2*slowCallback)
 	}
 	if want := slowCallback - 1 - 10*time.Millisecond; delays.LongestDeadlineDelay != want {
-		t.Errorf("the latest deadline was run %v behind its time, want %v", delays.LongestDeadlineDelay, want)
+		t.Errorf("the latest deadline was run %v late, want %v", delays.LongestDeadlineDelay, want)
 	}
-	if n := strings.Count(log.String(), "by=havenproxy/internal/net.TestAHeldUpLoopIsCountedAndNamed"); n != 1 {
+	if n := strings.Count(log.String(), "by=havenproxy/internal/net.TestSlowCallbackIsCountedAndNamed"); n != 1 {
 		t.Errorf("%d log lines name the function:\n%s", n, log.String())
 	}
 }
 
-// Guards against incident 38: a deadline waited for all that stood in the loop's queue, and with it a request's answer. It is run once it is late,
-// before what was posted behind.
-func TestALateDeadlineDoesNotWaitForTheQueue(t *testing.T) {
-	clock, deadlines := &handClock{now: time.Hour}, &state.Deadlines{}
+// Guards against incident 38: a deadline, and with it a request's answer, waited for all callbacks in the loop's
+// queue. A late deadline is run before the callbacks queued after it.
+func TestLateDeadlineRunsBeforeQueuedCallbacks(t *testing.T) {
+	clock, deadlines := &manualClock{now: time.Hour}, &state.Deadlines{}
 	loop := NewLoop(clock, deadlines)
 	var due state.Deadline
 	var order []string
@@ -51,9 +52,9 @@
 	}
 }
 
-// The time that a request waited in the loop's queue is taken from what its client waits.
-func TestTheLoopTellsWhenBytesWereRead(t *testing.T) {
-	clock, deadlines := &handClock{now: time.Hour}, &state.Deadlines{}
+// The time that a request waits in the loop's queue counts towards the time that its client waits.
+func TestReceivedAtIsTheReadTime(t *testing.T) {
+	clock, deadlines := &manualClock{now: time.Hour}, &state.Deadlines{}
 	loop := NewLoop(clock, deadlines)
 	var received, within time.Duration
 	loop.Post(func() { clock.now += time.Second })
--- a/internal/net/client.go
+++ b/internal/net/client.go
@@ -42,8 +42,8 @@
 type closeReason uint8
 
 const (
-	reasonMalformed      closeReason = iota
-	reasonTooManyClients             // too many clients
+	reasonMalformed closeReason = iota
+	reasonTooManyClients
 	reasonNoMemory
 	reasonTooManyLogins // too many failed or concurrent logins
 )
@@ -54,11 +54,12 @@
 	greet(c *client) // called when the client has connected
 	// parseNext handles the first message of buf and returns its length; 0 = nothing to do yet.
 	parseNext(c *client, buf []byte) (int, error)
-	servedAnswer(sl *pendingQuery, body []byte) []byte
-	refusedAnswer(sl *pendingQuery, comeBack time.Duration) []byte
-	failedAnswer(sl *pendingQuery) []byte
-	badRequestAnswer(sl *pendingQuery, body []byte) []byte // body, if there is one, is the database's own error
-	fatalError(why closeReason, text string) []byte
+	// The following methods return the bytes of an answer.
+	served(q *pendingQuery, body []byte) []byte
+	refused(q *pendingQuery, retryAfter time.Duration) []byte
+	failed(q *pendingQuery) []byte
+	badRequest(q *pendingQuery, body []byte) []byte // body, if there is one, is the database's own error
+	fatalError(reason closeReason, text string) []byte
 	maxPending() int            // the maximum number of pending queries
 	connectionClosed(c *client) // called when the connection has ended
 }
@@ -68,7 +69,7 @@
 	server           *Server
 	protocol         clientProtocol
 	conn             netpoll.Connection
-	remoteAddress    string // the client's address
+	remoteAddress    string
 	input            buffer
 	closing          bool // the proxy is closing the connection, because no answer was due
 	closeAtOnce      bool // the descriptor is needed: the connection is closed without lingering
@@ -79,7 +80,7 @@
 	statementBytes   int  // bytes that the protocol keeps for later requests
 	hasQueried       bool // it has sent a complete query
 	partialQuery     bool // it has sent a part of a query, and the timer runs for the rest
-	usesConsole      bool // it uses the console
+	usesConsole      bool
 	pending          []*pendingQuery
 	timer            state.Deadline
 	consoleTimer     state.Deadline // waits for room in the send buffer
@@ -223,56 +224,50 @@
 }
 
 // SetPolicy implements state.PolicyRecorder.
-func (query *pendingQuery) SetPolicy(policy uint64) { query.policy, query.policyKnown = policy, true }
+func (q *pendingQuery) SetPolicy(policy uint64) { q.policy, q.policyKnown = policy, true }
 
 // Served implements state.Caller.
-func (query *pendingQuery) Served(body []byte) {
-	query.complete(query.client.protocol.servedAnswer(query, body))
-}
+func (q *pendingQuery) Served(body []byte) { q.complete(q.client.protocol.served(q, body)) }
 
 // Refused implements state.Caller.
-func (query *pendingQuery) Refused(retryAfter time.Duration) {
-	query.complete(query.client.protocol.refusedAnswer(query, retryAfter))
-}
+func (q *pendingQuery) Refused(after time.Duration) { q.complete(q.client.protocol.refused(q, after)) }
 
 // Failed implements state.Caller.
-func (query *pendingQuery) Failed() { query.complete(query.client.protocol.failedAnswer(query)) }
+func (q *pendingQuery) Failed() { q.complete(q.client.protocol.failed(q)) }
 
 // BadRequest implements state.Caller.
-func (query *pendingQuery) BadRequest(body []byte) {
-	query.complete(query.client.protocol.badRequestAnswer(query, body))
-}
+func (q *pendingQuery) BadRequest(body []byte) { q.complete(q.client.protocol.badRequest(q, body)) }
 
 // ClientConnected implements state.ClientChecker. The poller marks a connection that the client has closed before the
 // loop runs its callback.
-func (query *pendingQuery) ClientConnected() bool {
-	return query.client.phase != phaseClosed && (query.client.closing || query.client.conn.IsActive())
+func (q *pendingQuery) ClientConnected() bool {
+	return q.client.phase != phaseClosed && (q.client.closing || q.client.conn.IsActive())
 }
 
 // complete sets a query's answer and writes all answers that are next in order.
-func (query *pendingQuery) complete(answer []byte) {
-	c := query.client
-	query.answered, query.answer = true, answer
-	n, out := 0, []byte(nil)
+func (q *pendingQuery) complete(answer []byte) {
+	c := q.client
+	q.answered, q.answer = true, answer
+	n, output := 0, []byte(nil)
 	last := false
 	for ; n < len(c.pending) && c.pending[n].answered; n++ {
 		last = c.pending[n].closesAfter
-		if out == nil {
-			out = c.pending[n].answer
+		if output == nil {
+			output = c.pending[n].answer
 		} else {
-			out = append(out, c.pending[n].answer...)
+			output = append(output, c.pending[n].answer...)
 		}
 	}
 	if n == 0 {
 		return
 	}
-	held := len(c.pending) >= c.protocol.maxPending() || c.usesConsole
+	mayBeWaiting := len(c.pending) >= c.protocol.maxPending() || c.usesConsole
 	c.pending = append(c.pending[:0], c.pending[n:]...)
-	c.write(out)
+	c.write(output)
 	if last {
 		c.server.deadlines.Set(&c.timer, c.server.clock.Now()+finalAnswerDelay, c.closeNow)
 	}
-	if held { // queries may be waiting in the buffer
+	if mayBeWaiting { // queries may be waiting in the buffer
 		c.server.loop.Post(c.parse)
 	}
 	if c.server.closesAfterAnswer() && len(c.pending) == 0 {
--- a/internal/net/console_test.go
+++ b/internal/net/console_test.go
@@ -14,14 +14,14 @@
 	"havenproxy/internal/wire/pg"
 )
 
-func admin(t *testing.T, address string) *pgx.Conn {
+func connectConsole(t *testing.T, address string) *pgx.Conn {
 	t.Helper()
 	cfg, err := pgx.ParseConfig("postgres://admin@" + address + "/havenproxy?sslmode=disable")
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg.DefaultQueryExecMode = pgx.QueryExecModeSimpleProtocol
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	conn, err := pgx.ConnectConfig(ctx, cfg)
 	if err != nil {
@@ -31,11 +31,11 @@
 	return conn
 }
 
-// pgx, which nobody here wrote, reads every table of the console.
-func TestPgxReadsTheConsole(t *testing.T) {
-	s, _, loop := proxy(t, member(t, echo), 8, 2)
+// pgx, an independent client, reads every table of the console.
+func TestPgxReadsConsoleTables(t *testing.T) {
+	s, _, loop := startProxy(t, databaseStub(t, echoQuery), 8, 2)
 	loop.Post(func() { s.EnableConsole(true) })
-	conn := admin(t, s.Address())
+	conn := connectConsole(t, s.Address())
 	for _, name := range console.Commands() {
 		rows, err := conn.Query(context.Background(), "SHOW "+name)
 		if err != nil {
@@ -53,30 +53,30 @@
 		}
 	}
 	if _, err := conn.Exec(context.Background(), "SHOW TABLES"); err == nil || !strings.Contains(err.Error(), "SHOW LEVELS") {
-		t.Errorf("an unknown word: %v", err)
+		t.Errorf("an unknown command: %v", err)
 	}
 	if _, err := conn.Exec(context.Background(), "show databases;"); err != nil {
-		t.Errorf("behind an error: %v", err)
+		t.Errorf("after an error: %v", err)
 	}
 }
 
-// Off, a client that names the console's database is served as any other.
-func TestWithoutTheConsoleItsNameIsNothingSpecial(t *testing.T) {
-	s, _, _ := proxy(t, member(t, echo), 8, 2)
+// While the console is disabled, a client that names its database is served like any other.
+func TestDisabledConsoleNameIsAnOrdinaryDatabase(t *testing.T) {
+	s, _, _ := startProxy(t, databaseStub(t, echoQuery), 8, 2)
 	conn, err := stdnet.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "admin", console.DatabaseName), "SHOW LEVELS"))
-	p := &peer{conn: conn}
+	p := &testConn{conn: conn}
 	for {
 		m, err := p.message()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if m.Type == 'E' {
-			return // not a statement with a routing comment
+			return // the query has no routing comment
 		}
 		if m.Type == 'T' {
 			t.Fatal("the console answered")
@@ -84,9 +84,9 @@
 	}
 }
 
-// A reader who doesn't read gets no further tables, holds little, and holds up nobody.
-func TestAConsoleThatIsNotRead(t *testing.T) {
-	s, _, loop := proxy(t, member(t, echo), 8, 2)
+// A client that does not read its answers gets no further tables, holds little memory and does not block others.
+func TestConsoleClientThatDoesNotReadIsClosed(t *testing.T) {
+	s, _, loop := startProxy(t, databaseStub(t, echoQuery), 8, 2)
 	loop.Post(func() { s.EnableConsole(true) })
 	conn, err := stdnet.Dial("tcp", s.Address())
 	if err != nil {
@@ -101,16 +101,16 @@
 		}
 		conn.Write(out)
 	}()
-	// The traffic of others goes on meanwhile.
-	other := admin(t, s.Address())
+	// Other clients are served meanwhile.
+	other := connectConsole(t, s.Address())
 	for range 20 {
 		if _, err := other.Exec(context.Background(), "SHOW HELP"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// Once its time is over it is closed.
-	for end := time.Now().Add(patience); ; {
-		skip(s, 500*time.Millisecond)
+	// After its timeout it is closed.
+	for end := time.Now().Add(testTimeout); ; {
+		advance(s, 500*time.Millisecond)
 		time.Sleep(5 * time.Millisecond)
 		n := make(chan int)
 		loop.Post(func() { n <- len(s.clients) })
@@ -118,7 +118,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("it is still there")
+			t.Fatal("the client was not closed")
 		}
 	}
 	io.Copy(io.Discard, conn)
--- a/internal/net/consul.go
+++ b/internal/net/consul.go
@@ -81,16 +81,16 @@
 }
 
 // SourceNames returns the names under which membership knows the catalogues: one for each service and data centre.
-func (c *ConsulConfig) SourceNames() (out []string) {
+func (c *ConsulConfig) SourceNames() (names []string) {
 	for _, s := range c.Services {
 		if len(c.Datacenters) == 0 {
-			out = append(out, sourceName(s.Name, ""))
+			names = append(names, sourceName(s.Name, ""))
 		}
 		for _, dc := range c.Datacenters {
-			out = append(out, sourceName(s.Name, dc))
+			names = append(names, sourceName(s.Name, dc))
 		}
 	}
-	return out
+	return names
 }
 
 func sourceName(service, dc string) string {
--- a/internal/net/crossing_test.go
+++ b/internal/net/crossing_test.go
@@ -15,34 +15,35 @@
 	"havenproxy/internal/wire/pg"
 )
 
-// unheard is a connection whose poller has fetched something that the loop hasn't heard of yet.
-type unheard struct {
+// unreadConn is a connection whose poller has read bytes that the loop has not seen yet.
+type unreadConn struct {
 	netpoll.Connection
-	first bool
+	hideInput bool
 }
 
-func (u *unheard) Fd() int { return u.Connection.(netpoll.Conn).Fd() }
+func (u *unreadConn) Fd() int { return u.Connection.(netpoll.Conn).Fd() }
 
-func (u *unheard) Reader() netpoll.Reader {
+func (u *unreadConn) Reader() netpoll.Reader {
 	r := u.Connection.Reader()
-	if u.first {
-		u.first = false
-		return empty{r}
+	if u.hideInput {
+		u.hideInput = false
+		return emptyReader{r}
 	}
 	return r
 }
 
-type empty struct{ netpoll.Reader }
+type emptyReader struct{ netpoll.Reader }
 
-func (empty) Len() int { return 0 }
+func (emptyReader) Len() int { return 0 }
 
-// A query that the poller has read crosses the close of its connection: it is answered all the same. Before, the connection ended over it;
-// its client, whose query had been read, had no answer and no reason to send it once more.
-func TestAQueryThatCrossesTheCloseIsAnswered(t *testing.T) {
-	s, _, loop := proxy(t, member(t, echo), 8, 1)
+// A query that the poller reads while its connection is being closed is still answered. Without the wait for the
+// poller the connection ended without an answer, and the client, whose query had been read, had no reason to send it
+// again.
+func TestQueryReadDuringCloseIsAnswered(t *testing.T) {
+	s, _, loop := startProxy(t, databaseStub(t, echoQuery), 8, 1)
 	p := dial(t, s)
 	p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("1a")))
-	p.said(len(welcome) + 3)
+	p.readTypes(len(welcome) + 3)
 	ready := make(chan bool)
 	loop.Post(func() {
 		ready <- true
@@ -50,37 +51,38 @@
 			for c.conn.Reader().Len() == 0 { // the poller reads while the loop is here
 				time.Sleep(50 * time.Microsecond)
 			}
-			c.conn = &unheard{c.conn, true}
+			c.conn = &unreadConn{c.conn, true}
 			c.closeIdle()
 		}
 	})
 	<-ready
 	p.conn.Write(pg.AppendQuery(nil, query("2b")))
-	if types, _ := p.said(3); types != "DCZ" {
-		t.Fatalf("behind a query that crossed the close came %q", types)
+	if types, _ := p.readTypes(3); types != "DCZ" {
+		t.Fatalf("the query sent during the close got %q", types)
 	}
-	p.conn.Write(pg.AppendQuery(nil, query("3c"))) // it goes on like any other
-	if types, _ := p.said(3); types != "DCZ" {
-		t.Fatalf("behind a further query came %q", types)
+	p.conn.Write(pg.AppendQuery(nil, query("3c"))) // the connection continues normally
+	if types, _ := p.readTypes(3); types != "DCZ" {
+		t.Fatalf("a further query got %q", types)
 	}
 	loop.Post(func() { s.Drain(); s.Drained() })
-	if types, _ := p.said(1); types != "!" {
-		t.Errorf("%q where the connection was to end", types)
+	if types, _ := p.readTypes(1); types != "!" {
+		t.Errorf("got %q, want the end of the connection", types)
 	}
 }
 
-// Queries cross the close of their connections at all moments: each is answered, or was not read before its connection was shut, and then its
-// client sees the end without an answer. Without the wait for the poller two in a hundred were read before and not answered: what was acknowledged
-// and got no answer is then more than what was read behind shutdowns.
-func TestNoQueryIsReadAndDropped(t *testing.T) {
-	s, engine, loop := proxy(t, member(t, echo), 8, 1)
-	s.maxLinger = patience // the client ends first, also on a machine that stands still
+// Queries arrive at all moments during the close of their connections: each is either answered or was not read before
+// its connection was shut down, in which case the client sees the end without an answer. Without the wait for the
+// poller two in a hundred were read before and not answered: more bytes were acknowledged without an answer than were
+// read after shutdowns.
+func TestNoQueryIsReadWithoutAnswer(t *testing.T) {
+	s, engine, loop := startProxy(t, databaseStub(t, echoQuery), 8, 1)
+	s.maxLinger = testTimeout // the client closes first, even on a machine that stalls
 	first, second := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("1a")), pg.AppendQuery(nil, query("2b"))
 	answered, unanswered := 0, 0
 	for i := range 2000 {
 		p := dial(t, s)
 		p.conn.Write(first)
-		p.said(len(welcome) + 3)
+		p.readTypes(len(welcome) + 3)
 		done := make(chan bool)
 		go func() {
 			for began := time.Now(); time.Since(began) < time.Duration(i%40)*time.Microsecond; {
@@ -105,25 +107,25 @@
 		}
 		p.conn.Close()
 	}
-	for s.open.Load() > 0 { // ends by the test's own time limit where one is never counted off
+	for s.open.Load() > 0 { // if one is never released, the test's own time limit ends this
 		time.Sleep(time.Millisecond)
 	}
 	counters := onLoop(loop, func() state.Counters { return engine.Counters })
 	n, all := int(counters.DiscardedBytes), counters.Received
 	if n%len(second) != 0 || n < unanswered*len(second) || answered == 0 || all != uint64(2000+answered) {
-		t.Errorf("%d answered, %d without an answer of %d bytes; %d bytes read behind shutdowns; %d requests taken", answered, unanswered, len(second), n, all)
+		t.Errorf("%d answered, %d without an answer of %d bytes; %d bytes read after shutdowns; %d requests received", answered, unanswered, len(second), n, all)
 	}
 }
 
-// A connection is closed in two steps: what its client writes behind the shutdown does not reset it, and is not acted on. It ends with the
-// client's end, or by itself where that does not come.
-func TestAShutConnectionIsReadToItsEnd(t *testing.T) {
-	s, engine, loop := proxy(t, member(t, echo), 8, 1)
-	s.maxLinger = patience
+// A connection is closed in two steps: what its client writes after the shutdown does not reset it and is discarded.
+// It ends when the client closes, or by itself after a timeout.
+func TestShutDownConnectionIsReadUntilClientCloses(t *testing.T) {
+	s, engine, loop := startProxy(t, databaseStub(t, echoQuery), 8, 1)
+	s.maxLinger = testTimeout
 	for _, leaves := range []bool{true, false} {
 		p := dial(t, s)
 		p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("1a")))
-		p.said(len(welcome) + 3)
+		p.readTypes(len(welcome) + 3)
 		shut := make(chan bool)
 		loop.Post(func() {
 			for c := range s.clients {
@@ -133,27 +135,27 @@
 		})
 		<-shut
 		p.conn.Write(pg.AppendQuery(nil, query("2b")))
-		if types, _ := p.said(1); types != "!" { // an end of file, and no reset: p.said tells that as "!" too
-			t.Fatalf("behind the shutdown came %q", types)
+		if types, _ := p.readTypes(1); types != "!" { // an end of file, not a reset, which readTypes also returns as "!"
+			t.Fatalf("after the shutdown the client got %q", types)
 		}
-		until(loop, func() bool { return engine.Counters.DiscardedBytes > 0 }) // the query is read to nobody
+		waitUntil(loop, func() bool { return engine.Counters.DiscardedBytes > 0 }) // the query is read and discarded
 		if _, err := p.conn.Write([]byte{0}); err != nil {
 			t.Errorf("the connection was reset: %v", err)
 		}
 		if leaves {
 			p.conn.Close()
 		} else {
-			skip(s, patience)
+			advance(s, testTimeout)
 		}
-		until(loop, func() bool { return s.lingering == 0 })
+		waitUntil(loop, func() bool { return s.lingering == 0 })
 		loop.Post(func() { engine.Counters.DiscardedBytes = 0 })
 	}
 	if n := onLoop(loop, func() uint64 { return engine.Counters.Received }); n != 2 {
-		t.Errorf("%d requests taken, 2 were sent before their connections were shut", n)
+		t.Errorf("%d requests received, 2 were sent before their connections were shut down", n)
 	}
 }
 
-// acked tells how many bytes the other side's kernel has taken in.
+// acked returns how many bytes the peer's kernel has acknowledged.
 func acked(t *testing.T, c stdnet.Conn) (n int) {
 	raw, err := c.(*stdnet.TCPConn).SyscallConn()
 	if err == nil {
--- a/internal/net/database.go
+++ b/internal/net/database.go
@@ -69,7 +69,7 @@
 	}
 	db.reply.Reset()
 	db.awaitingAnswer, db.probing = true, false
-	return db.writeBuffered(cmd.AppendTo(db.out[:0], wait))
+	return db.writeBuffered(cmd.AppendTo(db.output[:0], wait))
 }
 
 // Probe implements state.Conn.
@@ -80,7 +80,7 @@
 }
 
 // parseNext implements databaseProtocol.
-func (db *database) parseNext(buf []byte) (n int, whole bool, err error) {
+func (db *database) parseNext(buf []byte) (n int, complete bool, err error) {
 	if row, long := pg.NextLongRow(buf); long && db.awaitingAnswer && !db.probing && db.reply.Long() {
 		return 0, false, db.startStream(row)
 	}
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -38,7 +38,7 @@
 	conn            netpoll.Connection
 	input           buffer
 	parser          discovery.Parser
-	out             []byte
+	output          []byte
 	calling         bool
 	parsing         bool // a long list is being parsed outside the loop
 	parseCount      int  // number of parses started; the result of an earlier one is ignored
@@ -55,9 +55,7 @@
 func NewDiscovery(loop *Loop, clock state.Clock, engine *state.Engine, address string, generation int64, maxDelay time.Duration) *Discovery {
 	return &Discovery{loop: loop, clock: clock, deadlines: &engine.Deadlines, engine: engine, address: address,
 		generation: generation, schedule: limit.CallSchedule{PropagationBound: maxDelay},
-		dial: func(address string, callback func(netpoll.Connection, error)) {
-			dialAsync(loop, address, dialTimeout, callback)
-		}}
+		dial: func(address string, done func(netpoll.Connection, error)) { connect(loop, address, dialTimeout, done) }}
 }
 
 // Watch implements state.Watcher.
@@ -98,7 +96,7 @@
 	if d.firstCall {
 		wait, timeout = d.schedule.FirstCallTimeouts()
 	}
-	d.out = discovery.AppendRequest(d.out[:0], d.address, d.generation, wait)
+	d.output = discovery.AppendRequest(d.output[:0], d.address, d.generation, wait)
 	d.deadlines.Set(&d.timer, d.clock.Now()+timeout, func() { d.fail(errors.New("no answer within the timeout")) })
 	if d.conn != nil {
 		d.send()
@@ -126,7 +124,7 @@
 }
 
 func (d *Discovery) send() {
-	if _, err := d.conn.Write(d.out); err != nil {
+	if _, err := d.conn.Write(d.output); err != nil {
 		turn := d.connectionCount
 		d.loop.Post(func() { // not directly: the engine may be in the middle of its own call
 			if turn == d.connectionCount {
@@ -217,9 +215,9 @@
 
 // ConvertList converts a list of the discovery service to a state.List.
 func ConvertList(l discovery.List) state.List {
-	out := state.List{Kind: logic.ListDelta}
+	converted := state.List{Kind: logic.ListDelta}
 	if l.Whole {
-		out.Kind = logic.ListFull
+		converted.Kind = logic.ListFull
 	}
 	for _, e := range l.Instances {
 		s := logic.Ready
@@ -229,10 +227,10 @@
 		case discovery.Terminated:
 			s = logic.Gone
 		}
-		out.Entries = append(out.Entries, state.Entry{Name: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group,
+		converted.Entries = append(converted.Entries, state.Entry{Name: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group,
 			State: s, Size: e.Weight, Started: time.Duration(e.StartedMs) * time.Millisecond})
 	}
-	return out
+	return converted
 }
 
 // connectionLost handles a connection that the service has closed. It may do so between two calls; the next call
--- a/internal/net/ending_test.go
+++ b/internal/net/ending_test.go
@@ -19,32 +19,32 @@
 	"havenproxy/logic"
 )
 
-// hold keeps the loop at a point until the test lets it go; it returns once the loop is there.
-func hold(loop *Loop) (letGo func()) {
+// holdLoop blocks the loop until release is called; it returns once the loop is blocked.
+func holdLoop(loop *Loop) (release func()) {
 	there, on := make(chan struct{}), make(chan struct{})
 	loop.Post(func() { close(there); <-on })
 	<-there
 	return func() { close(on) }
 }
 
-// onLoop asks on the loop.
+// onLoop runs f on the loop and returns its result.
 func onLoop[T any](loop *Loop, f func() T) T {
 	got := make(chan T)
 	loop.Post(func() { got <- f() })
 	return <-got
 }
 
-// until waits for what will be, on the loop; the test's own time limit ends it where it never is.
-func until(loop *Loop, f func() bool) {
+// waitUntil waits until f returns true on the loop; if it never does, the test's own time limit ends it.
+func waitUntil(loop *Loop, f func() bool) {
 	for !onLoop(loop, f) {
 	}
 }
 
-// counted is a database that counts the statements it receives.
-type counted struct{ queries atomic.Int64 }
+// queryCounter counts the statements that a database receives.
+type queryCounter struct{ queries atomic.Int64 }
 
-func (c *counted) serve(t *testing.T, answer func(conn stdnet.Conn, text string) bool) string {
-	return member(t, func(conn stdnet.Conn, text string) bool {
+func (c *queryCounter) serve(t *testing.T, answer func(conn stdnet.Conn, text string) bool) string {
+	return databaseStub(t, func(conn stdnet.Conn, text string) bool {
 		if strings.Contains(text, "/*") {
 			c.queries.Add(1)
 		}
@@ -52,42 +52,43 @@
 	})
 }
 
-// A query and its client's end come while the loop is elsewhere: both stand in its queue, the query first. It is not sent to anybody.
-func TestAQueryWhoseClientHasLeftIsNotSent(t *testing.T) {
-	var db counted
-	s, engine, loop := proxy(t, db.serve(t, echo), 8, 1)
+// A query and its client's disconnect arrive while the loop is busy, so both are queued, the query first. The query
+// is not sent to any database.
+func TestQueryOfDisconnectedClientIsNotSent(t *testing.T) {
+	var db queryCounter
+	s, engine, loop := startProxy(t, db.serve(t, echoQuery), 8, 1)
 	p := dial(t, s)
 	p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("1a")))
-	p.said(len(welcome) + 3)
+	p.readTypes(len(welcome) + 3)
 	var c *client
 	onLoop(loop, func() bool {
 		for c = range s.clients {
 		}
 		return true
 	})
-	letGo := hold(loop)
+	release := holdLoop(loop)
 	p.conn.Write(pg.AppendQuery(nil, query("2b")))
 	for c.conn.Reader().Len() == 0 { // the poller has read it
 	}
 	p.conn.Close()
-	for c.conn.IsActive() { // and seen the end
+	for c.conn.IsActive() { // and seen the disconnect
 	}
-	letGo()
-	until(loop, func() bool { return engine.Counters.Abandoned == 1 })
+	release()
+	waitUntil(loop, func() bool { return engine.Counters.Abandoned == 1 })
 	if n := onLoop(loop, func() uint64 { return engine.Counters.Written }); n != 1 || db.queries.Load() != 1 {
-		t.Errorf("%d attempts were written, %d came", n, db.queries.Load())
+		t.Errorf("%d attempts were written, %d arrived", n, db.queries.Load())
 	}
-	until(loop, func() bool { return engine.OutstandingAnswers() == 0 && engine.Pending() == 0 })
+	waitUntil(loop, func() bool { return engine.OutstandingAnswers() == 0 && engine.Pending() == 0 })
 }
 
-// Hundreds of clients whose requests wait for a connection leave at once: none of the requests goes out when connections come up, and all
-// that was taken for them is given back.
-func TestHundredsThatLeaveAtOnceStartNothing(t *testing.T) {
+// Hundreds of clients whose requests wait for a connection disconnect at once: no request is sent when connections
+// come up, and all resources are returned.
+func TestMassDisconnectSendsNothing(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		come := make(chan struct{})
+		ready := make(chan struct{})
 		var queries atomic.Int64
 		database := listen(t, func(conn stdnet.Conn) {
-			<-come
+			<-ready
 			conn.Write(pg.AppendWelcome(nil))
 			in := make([]byte, 4096)
 			for {
@@ -100,27 +101,27 @@
 		})
 		cfg := settings
 		cfg.EnableCancel = cancel
-		s, engine, loop := proxyWith(t, cfg, database, 400, 1)
-		var clients []*peer
+		s, engine, loop := startProxyWith(t, cfg, database, 400, 1)
+		var clients []*testConn
 		for range 300 {
 			p := dial(t, s)
 			p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query(string(rune('a'+len(clients)%26))+strings.Repeat("0", len(clients)/26))))
 			clients = append(clients, p)
 		}
-		until(loop, func() bool { return engine.Counters.Received == 300 })
-		letGo := hold(loop)
+		waitUntil(loop, func() bool { return engine.Counters.Received == 300 })
+		release := holdLoop(loop)
 		for _, p := range clients {
 			p.conn.Close()
 		}
-		for c := range s.clients { // the loop is held; the poller sees each end before connections come up
+		for c := range s.clients { // the loop is held; the poller sees each disconnect before connections come up
 			for c.conn.IsActive() {
 			}
 		}
-		close(come)
-		letGo()
-		until(loop, func() bool { return len(s.clients) == 0 && engine.OutstandingAnswers() == 0 && engine.Pending() == 0 })
+		close(ready)
+		release()
+		waitUntil(loop, func() bool { return len(s.clients) == 0 && engine.OutstandingAnswers() == 0 && engine.Pending() == 0 })
 		if n := onLoop(loop, func() uint64 { return engine.Counters.Written }); n != 0 || queries.Load() != 0 {
-			t.Errorf("cancel %v: %d attempts were written, %d came", cancel, n, queries.Load())
+			t.Errorf("cancel %v: %d attempts were written, %d arrived", cancel, n, queries.Load())
 		}
 		if n := onLoop(loop, func() (out int) {
 			for _, d := range engine.Databases() {
@@ -128,19 +129,19 @@
 			}
 			return out
 		}); n != 0 {
-			t.Errorf("cancel %v: %d slots are not returned", cancel, n)
+			t.Errorf("cancel %v: %d slots were not returned", cancel, n)
 		}
 	}
 }
 
-// In the moment in which a pooled connection is taken, half a line, or the connection's end, has come on it and the loop has not heard of
-// it: the request goes out on another, and has its own answer.
-func TestAPooledConnectionIsAskedInTheMomentItIsTaken(t *testing.T) {
+// When a pooled connection is taken, half a line or the end of the connection has arrived on it that the loop has not
+// handled: the request is sent on another connection and gets its own answer.
+func TestPooledConnectionIsCheckedWhenTaken(t *testing.T) {
 	for _, crossing := range []string{"half a line", "its end"} {
 		conns := make(chan stdnet.Conn, 9)
-		var db counted
-		s, engine, loop := proxy(t, db.serve(t, func(conn stdnet.Conn, text string) bool {
-			if _, err := conn.Write(row(text)); err != nil {
+		var db queryCounter
+		s, engine, loop := startProxy(t, db.serve(t, func(conn stdnet.Conn, text string) bool {
+			if _, err := conn.Write(rowAnswer(text)); err != nil {
 				return false
 			}
 			conns <- conn
@@ -148,9 +149,9 @@
 		}), 8, 1)
 		p := dial(t, s)
 		p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("1a")))
-		p.said(len(welcome) + 3)
+		p.readTypes(len(welcome) + 3)
 		idle := <-conns
-		letGo := hold(loop)
+		release := holdLoop(loop)
 		p.conn.Write(pg.AppendQuery(nil, query("2b")))
 		if crossing == "its end" {
 			idle.Close()
@@ -160,29 +161,29 @@
 		var c *client
 		for c = range s.clients { // the loop is held
 		}
-		for c.conn.Reader().Len() == 0 { // the query stands before the loop's hearing of the other
+		for c.conn.Reader().Len() == 0 { // the query is queued before the other event
 		}
-		letGo()
-		if types, _ := p.said(3); types != "DCZ" {
-			t.Errorf("%s: behind it came %q", crossing, types)
+		release()
+		if types, _ := p.readTypes(3); types != "DCZ" {
+			t.Errorf("%s: the query got %q", crossing, types)
 		}
 		if opened := onLoop(loop, func() uint64 { return engine.Counters.Opened }); opened != 2 || db.queries.Load() != 2 {
-			t.Errorf("%s: %d connections were opened, %d queries came", crossing, opened, db.queries.Load())
+			t.Errorf("%s: %d connections were opened, %d queries arrived", crossing, opened, db.queries.Load())
 		}
 	}
 }
 
-// holdPoller keeps netpoll's poller at a point until the test lets it go; it returns once the poller is there. What the kernel gets meanwhile,
-// nobody has read. The poller itself calls the runner, which hands its callbacks to the loop: there it is held, at the first byte that comes
-// on a connection made for this.
-func holdPoller(t *testing.T, loop *Loop) (letGo func()) {
+// holdPoller blocks netpoll's poller until release is called; it returns once the poller is blocked. Nobody reads
+// what arrives in the kernel meanwhile. The poller itself calls the runner, which normally posts its callbacks to the
+// loop: the poller is blocked there, at the first byte on a connection made for this purpose.
+func holdPoller(t *testing.T, loop *Loop) (release func()) {
 	t.Helper()
 	armed, there, on := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	conn, err := netpoll.DialConnection("tcp", listen(t, func(conn stdnet.Conn) {
 		<-armed
 		conn.Write([]byte{0})
 		<-on
-	}), patience)
+	}), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,8 +199,8 @@
 	return func() { close(on) }
 }
 
-// finished waits until the other side's kernel has acknowledged the end of file that this side has sent.
-func finished(t *testing.T, conn stdnet.Conn) {
+// waitForFinAck waits until the peer's kernel has acknowledged the end of file that this side has sent.
+func waitForFinAck(t *testing.T, conn stdnet.Conn) {
 	t.Helper()
 	const finWait2 = 5
 	for state := uint8(0); state != finWait2; {
@@ -218,50 +219,52 @@
 	}
 }
 
-// A database has closed a pooled connection, and the kernel alone knows: the poller, which is elsewhere, has not read it. A request that takes
-// the connection in this moment is not written to it, for one that may not be repeated would be lost there; it goes out on another.
-func TestACloseThatTheKernelAloneKnows(t *testing.T) {
+// A database has closed a pooled connection, but only the kernel knows: the poller is busy and has not read it. A
+// request that takes the connection at this moment is not written to it, because a request that may not be repeated
+// would be lost; it is sent on another connection.
+func TestCloseKnownOnlyToKernelIsDetected(t *testing.T) {
 	for _, effect := range []logic.Effect{logic.Idempotent, logic.SingleShot} {
 		conns := make(chan stdnet.Conn, 9)
-		var db counted
+		var db queryCounter
 		cfg := settings
 		cfg.Classes = slices.Clone(cfg.Classes)
 		cfg.Classes[0].Effect = effect
-		s, engine, loop := proxyWith(t, cfg, db.serve(t, func(conn stdnet.Conn, text string) bool {
+		s, engine, loop := startProxyWith(t, cfg, db.serve(t, func(conn stdnet.Conn, text string) bool {
 			conns <- conn
-			return echo(conn, text)
+			return echoQuery(conn, text)
 		}), 8, 1)
 		p := dial(t, s)
 		p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("1a")))
-		p.said(len(welcome) + 3)
+		p.readTypes(len(welcome) + 3)
 		pooled := <-conns
-		until(loop, func() bool { return engine.Counters.OK == 1 })
-		letLoopGo := hold(loop)
+		waitUntil(loop, func() bool { return engine.Counters.OK == 1 })
+		releaseLoop := holdLoop(loop)
 		p.conn.Write(pg.AppendQuery(nil, query("2b")))
 		for c := range s.clients { // the loop is held
 			for c.conn.Reader().Len() == 0 { // the poller reads the query
 			}
 		}
-		letPollerGo := holdPoller(t, loop)
+		releasePoller := holdPoller(t, loop)
 		pooled.(*stdnet.TCPConn).CloseWrite()
-		finished(t, pooled)
-		letLoopGo()
-		until(loop, func() bool { return engine.Counters.Sent == 2 })
-		letPollerGo()
-		if types, _ := p.said(1); types != "D" { // an error has fewer messages
-			t.Errorf("effect %d: behind it came %q", effect, types)
+		waitForFinAck(t, pooled)
+		releaseLoop()
+		waitUntil(loop, func() bool { return engine.Counters.Sent == 2 })
+		releasePoller()
+		if types, _ := p.readTypes(1); types != "D" { // an error has fewer messages
+			t.Errorf("effect %d: the query got %q", effect, types)
 		}
 		if c := onLoop(loop, func() state.Counters { return engine.Counters }); c.Opened != 2 || c.Sent != 2 || db.queries.Load() != 2 {
-			t.Errorf("effect %d: %d connections were opened, %d attempts made, %d queries came", effect, c.Opened, c.Sent, db.queries.Load())
+			t.Errorf("effect %d: %d connections were opened, %d attempts made, %d queries arrived", effect, c.Opened, c.Sent, db.queries.Load())
 		}
 	}
 }
 
-// A large answer to a client that reads slowly is whole though the server ends meanwhile, and an end of file stands behind it.
-func TestALargeAnswerIsWholeThroughAnEnd(t *testing.T) {
+// Large answers to a client that reads slowly are complete although the server drains meanwhile, and they are
+// followed by an end of file.
+func TestLargeAnswersAreCompleteThroughDrain(t *testing.T) {
 	value := strings.Repeat("v", 60<<10)
-	s, _, loop := proxy(t, member(t, func(conn stdnet.Conn, _ string) bool {
-		_, err := conn.Write(row(value))
+	s, _, loop := startProxy(t, databaseStub(t, func(conn stdnet.Conn, _ string) bool {
+		_, err := conn.Write(rowAnswer(value))
 		return err == nil
 	}), 8, 1)
 	conn, err := stdnet.Dial("tcp", s.Address())
@@ -270,16 +273,16 @@
 	}
 	defer conn.Close()
 	conn.(*stdnet.TCPConn).SetReadBuffer(32 << 10)
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	in := pg.AppendStartup(nil, "client", "core")
 	for _, id := range []string{"a", "b", "c"} {
 		in = pg.AppendQuery(in, query(id))
 	}
 	conn.Write(in)
-	until(loop, func() bool { return s.engine.Counters.Served == 3 })
-	until(loop, func() bool { s.Drain(); return s.Drained() || s.lingering > 0 })
+	waitUntil(loop, func() bool { return s.engine.Counters.Served == 3 })
+	waitUntil(loop, func() bool { s.Drain(); return s.Drained() || s.lingering > 0 })
 	got, err := io.ReadAll(conn)
 	if err != nil || bytes.Count(got, []byte(value)) != 3 {
-		t.Errorf("%d bytes came, error %v", len(got), err)
+		t.Errorf("%d bytes received, error %v", len(got), err)
 	}
 }
--- a/internal/net/health_test.go
+++ b/internal/net/health_test.go
@@ -18,62 +18,62 @@
 	"havenproxy/logic"
 )
 
-// silentDatabase is the address of the database that hangs.
+// silentDatabase is the address of the database that stops answering.
 const silentDatabase = "db-3"
 
-// databases stands for all databases, as one proxy sees them: they are checked without a socket.
-type databases struct {
+// checkStub stands for all databases as one proxy sees them: they are checked without a socket.
+type checkStub struct {
 	loop       *Loop
 	hangs      bool // silentDatabase answers no check
-	unanswered int  // checks of silentDatabase that this proxy has sent since it hangs
+	unanswered int  // checks of silentDatabase that this proxy has sent since it stopped answering
 }
 
 // Open implements state.Opener.
-func (d *databases) Open(address string, _ int, to state.Listener) state.Conn {
+func (d *checkStub) Open(address string, _ int, to state.Listener) state.Conn {
 	d.loop.Post(to.Up)
-	return &checked{d, address, to}
+	return &checkedConn{d, address, to}
 }
 
 // AbandonedDials implements state.Opener.
-func (*databases) AbandonedDials() int { return 0 }
+func (*checkStub) AbandonedDials() int { return 0 }
 
 // Watch implements state.Watcher.
-func (*databases) Watch(bool) {}
+func (*checkStub) Watch(bool) {}
 
 // Fetch implements state.Watcher.
-func (*databases) Fetch() {}
+func (*checkStub) Fetch() {}
 
-// checked is a connection to a database. It implements state.Conn.
-type checked struct {
-	all     *databases
-	address string
-	to      state.Listener
+// checkedConn is a connection to a database. It implements state.Conn.
+type checkedConn struct {
+	databases *checkStub
+	address   string
+	to        state.Listener
 }
 
-func (c *checked) Send(state.Command, time.Duration) error { return nil }
-func (c *checked) Reusable() bool                          { return true }
-func (c *checked) Close()                                  {}
+func (c *checkedConn) Send(state.Command, time.Duration) error { return nil }
+func (c *checkedConn) Reusable() bool                          { return true }
+func (c *checkedConn) Close()                                  {}
 
-func (c *checked) Probe() error {
-	if c.address == silentDatabase && c.all.hangs {
-		c.all.unanswered++
+func (c *checkedConn) Probe() error {
+	if c.address == silentDatabase && c.databases.hangs {
+		c.databases.unanswered++
 		return nil
 	}
-	c.all.loop.Post(func() {
+	c.databases.loop.Post(func() {
 		c.to.Reply(state.Reply{Result: logic.OK, Load: state.Load{Known: true, Role: logic.RoleReplica, Queue: -1}})
 	})
 	return nil
 }
 
-// sharer is a proxy of a tier that shares health checks.
-type sharer struct {
-	front     *state.Engine
-	tier      *PlannerLink
-	databases *databases
+// sharingProxy is a proxy of a tier that shares health checks.
+type sharingProxy struct {
+	engine    *state.Engine
+	planner   *PlannerLink
+	databases *checkStub
 }
 
-func newSharer(t *testing.T, loop *Loop, clock state.Clock, address string, i int) *sharer {
-	all := &databases{loop: loop}
+func newSharingProxy(t *testing.T, loop *Loop, clock state.Clock, address string, i int) *sharingProxy {
+	all := &checkStub{loop: loop}
 	class := logic.Class{Name: "any", Aim: time.Second, Limit: time.Second}
 	engine, err := state.New(state.Config{Logic: logic.Config{Seed: uint64(i), Tick: 5 * time.Millisecond, Classes: []logic.Class{class},
 		EnableProbes: true, Proxies: 6}, ConnectTimeout: time.Second, IdleClose: time.Minute, MaxConnections: 100}, clock, all)
@@ -86,15 +86,15 @@
 		list.Entries = append(list.Entries, state.Entry{Name: name, Address: name, Group: n / 4, State: logic.Ready, Size: 1})
 	}
 	engine.Start(all, list)
-	x := &sharer{front: engine, databases: all}
-	x.tier = JoinTier(loop, clock, engine, TierConfig{Name: fmt.Sprint("proxy-", i), Planners: []string{address}, Nonce: uint64(2*i + 1),
+	x := &sharingProxy{engine: engine, databases: all}
+	x.planner = JoinTier(loop, clock, engine, TierConfig{Name: fmt.Sprint("proxy-", i), Planners: []string{address}, Nonce: uint64(2*i + 1),
 		Seed: uint64(i), Rollout: rollout.Config{Lease: 2 * time.Second}, Check: func(rollout.Number, []byte) string { return "" },
 		Apply:  func(rollout.Number, []byte) {},
 		Health: HealthConfig{Zone: fmt.Sprint("zone-", i%3), ChecksPerSecond: 10, BytesPerSecond: 1600}})
 	return x
 }
 
-// runPlanner runs the one planner of a tier until the test ends.
+// runPlanner runs the only planner of a tier until the test ends.
 func runPlanner(t *testing.T) (address string) {
 	p, err := planner.Open(planner.Config{ID: 1, Listen: "127.0.0.1:0", Peers: map[uint64]string{1: "127.0.0.1:0"},
 		LogFile: filepath.Join(t.TempDir(), "log"), Rollout: rollout.Config{Lease: 2 * time.Second}})
@@ -113,29 +113,29 @@
 	return p.Address()
 }
 
-// sharers is a tier of six proxies with a planner, whose loop runs until the test ends.
-type sharers struct {
-	t     *testing.T
-	loop  *Loop
-	clock state.Clock
-	list  []*sharer
+// sharingTier is a tier of six proxies with a planner, whose loop runs until the test ends.
+type sharingTier struct {
+	t       *testing.T
+	loop    *Loop
+	clock   state.Clock
+	proxies []*sharingProxy
 }
 
-func newSharers(t *testing.T) *sharers {
+func newSharingTier(t *testing.T) *sharingTier {
 	address := runPlanner(t)
 	clock := state.NewClock()
-	s := &sharers{t: t, loop: NewLoop(clock, &state.Deadlines{}), clock: clock}
+	s := &sharingTier{t: t, loop: NewLoop(clock, &state.Deadlines{}), clock: clock}
 	go s.loop.Run()
-	on(s.loop, func() {
+	runOnLoop(s.loop, func() {
 		for i := range 6 {
-			s.list = append(s.list, newSharer(t, s.loop, clock, address, i))
+			s.proxies = append(s.proxies, newSharingProxy(t, s.loop, clock, address, i))
 		}
 	})
 	t.Cleanup(func() {
-		on(s.loop, func() {
-			for _, x := range s.list {
-				x.tier.Leave()
-				x.tier.drop()
+		runOnLoop(s.loop, func() {
+			for _, x := range s.proxies {
+				x.planner.Leave()
+				x.planner.drop()
 			}
 			s.loop.Stop()
 		})
@@ -143,19 +143,19 @@
 	return s
 }
 
-// until waits for something to hold at all proxies.
-func (s *sharers) until(holds func(*state.Engine) bool) {
+// until waits until holds is true at all proxies.
+func (s *sharingTier) until(holds func(*state.Engine) bool) {
 	s.t.Helper()
 	end := time.Now().Add(time.Minute)
-	for hold := 0; hold < len(s.list); time.Sleep(time.Millisecond) {
+	for hold := 0; hold < len(s.proxies); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("it holds at %d of %d proxies after a minute", hold, len(s.list))
+			s.t.Fatalf("the condition holds at %d of %d proxies after a minute", hold, len(s.proxies))
 		}
-		on(s.loop, func() {
+		runOnLoop(s.loop, func() {
 			hold = 0
-			for _, x := range s.list {
-				x.front.Deadlines.Run(s.clock.Now())
-				if holds(x.front) {
+			for _, x := range s.proxies {
+				x.engine.Deadlines.Run(s.clock.Now())
+				if holds(x.engine) {
 					hold++
 				}
 			}
@@ -163,10 +163,10 @@
 	}
 }
 
-// hang lets silentDatabase answer no check of any proxy from now on, and waits until all know.
-func (s *sharers) hang() {
-	on(s.loop, func() {
-		for _, x := range s.list {
+// hang makes silentDatabase stop answering the checks of all proxies, and waits until all know.
+func (s *sharingTier) hang() {
+	runOnLoop(s.loop, func() {
+		for _, x := range s.proxies {
 			x.databases.hangs = true
 		}
 	})
@@ -178,54 +178,56 @@
 
 func sharesChecks(f *state.Engine) bool { return f.SharesChecks() && f.Counters.Digests > 0 }
 
-// What the checkers of a database find out passes over real links and the planner to the proxies that don't check it. A checker knows
-// of the silence by its own check before the quorum's verdict has come back to it, so that both are waited for.
-func TestADeathPassesByThePlannerToAllProxies(t *testing.T) {
-	s := newSharers(t)
+// The results of a database's checkers reach the proxies that do not check it over real links and the planner. A
+// checker knows of the silence from its own check before the quorum's verdict has come back to it, so both are waited
+// for.
+func TestDeadDatabaseIsReportedThroughPlanner(t *testing.T) {
+	s := newSharingTier(t)
 	s.until(sharesChecks)
 	s.hang()
-	on(s.loop, func() {
+	runOnLoop(s.loop, func() {
 		byVerdictAlone := 0
-		for i, x := range s.list {
+		for i, x := range s.proxies {
 			if x.databases.unanswered == 0 {
 				byVerdictAlone++
 			}
-			c := &x.front.Counters
-			if other, _ := x.front.Database("db-1"); other.Silent || c.DigestsMalformed > 0 || c.PlannerFramesInvalid > 0 {
-				t.Errorf("proxy %d: db-1 silent %v, %d malformed, %d strange frames", i, other.Silent, c.DigestsMalformed, c.PlannerFramesInvalid)
+			c := &x.engine.Counters
+			if other, _ := x.engine.Database("db-1"); other.Silent || c.DigestsMalformed > 0 || c.PlannerFramesInvalid > 0 {
+				t.Errorf("proxy %d: db-1 silent %v, %d malformed digests, %d invalid frames", i, other.Silent, c.DigestsMalformed, c.PlannerFramesInvalid)
 			}
 		}
 		if byVerdictAlone == 0 {
-			t.Error("each proxy has checked the database itself")
+			t.Error("every proxy has checked the database itself")
 		}
 	})
 }
 
-// A proxy that sends reports in the names of all others is not believed: the planner takes a member's reports on that member's link only.
-func TestReportsInAnothersNameAreNotPassedOn(t *testing.T) {
-	s := newSharers(t)
+// A proxy sends reports in the names of all others. They are not forwarded: the planner accepts a member's reports on
+// that member's link only.
+func TestForgedReportsAreNotForwarded(t *testing.T) {
+	s := newSharingTier(t)
 	s.until(sharesChecks)
-	on(s.loop, func() {
+	runOnLoop(s.loop, func() {
 		now := s.clock.Now()
-		for _, victim := range s.list[1:] {
-			from := subset.ProxyID(victim.tier.health.member)
-			forged := healthcheck.Report{Origin: from, Epoch: math.MaxUint32, Database: numberOf("db-1"), Status: healthcheck.Dead, ObservedAt: now}
-			s.list[0].tier.SendReports(wire.AppendMessage(nil, wire.Clock{Unix: s.clock.Unix(), Now: now},
-				healthcheck.Message{From: from, Epoch: math.MaxUint32, Reports: []healthcheck.Report{forged}}))
+		for _, victim := range s.proxies[1:] {
+			victimID := subset.ProxyID(victim.planner.health.member)
+			forged := healthcheck.Report{Origin: victimID, Epoch: math.MaxUint32, Database: databaseID("db-1"), Status: healthcheck.Dead, ObservedAt: now}
+			s.proxies[0].planner.SendReports(wire.AppendMessage(nil, wire.Clock{Unix: s.clock.Unix(), Now: now},
+				healthcheck.Message{From: victimID, Epoch: math.MaxUint32, Reports: []healthcheck.Report{forged}}))
 		}
 	})
-	s.hang() // a true death takes as long to be known as a forged one would, and was reported behind it
-	on(s.loop, func() {
-		for i, x := range s.list {
-			if database, _ := x.front.Database("db-1"); database.Silent {
-				t.Errorf("proxy %d takes a database for dead that all checkers reach", i)
+	s.hang() // a real failure takes as long to be known as a forged one would, and was reported after it
+	runOnLoop(s.loop, func() {
+		for i, x := range s.proxies {
+			if database, _ := x.engine.Database("db-1"); database.Silent {
+				t.Errorf("proxy %d treats a database as dead that all checkers reach", i)
 			}
 		}
 	})
 }
 
-// numberOf gives a database's number in the tier's messages.
-func numberOf(name string) subset.DatabaseID {
+// databaseID returns a database's number in the tier's messages.
+func databaseID(name string) subset.DatabaseID {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
 	return logic.ShortID(logic.MemberID(hash.Sum64()))
--- a/internal/net/link.go
+++ b/internal/net/link.go
@@ -59,7 +59,7 @@
 	protocol       databaseProtocol
 	conn           netpoll.Connection // nil until it is connected
 	input          buffer
-	out            []byte
+	output         []byte
 	dialDone       bool // the dial has succeeded or failed
 	awaitingAnswer bool // to the first message or to the last command
 	probing        bool // the last command was a query for the load report
@@ -70,11 +70,11 @@
 
 func (l *databaseLink) open(databases *Databases, address string, listener state.Listener, protocol databaseProtocol) {
 	l.databases, l.address, l.listener, l.protocol = databases, address, listener, protocol
-	dialAsync(databases.Loop, address, databases.ConnectTimeout, l.connected)
+	connect(databases.Loop, address, databases.ConnectTimeout, l.connected)
 }
 
-// dialAsync dials outside the loop and passes the result to callback on the loop.
-func dialAsync(loop *Loop, address string, timeout time.Duration, callback func(netpoll.Connection, error)) {
+// connect dials outside the loop and passes the result to callback on the loop.
+func connect(loop *Loop, address string, timeout time.Duration, callback func(netpoll.Connection, error)) {
 	go func() {
 		conn, err := netpoll.DialConnection("tcp", address, timeout)
 		if errors.Is(err, netpoll.ErrConnClosed) {
@@ -172,8 +172,8 @@
 // become large.
 func (l *databaseLink) writeBuffered(b []byte) error {
 	err := l.write(b)
-	if l.out = b; cap(b) > maxIdleBuffer {
-		l.out = nil
+	if l.output = b; cap(b) > maxIdleBuffer {
+		l.output = nil
 	}
 	return err
 }
@@ -244,12 +244,12 @@
 		return
 	}
 	for used := 0; !l.closed; {
-		n, whole, err := l.protocol.parseNext(l.input.bytes[used:])
+		n, complete, err := l.protocol.parseNext(l.input.bytes[used:])
 		if err != nil { // bytes after malformed ones cannot be trusted either
 			l.protocolError(err)
 			return
 		}
-		if used += n; n > 0 && !whole {
+		if used += n; n > 0 && !complete {
 			continue
 		}
 		if l.protocol.detaching() {
@@ -259,7 +259,7 @@
 		// Bytes after an answer are left in the buffer: they make the connection unfit for another command, but the
 		// answer is valid.
 		l.input.discard(used)
-		if whole {
+		if complete {
 			l.stopAnswerTimer()
 			l.protocol.answerComplete()
 		} else if l.awaitingAnswer && l.protocol.ready() { // each piece restarts the timer for the next one
--- a/internal/net/long_list_test.go
+++ b/internal/net/long_list_test.go
@@ -12,7 +12,7 @@
 	"havenproxy/internal/wire/discovery"
 )
 
-// listOf words a whole list of so many databases, whose names begin alike.
+// listOf returns a full list of so many databases, whose names share a prefix.
 func listOf(prefix string, databases int) string {
 	entries := make([]string, databases)
 	for i := range entries {
@@ -21,9 +21,10 @@
 	return fmt.Sprintf(`{"generation":1,"reset":true,"instances":[%s]}`, strings.Join(entries, ","))
 }
 
-// Guards against incident 38: the loop read a list of thousands in one go. It is read beside the loop, and the service's close right behind it
-// does not lose it; one that is still being read when the proxy moves to another service is not put into effect.
-func TestALongListIsReadBesideTheLoop(t *testing.T) {
+// Guards against incident 38: the loop parsed a list of thousands in one go. It is parsed outside the loop, and is
+// not lost when the service closes the connection right after it; a list that is still being parsed when the proxy
+// switches to another service is not put into effect.
+func TestLongListIsParsedOutsideTheLoop(t *testing.T) {
 	var log bytes.Buffer
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
@@ -35,42 +36,42 @@
 		})
 	}
 	old, next := serve("old", 3200), serve("next", 4000)
-	_, engine, loop := proxy(t, "127.0.0.1:1", 4, 4)
+	_, engine, loop := startProxy(t, "127.0.0.1:1", 4, 4)
 	moved := make(chan struct{})
 	loop.Post(func() {
 		d := NewDiscovery(loop, engine.Clock(), engine, old, discovery.NoList, 0)
 		d.Fetch()
-		var look func()
-		look = func() {
+		var inspect func()
+		inspect = func() {
 			if !d.parsing {
-				loop.Post(look)
+				loop.Post(inspect)
 				return
 			}
 			d.SetAddress(next)
 			close(moved)
 		}
-		look()
+		inspect()
 	})
 	<-moved
-	look := func() (figures, logged string, failures uint64) {
+	inspect := func() (metrics, logged string, failures uint64) {
 		done := make(chan struct{})
 		loop.Post(func() {
-			figures, logged, failures = string(engine.AppendMetrics(nil)), log.String(), engine.Counters.ListFailures
+			metrics, logged, failures = string(engine.AppendMetrics(nil)), log.String(), engine.Counters.ListFailures
 			close(done)
 		})
 		<-done
-		return figures, logged, failures
+		return metrics, logged, failures
 	}
-	figures, logged, failures := look()
-	for end := time.Now().Add(patience); !strings.Contains(figures, "known_databases:4000|g"); figures, logged, failures = look() {
+	metrics, logged, failures := inspect()
+	for end := time.Now().Add(testTimeout); !strings.Contains(metrics, "known_databases:4000|g"); metrics, logged, failures = inspect() {
 		if time.Now().After(end) {
-			t.Fatalf("the list of the new service is not in effect: %s", figures)
+			t.Fatalf("the list of the new service is not in effect: %s", metrics)
 		}
 	}
 	if strings.Contains(logged, "name=old") || !strings.Contains(logged, "name=next") {
-		t.Error("the list of the service before was put into effect")
+		t.Error("the list of the previous service was put into effect")
 	}
 	if failures > 0 {
-		t.Errorf("%d calls count as failed", failures)
+		t.Errorf("%d calls were counted as failed", failures)
 	}
 }
--- a/internal/net/mysql_client.go
+++ b/internal/net/mysql_client.go
@@ -31,7 +31,7 @@
 
 var (
 	errOutOfOrder           = errors.New("packet out of order")
-	errDenied               = errors.New("access denied")
+	errAccessDenied         = errors.New("access denied")
 	errMissingHints         = errors.New("a statement needs a routing comment with its class (c=...) and its group (cluster=...)")
 	errParameterizedRouting = errors.New("a prepared statement's class and group must stand in its comment")
 	errPacketTooLarge       = mysql.ErrTooLarge
@@ -375,17 +375,17 @@
 
 // ---- Answers ----
 
-// servedAnswer converts an answer for the client. It arrives in the format of database connections; a client with
+// served converts an answer for the client. It arrives in the format of database connections; a client with
 // other capabilities gets it re-encoded.
-func (m *mysqlProtocol) servedAnswer(query *pendingQuery, body []byte) []byte {
+func (m *mysqlProtocol) served(q *pendingQuery, body []byte) []byte {
 	statement, binary := m.preparing, m.running != nil
 	m.preparing, m.running = nil, nil
 	if statement == nil {
-		if out, ok := mysql.Relay(nil, body, m.capabilities); ok {
-			return out
+		if relayed, ok := mysql.Relay(nil, body, m.capabilities); ok {
+			return relayed
 		}
 	} else {
-		m.shared.metadata.Put(query.client.server.clock.Now(), statement.hints.Group, statement.text, body)
+		m.shared.metadata.Put(q.client.server.clock.Now(), statement.hints.Group, statement.text, body)
 	}
 	return m.reencode(statement, binary, body)
 }
@@ -414,7 +414,7 @@
 	return r.AppendTo(nil, m.sequence, m.capabilities)
 }
 
-func (m *mysqlProtocol) refusedAnswer(_ *pendingQuery, retryAfter time.Duration) []byte {
+func (m *mysqlProtocol) refused(_ *pendingQuery, retryAfter time.Duration) []byte {
 	m.preparing, m.running = nil, nil
 	text := "no member can take this now"
 	if retryAfter > 0 { // otherwise the time is unknown
@@ -423,12 +423,12 @@
 	return mysql.AppendErr(nil, m.sequence, mysql.ErrTooManyConnections, text)
 }
 
-func (m *mysqlProtocol) failedAnswer(*pendingQuery) []byte {
+func (m *mysqlProtocol) failed(*pendingQuery) []byte {
 	m.preparing, m.running = nil, nil
 	return mysql.AppendErr(nil, m.sequence, mysql.ErrFailed, "no member answered in time")
 }
 
-func (m *mysqlProtocol) badRequestAnswer(_ *pendingQuery, body []byte) []byte {
+func (m *mysqlProtocol) badRequest(_ *pendingQuery, body []byte) []byte {
 	if statement := m.running; statement != nil { // its table may have changed
 		m.shared.metadata.Remove(statement.hints.Group, statement.text)
 	}
@@ -446,7 +446,7 @@
 	switch {
 	case reason == reasonTooManyClients || reason == reasonNoMemory || reason == reasonTooManyLogins:
 		number = mysql.ErrTooManyConnections
-	case text == errDenied.Error():
+	case text == errAccessDenied.Error():
 		number = mysql.ErrAccessDenied
 	case text == errOutOfOrder.Error():
 		number = mysql.ErrOutOfOrder
--- a/internal/net/mysql_database.go
+++ b/internal/net/mysql_database.go
@@ -126,7 +126,7 @@
 		db.rejectCommand()
 		return nil
 	}
-	return db.writeBuffered(cmd.AppendTo(db.out[:0], wait))
+	return db.writeBuffered(cmd.AppendTo(db.output[:0], wait))
 }
 
 // Preparing reports that the current request has not been written yet, although a PREPARE for it has.
@@ -139,7 +139,7 @@
 		db.preparingText = db.execution.Text
 		db.expectAnswer(true)
 		db.databases.Counters.Prepares++
-		return db.writeBuffered(mysql.AppendCommand(db.out[:0], mysql.ComStmtPrepare, db.execution.Text))
+		return db.writeBuffered(mysql.AppendCommand(db.output[:0], mysql.ComStmtPrepare, db.execution.Text))
 	case prepared.Execute:
 		db.preparingText = ""
 		db.expectAnswer(false)
@@ -147,15 +147,15 @@
 			db.reply.Due()
 		}
 		db.databases.Counters.Executes++
-		out := db.out[:0]
+		output := db.output[:0]
 		for param, data := range db.executeCommand.longData {
-			out = mysql.AppendLongData(out, statement.ID, param, data)
+			output = mysql.AppendLongData(output, statement.ID, param, data)
 		}
 		execution := &db.executeCommand.execution
 		if execution.Sets = db.executeCommand.waitParam >= 0; execution.Sets { // the time that preparing took is subtracted; rounded down, as in a text query
 			execution.Param, execution.Number = db.executeCommand.waitParam, max(int64((db.executeBy-db.databases.Loop.clock.Now())/time.Millisecond), 1)
 		}
-		return db.writeBuffered(mysql.AppendExecute(out, statement.ID, db.executeCommand.params, execution, db.capabilities))
+		return db.writeBuffered(mysql.AppendExecute(output, statement.ID, db.executeCommand.params, execution, db.capabilities))
 	}
 	return errStatementsLost
 }
@@ -175,7 +175,7 @@
 func (db *mysqlDatabase) Probe() error {
 	db.awaitingAnswer, db.probing, db.execution, db.preparingText = true, true, nil, ""
 	db.expectAnswer(false)
-	return db.writeBuffered(mysql.AppendCommand(db.out[:0], mysql.ComQuery, loadQueryMySQL))
+	return db.writeBuffered(mysql.AppendCommand(db.output[:0], mysql.ComQuery, loadQueryMySQL))
 }
 
 // ready implements databaseProtocol.
@@ -187,7 +187,7 @@
 }
 
 // parseNext implements databaseProtocol.
-func (db *mysqlDatabase) parseNext(buf []byte) (n int, whole bool, err error) {
+func (db *mysqlDatabase) parseNext(buf []byte) (n int, complete bool, err error) {
 	body, seq, n, err := mysql.Next(buf, mysql.MaxPacket)
 	if n == 0 || err != nil {
 		return 0, false, err
@@ -196,8 +196,8 @@
 		return n, false, errUnexpectedAnswer
 	}
 	if db.phase != mysqlPhaseReady {
-		whole, err = db.login(body, seq)
-		return n, whole, err
+		complete, err = db.login(body, seq)
+		return n, complete, err
 	}
 	if err = db.reply.Add(body, seq); err == nil {
 		db.rawAnswer = append(db.rawAnswer, buf[:n]...)
--- a/internal/net/mysql_login.go
+++ b/internal/net/mysql_login.go
@@ -76,8 +76,8 @@
 }
 
 func (m *mysqlProtocol) send(c *client, add func(dst []byte, seq byte) []byte) {
-	out := add(nil, m.sequence)
-	c.write(out)
+	output := add(nil, m.sequence)
+	c.write(output)
 	m.sequence++
 }
 
@@ -114,7 +114,7 @@
 // denyLogin records a failed login and returns its error.
 func (m *mysqlProtocol) denyLogin(c *client) error {
 	m.shared.guard.Failed(c.server.clock.Now(), m.loginID(c))
-	return errDenied
+	return errAccessDenied
 }
 
 func (m *mysqlProtocol) rejectLogin(c *client, reason string, wait time.Duration) {
--- a/internal/net/mysql_test.go
+++ b/internal/net/mysql_test.go
@@ -18,13 +18,13 @@
 	"havenproxy/logic"
 )
 
-// mysqlPeer reads packets off a connection.
-type mysqlPeer struct {
+// mysqlTestConn reads packets from a connection.
+type mysqlTestConn struct {
 	conn stdnet.Conn
 	buf  []byte
 }
 
-func (p *mysqlPeer) next() (body []byte, seq byte, err error) {
+func (p *mysqlTestConn) next() (body []byte, seq byte, err error) {
 	for {
 		body, seq, n, err := mysql.Next(p.buf, 1<<24)
 		if err != nil {
@@ -36,7 +36,7 @@
 			return body, seq, nil
 		}
 		chunk := make([]byte, 4096)
-		p.conn.SetReadDeadline(time.Now().Add(patience))
+		p.conn.SetReadDeadline(time.Now().Add(testTimeout))
 		k, err := p.conn.Read(chunk)
 		if err != nil {
 			return nil, 0, err
@@ -45,8 +45,8 @@
 	}
 }
 
-// ask sends a command and reads its whole answer.
-func (p *mysqlPeer) ask(t *testing.T, caps uint32, b []byte, prepare bool) *mysql.Reply {
+// ask sends a command and reads its complete answer.
+func (p *mysqlTestConn) ask(t *testing.T, caps uint32, b []byte, prepare bool) *mysql.Reply {
 	t.Helper()
 	p.conn.Write(b)
 	var r mysql.Reply
@@ -66,15 +66,15 @@
 	return &r
 }
 
-// mysqlDial opens a client's connection that does without a driver.
-func mysqlDial(t *testing.T, s *Server, caps uint32) *mysqlPeer {
+// mysqlDial opens a client connection without a driver.
+func mysqlDial(t *testing.T, s *Server, caps uint32) *mysqlTestConn {
 	t.Helper()
 	conn, err := stdnet.Dial("tcp", s.MySQLAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	p := &mysqlPeer{conn: conn}
+	p := &mysqlTestConn{conn: conn}
 	p.next()
 	conn.Write(mysql.AppendLogin(nil, 1, mysql.Login{Caps: caps, User: "u", Plugin: mysql.CachingSHA2}))
 	if body, _, err := p.next(); err != nil || body[0] != 0 {
@@ -83,11 +83,12 @@
 	return p
 }
 
-// mysqlMember is a database of a few lines; the test says what it answers to a command. False ends the connection.
-func mysqlMember(t *testing.T, caps uint32, answer func(conn stdnet.Conn, body []byte, caps uint32) bool) string {
+// mysqlDatabaseStub runs a minimal MySQL database that answers commands as the test says; when answer returns false,
+// the connection ends.
+func mysqlDatabaseStub(t *testing.T, caps uint32, answer func(conn stdnet.Conn, body []byte, caps uint32) bool) string {
 	t.Helper()
 	return listen(t, func(conn stdnet.Conn) {
-		p, caps := mysqlWelcome(conn, caps, nil)
+		p, caps := mysqlHandshake(conn, caps, nil)
 		for p != nil {
 			body, _, err := p.next()
 			if err != nil || !answer(conn, body, caps) {
@@ -97,9 +98,9 @@
 	})
 }
 
-// mysqlWelcome lets a client in, whoever it is, with something behind the welcome; nil = it has gone.
-func mysqlWelcome(conn stdnet.Conn, caps uint32, behind []byte) (*mysqlPeer, uint32) {
-	p := &mysqlPeer{conn: conn}
+// mysqlHandshake accepts any login and sends extra after it; nil = the client has disconnected.
+func mysqlHandshake(conn stdnet.Conn, caps uint32, extra []byte) (*mysqlTestConn, uint32) {
+	p := &mysqlTestConn{conn: conn}
 	conn.Write(mysql.AppendHandshake(nil, mysql.Handshake{Version: "8", Scramble: bytes.Repeat([]byte{'s'}, mysql.ScrambleLen), Caps: caps, Plugin: mysql.NativePassword}))
 	body, seq, err := p.next()
 	if err != nil {
@@ -109,12 +110,13 @@
 	if err != nil {
 		return nil, 0
 	}
-	conn.Write(append(mysql.AppendOK(nil, seq+1, mysql.OK{}, l.Caps&caps, false), behind...))
+	conn.Write(append(mysql.AppendOK(nil, seq+1, mysql.OK{}, l.Caps&caps, false), extra...))
 	return p, l.Caps & caps
 }
 
-// mysqlAnswer is an ordinary database's: PREPARE gives a number, EXECUTE and a text one row.
-func mysqlAnswer(conn stdnet.Conn, body []byte, caps uint32) bool {
+// mysqlDefaultAnswer answers like an ordinary database: PREPARE returns a statement number, EXECUTE and a text query
+// return one row.
+func mysqlDefaultAnswer(conn stdnet.Conn, body []byte, caps uint32) bool {
 	column := mysql.AppendColumn(nil, 0, "val", mysql.TypeVarString)[4:]
 	r := mysql.Reply{IsResult: true, Columns: [][]byte{column}}
 	switch body[0] {
@@ -135,10 +137,10 @@
 	return true
 }
 
-// mysqlProxy runs a server with a MySQL front before members that speak MySQL, all of group 0.
+// mysqlProxy runs a server with a MySQL listener and members that speak MySQL, all in group 0.
 func mysqlProxy(t *testing.T, users map[string]mysql.Secret, members ...string) (*Server, *state.Engine, *Loop) {
 	t.Helper()
-	s, engine, loop := proxy(t, members[0], 8, 2)
+	s, engine, loop := startProxy(t, members[0], 8, 2)
 	done := make(chan error)
 	loop.Post(func() {
 		d := engine.Opener().(*Databases)
@@ -179,25 +181,25 @@
 	return <-got
 }
 
-// noLinks waits until the proxy has noticed that the databases have ended its connections.
-func noLinks(t *testing.T, engine *state.Engine, loop *Loop) {
+// waitForNoConnections waits until the proxy has noticed that the databases have ended its connections.
+func waitForNoConnections(t *testing.T, engine *state.Engine, loop *Loop) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		n := make(chan int)
 		loop.Post(func() { n <- engine.Connections() })
 		if <-n == 0 {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("the connections are still there")
+			t.Fatal("the connections are still open")
 		}
 	}
 }
 
-// Servers old and new, and a client in text and prepared.
-func TestMySQLThroughTheProxy(t *testing.T) {
+// Servers with and without the newer capabilities, and a client with text queries and prepared statements.
+func TestMySQLQueriesThroughProxy(t *testing.T) {
 	for _, caps := range []uint32{mysql.ServerCaps, mysql.ServerCaps &^ (mysql.ClientDeprecateEOF | mysql.ClientSessionTrack)} {
-		s, _, _ := mysqlProxy(t, nil, mysqlMember(t, caps, mysqlAnswer))
+		s, _, _ := mysqlProxy(t, nil, mysqlDatabaseStub(t, caps, mysqlDefaultAnswer))
 		db := mysqlOpen(t, s, "")
 		var got string
 		if err := db.QueryRow("SELECT 1 /* c=any,cluster=0,d=15000 */").Scan(&got); err != nil || !strings.HasPrefix(got, "SELECT 1 /* c=any,cluster=0,d=1") {
@@ -211,19 +213,19 @@
 	}
 }
 
-// The same text, prepared by many clients, is one entry on a database's connection.
-func TestAStatementIsPreparedOnceAConnection(t *testing.T) {
+// The same text, prepared by many clients, is prepared once on a connection to a database.
+func TestStatementIsPreparedOncePerConnection(t *testing.T) {
 	var prepares, executes atomic.Int32
-	s, _, _ := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+	s, _, _ := mysqlProxy(t, nil, mysqlDatabaseStub(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 		switch body[0] {
 		case mysql.ComStmtPrepare:
 			prepares.Add(1)
 		case mysql.ComStmtExecute:
 			executes.Add(1)
 		}
-		return mysqlAnswer(conn, body, caps)
+		return mysqlDefaultAnswer(conn, body, caps)
 	}))
-	for range 6 { // one behind the other: one connection to the database serves all
+	for range 6 { // one after the other: all use one connection to the database
 		db := mysqlOpen(t, s, "")
 		st, err := db.Prepare(mysqlRead)
 		if err != nil {
@@ -237,17 +239,17 @@
 		}
 		db.Close()
 	}
-	// Each client's own PREPARE goes to a database once, for its answer; executions add none.
+	// Each client's own PREPARE is sent to a database at most once, for its answer; executions add none.
 	if p, e := prepares.Load(), executes.Load(); p > 6 || e != 30 {
 		t.Errorf("%d prepared, %d executed", p, e)
 	}
 }
 
-// A server that forgot a statement gets it once more, and that is no second run.
-func TestAForgottenStatementIsPreparedOnceMore(t *testing.T) {
+// A statement that a server has lost is prepared once more, which does not count as a second run.
+func TestLostStatementIsPreparedAgain(t *testing.T) {
 	for forgets, ok := range map[int32]bool{1: true, 99: false} {
 		var n, prepares atomic.Int32
-		s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+		s, engine, loop := mysqlProxy(t, nil, mysqlDatabaseStub(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 			if body[0] == mysql.ComStmtPrepare {
 				prepares.Add(1)
 			}
@@ -255,42 +257,42 @@
 				conn.Write(mysql.AppendErr(nil, 1, mysql.ErrUnknownStatement, "unknown"))
 				return true
 			}
-			return mysqlAnswer(conn, body, caps)
+			return mysqlDefaultAnswer(conn, body, caps)
 		}))
 		var got string
 		err := mysqlOpen(t, s, "").QueryRow(mysqlRead, "x").Scan(&got)
 		if (err == nil) != ok {
-			t.Errorf("forgets %d times: %q, %v", forgets, got, err)
+			t.Errorf("lost %d times: %q, %v", forgets, got, err)
 		}
 		c := counters(engine, loop)
 		if ok && (prepares.Load() != 2 || c.Sent != 2) {
 			t.Errorf("%d prepared, %d attempts", prepares.Load(), c.Sent)
 		}
 		if !ok && c.Reset+c.TimedOut+c.Failures > 0 {
-			t.Errorf("it counts as a run: %+v", c)
+			t.Errorf("the failure counts as a run: %+v", c)
 		}
 	}
 }
 
-// What breaks while a statement is prepared for an execution has never run; what breaks behind EXECUTE may have.
-func TestAFailureWhilePreparingHasNeverRun(t *testing.T) {
+// After a failure while a statement is prepared for an execution nothing has run; after EXECUTE it may have.
+func TestFailureWhilePreparingHasNotRun(t *testing.T) {
 	for _, at := range []byte{mysql.ComStmtPrepare, mysql.ComStmtExecute} {
 		var seen atomic.Int32
-		s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+		s, engine, loop := mysqlProxy(t, nil, mysqlDatabaseStub(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 			if body[0] == mysql.ComStmtPrepare && seen.Add(1) == 1 {
-				mysqlAnswer(conn, body, caps) // the client's own
-				return false                  // and the connection ends behind it
+				mysqlDefaultAnswer(conn, body, caps) // the client's own
+				return false                         // and then the connection ends
 			}
 			if body[0] == at {
 				return false
 			}
-			return mysqlAnswer(conn, body, caps)
+			return mysqlDefaultAnswer(conn, body, caps)
 		}))
 		st, err := mysqlOpen(t, s, "").Prepare(mysqlRead)
 		if err != nil {
 			t.Fatal(err)
 		}
-		noLinks(t, engine, loop)
+		waitForNoConnections(t, engine, loop)
 		var got string
 		if err := st.QueryRow("x").Scan(&got); err == nil {
 			t.Errorf("%#x: it was answered", at)
@@ -302,19 +304,19 @@
 	}
 }
 
-// A text that databases refuse: the client hears their word at once, and no member is blamed.
-func TestABadStatementIsItsOwnFault(t *testing.T) {
-	s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+// A text that databases reject: the client gets their error at once, and no member counts as failed.
+func TestInvalidStatementIsReportedToClient(t *testing.T) {
+	s, engine, loop := mysqlProxy(t, nil, mysqlDatabaseStub(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 		conn.Write(mysql.AppendErr(nil, 1, mysql.ErrParse, "no such table"))
 		return true
 	}))
 	db := mysqlOpen(t, s, "")
-	var said *driver.MySQLError
+	var serverErr *driver.MySQLError
 	for _, do := range []func() error{
 		func() error { _, err := db.Prepare(mysqlRead); return err },
 		func() error { _, err := db.Exec("SELECT 1 /* c=any,cluster=0 */"); return err },
 	} {
-		if err := do(); !errors.As(err, &said) || said.Number != mysql.ErrParse || said.Message != "no such table" {
+		if err := do(); !errors.As(err, &serverErr) || serverErr.Number != mysql.ErrParse || serverErr.Message != "no such table" {
 			t.Error(err)
 		}
 	}
@@ -323,9 +325,9 @@
 	}
 }
 
-// Bad clients get an error or a close, and nobody else notices.
-func TestBadMySQLClients(t *testing.T) {
-	s, _, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, mysqlAnswer))
+// Invalid input gets an error or a close, and other clients are not affected.
+func TestInvalidMySQLClients(t *testing.T) {
+	s, _, loop := mysqlProxy(t, nil, mysqlDatabaseStub(t, mysql.ServerCaps, mysqlDefaultAnswer))
 	login := mysql.AppendLogin(nil, 1, mysql.Login{Caps: mysql.ServerCaps &^ mysql.ClientQueryAttributes, User: "u", Plugin: mysql.CachingSHA2})
 	command := func(body ...byte) []byte { return mysql.AppendPacket(append([]byte(nil), login...), 0, body) }
 	for name, c := range map[string]struct {
@@ -349,31 +351,31 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := &mysqlPeer{conn: conn}
+		p := &mysqlTestConn{conn: conn}
 		p.next()
 		conn.Write(c.sends)
-		var told *mysql.ServerError
-		in := false // it has logged in
-		for end := time.Now().Add(patience); told == nil && time.Now().Before(end); {
-			if name == "half a packet" && in || name == "silence" {
-				skip(s, queryTimeout)
+		var serverErr *mysql.ServerError
+		loggedIn := false // it has logged in
+		for end := time.Now().Add(testTimeout); serverErr == nil && time.Now().Before(end); {
+			if name == "half a packet" && loggedIn || name == "silence" {
+				advance(s, queryTimeout)
 			}
 			body, _, err := p.next()
 			if err != nil {
 				break
 			}
-			if in = true; body[0] == 0xff {
+			if loggedIn = true; body[0] == 0xff {
 				e, _ := mysql.ParseErr(body)
-				told = &e
+				serverErr = &e
 			}
 		}
-		if told == nil || told.Number != c.number {
-			t.Errorf("%s: %+v, want %d", name, told, c.number)
+		if serverErr == nil || serverErr.Number != c.number {
+			t.Errorf("%s: %+v, want %d", name, serverErr, c.number)
 		}
 		if c.stays {
 			conn.Write(mysql.AppendCommand(nil, mysql.ComPing, ""))
 			if body, _, err := p.next(); err != nil || body[0] != 0 {
-				t.Errorf("%s: behind it %v, %v", name, body, err)
+				t.Errorf("%s: the next command got %v, %v", name, body, err)
 			}
 		}
 		conn.Close()
@@ -384,9 +386,9 @@
 	}
 }
 
-// Parameters that don't fit, and too many statements, are told; the connection goes on.
-func TestMySQLStatementsAreBoundedAndChecked(t *testing.T) {
-	s, _, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, mysqlAnswer))
+// Parameters that do not match and too many statements are errors; the connection stays open.
+func TestMySQLStatementLimitsAndChecks(t *testing.T) {
+	s, _, loop := mysqlProxy(t, nil, mysqlDatabaseStub(t, mysql.ServerCaps, mysqlDefaultAnswer))
 	caps := uint32(mysql.ServerCaps &^ mysql.ClientQueryAttributes)
 	p := mysqlDial(t, s, caps)
 	conn := p.conn
@@ -410,41 +412,41 @@
 	}
 	good := []byte{mysql.ComStmtExecute, id, 0, 0, 0, 0, 1, 0, 0, 0, 0, 1, mysql.TypeVarString, 0, 1, 'x'}
 	if r := ask(mysql.AppendPacket(nil, 0, good), false); r.Err != nil {
-		t.Errorf("behind them: %v", r.Err)
+		t.Errorf("after the invalid ones: %v", r.Err)
 	}
-	// A value in pieces reaches the database that executes.
+	// A value sent in pieces reaches the database that executes the statement.
 	conn.Write(mysql.AppendLongData(nil, uint32(id), 0, []byte("pie")))
 	conn.Write(mysql.AppendLongData(nil, uint32(id), 0, []byte("ces")))
 	if r := ask(mysql.AppendPacket(nil, 0, []byte{mysql.ComStmtExecute, id, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0}), false); r.Err != nil {
-		t.Errorf("in pieces: %v", r.Err)
+		t.Errorf("a value sent in pieces: %v", r.Err)
 	}
-	var told *mysql.ServerError
+	var limitErr *mysql.ServerError
 	refused := 0
-	for range 10000 { // the bound is told each time, and the connection goes on
+	for range 10000 { // each excess statement is rejected, and the connection stays open
 		if err := ask(mysql.AppendCommand(nil, mysql.ComStmtPrepare, mysqlRead), true).Err; err != nil {
-			told = err
+			limitErr = err
 			refused++
 		}
 	}
-	if told == nil || told.Number != mysql.ErrTooManyStatements || refused != 10000-maxStatements+1 {
-		t.Errorf("too many: %v, %d times", told, refused)
+	if limitErr == nil || limitErr.Number != mysql.ErrTooManyStatements || refused != 10000-maxStatements+1 {
+		t.Errorf("too many statements: %v, %d times", limitErr, refused)
 	}
 	conn.Write(mysql.AppendStatement(nil, mysql.ComStmtClose, uint32(id)))
 	if r := ask(mysql.AppendCommand(nil, mysql.ComStmtPrepare, mysqlRead), true); r.Err != nil {
-		t.Errorf("with room again: %v", r.Err)
+		t.Errorf("after closing a statement: %v", r.Err)
 	}
-	// Long texts have a bound of their own: their number would allow a gigabyte.
+	// Long texts have a separate limit: the limit on their number would allow a gigabyte.
 	long, n := strings.Replace(mysqlRead, "val", strings.Repeat("v", 200<<10), 1), 0
-	for told = nil; told == nil && n < 20; n++ {
+	for limitErr = nil; limitErr == nil && n < 20; n++ {
 		conn.Write(mysql.AppendStatement(nil, mysql.ComStmtClose, uint32(n+2)))
-		told = ask(mysql.AppendCommand(nil, mysql.ComStmtPrepare, long), true).Err
+		limitErr = ask(mysql.AppendCommand(nil, mysql.ComStmtPrepare, long), true).Err
 	}
-	if told == nil || told.Number != mysql.ErrTooManyStatements || n > maxStatementBytes/len(long)+1 {
-		t.Errorf("long texts: %v at the %d.", told, n)
+	if limitErr == nil || limitErr.Number != mysql.ErrTooManyStatements || n > maxStatementBytes/len(long)+1 {
+		t.Errorf("long texts: %v at statement %d", limitErr, n)
 	}
 	conn.Close()
 	held := -1
-	for end := time.Now().Add(patience); held != 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); held != 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		got := make(chan int)
 		loop.Post(func() {
 			sum := s.buffered
@@ -456,22 +458,22 @@
 		held = <-got
 	}
 	if held != 0 {
-		t.Errorf("%d bytes are held for a client that has gone", held)
+		t.Errorf("%d bytes are held for a disconnected client", held)
 	}
 }
 
-// Bad servers: nothing of theirs reaches a client as an answer.
-func TestBadMySQLServers(t *testing.T) {
+// Invalid output of servers never reaches a client as an answer.
+func TestInvalidMySQLServers(t *testing.T) {
 	ok := mysql.AppendOK(nil, 1, mysql.OK{}, mysql.ServerCaps, false)
-	for name, says := range map[string][]byte{
+	for name, output := range map[string][]byte{
 		"noise":            bytes.Repeat([]byte{0xfb}, 300),
 		"out of order":     mysql.AppendOK(nil, 9, mysql.OK{}, mysql.ServerCaps, false),
 		"without end":      mysql.AppendPacket(nil, 1, []byte{1}),
 		"a file, please":   mysql.AppendPacket(nil, 1, []byte{0xfb, 'x'}),
 		"columns too many": mysql.AppendPacket(nil, 1, []byte{0xfc, 0xff, 0xff}),
 	} {
-		s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
-			conn.Write(says)
+		s, engine, loop := mysqlProxy(t, nil, mysqlDatabaseStub(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+			conn.Write(output)
 			return true
 		}))
 		if _, err := mysqlOpen(t, s, "").Exec("SELECT 1 /* c=any,cluster=0,d=15000 */"); err == nil {
@@ -481,8 +483,8 @@
 			t.Errorf("%s: %+v", name, c)
 		}
 	}
-	// A second copy makes the connection unfit for the next command; the first counts.
-	s, engine, loop := mysqlProxy(t, nil, mysqlMember(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
+	// A second copy makes the connection unfit for the next command; the first answer is valid.
+	s, engine, loop := mysqlProxy(t, nil, mysqlDatabaseStub(t, mysql.ServerCaps, func(conn stdnet.Conn, body []byte, caps uint32) bool {
 		conn.Write(append(append([]byte(nil), ok...), ok...))
 		return true
 	}))
@@ -497,7 +499,7 @@
 	}
 }
 
-// Logins by their secrets, through the proxy.
+// Logins with each kind of secret through the proxy.
 func TestMySQLUsersLogIn(t *testing.T) {
 	secret := func(text string) mysql.Secret {
 		s, err := mysql.ParseSecret(text)
@@ -512,7 +514,7 @@
 	}
 	users := map[string]mysql.Secret{"native": secret(mysql.HashNative("a")), "sha2": secret(mysql.HashSHA2("b")),
 		"salted": secret(mysql.HashSalted("c", []byte("some salt")))}
-	s, _, loop := proxy(t, "127.0.0.1:1", 8, 2)
+	s, _, loop := startProxy(t, "127.0.0.1:1", 8, 2)
 	done := make(chan error)
 	loop.Post(func() { done <- s.ListenMySQL("127.0.0.1:0", &MySQLOptions{Users: users, Key: key}) })
 	if err := <-done; err != nil {
@@ -527,8 +529,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var said *driver.MySQLError
-		if err := db.Ping(); (err == nil) != c.ok || !c.ok && (!errors.As(err, &said) || said.Number != mysql.ErrAccessDenied) {
+		var serverErr *driver.MySQLError
+		if err := db.Ping(); (err == nil) != c.ok || !c.ok && (!errors.As(err, &serverErr) || serverErr.Number != mysql.ErrAccessDenied) {
 			t.Errorf("%s: %v", c.login, err)
 		}
 		db.Close()
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -18,45 +18,45 @@
 	"havenproxy/logic"
 )
 
-// patience is only there to end a test that hangs; no verdict depends on it.
-const patience = 20 * time.Second
+// testTimeout only ends tests that hang; no result depends on it.
+const testTimeout = 20 * time.Second
 
 var settings = logic.Config{Tick: time.Millisecond, Classes: []logic.Class{
 	{Name: "any", Read: logic.Any, Aim: 10 * time.Second, Limit: 20 * time.Second}}}
 
-type noWatch struct{}
+type nopWatcher struct{}
 
-func (noWatch) Watch(bool) {}
-func (noWatch) Fetch()     {}
+func (nopWatcher) Watch(bool) {}
+func (nopWatcher) Fetch()     {}
 
-// skipClock is the system's clock, which a test may put forward.
-type skipClock struct {
+// offsetClock is the system clock with an offset that tests advance.
+type offsetClock struct {
 	*state.SystemClock
-	skipped atomic.Int64
+	offset atomic.Int64
 }
 
-func (c *skipClock) Now() time.Duration {
-	return c.SystemClock.Now() + time.Duration(c.skipped.Load())
+func (c *offsetClock) Now() time.Duration {
+	return c.SystemClock.Now() + time.Duration(c.offset.Load())
 }
 
-// skip lets time pass, and the loop see what that brings about.
-func skip(s *Server, d time.Duration) {
-	s.clock.(*skipClock).skipped.Add(int64(d))
+// advance moves the clock forward and wakes the loop.
+func advance(s *Server, d time.Duration) {
+	s.clock.(*offsetClock).offset.Add(int64(d))
 	s.loop.Post(func() {})
 }
 
-// proxy runs a server on a port of its own, with one group whose only member is at the given address.
-func proxy(t *testing.T, member string, clients, excess int) (*Server, *state.Engine, *Loop) {
+// startProxy runs a server on a free port, with one group whose only member is at the given address.
+func startProxy(t *testing.T, member string, clients, excess int) (*Server, *state.Engine, *Loop) {
 	t.Helper()
-	return proxyWith(t, settings, member, clients, excess)
+	return startProxyWith(t, settings, member, clients, excess)
 }
 
-// proxyWith does so under other settings.
-func proxyWith(t *testing.T, settings logic.Config, member string, clients, excess int) (*Server, *state.Engine, *Loop) {
+// startProxyWith is startProxy with other settings.
+func startProxyWith(t *testing.T, settings logic.Config, member string, clients, excess int) (*Server, *state.Engine, *Loop) {
 	t.Helper()
-	clock := &skipClock{SystemClock: state.NewClock()}
-	databases := &Databases{ConnectTimeout: patience}
-	engine, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, databases)
+	clock := &offsetClock{SystemClock: state.NewClock()}
+	databases := &Databases{ConnectTimeout: testTimeout}
+	engine, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: testTimeout}, clock, databases)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	loop.Post(func() {
-		engine.Start(noWatch{}, state.List{Entries: []state.Entry{{Name: "m", Address: member, State: logic.Ready}}})
+		engine.Start(nopWatcher{}, state.List{Entries: []state.Entry{{Name: "m", Address: member, State: logic.Ready}}})
 	})
 	done := make(chan struct{})
 	go func() { loop.Run(); close(done) }()
@@ -79,7 +79,7 @@
 	return s, engine, loop
 }
 
-// listen serves each connection to a port of its own.
+// listen accepts connections on a free port and passes each to serve.
 func listen(t *testing.T, serve func(conn stdnet.Conn)) (address string) {
 	t.Helper()
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
@@ -102,17 +102,17 @@
 	return ln.Addr().String()
 }
 
-// member is a database of a few lines: it answers each query with its own text, or as the test says.
-func member(t *testing.T, answer func(conn stdnet.Conn, text string) bool) string {
+// databaseStub runs a minimal PostgreSQL database that answers queries as the test says.
+func databaseStub(t *testing.T, answer func(conn stdnet.Conn, text string) bool) string {
 	t.Helper()
-	return memberUp(t, func() {}, answer)
+	return databaseStubWithStart(t, func() {}, answer)
 }
 
-// memberUp is a member that calls up before it lets the proxy in.
-func memberUp(t *testing.T, up func(), answer func(conn stdnet.Conn, text string) bool) string {
+// databaseStubWithStart is a databaseStub that calls up before it accepts a login.
+func databaseStubWithStart(t *testing.T, up func(), answer func(conn stdnet.Conn, text string) bool) string {
 	t.Helper()
 	return listen(t, func(conn stdnet.Conn) {
-		peer := &peer{conn: conn}
+		peer := &testConn{conn: conn}
 		if _, err := peer.next(func(b []byte) (int, error) { _, n, err := pg.NextOpening(b); return n, err }); err != nil {
 			return
 		}
@@ -131,24 +131,24 @@
 	})
 }
 
-func row(text string) []byte {
+func rowAnswer(text string) []byte {
 	value := append([]byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, text...)
 	out := append([]byte{'D', 0, 0, byte((len(value) + 4) >> 8), byte(len(value) + 4)}, value...)
 	return pg.AppendReady(append(out, "C\x00\x00\x00\x0dSELECT 1\x00"...))
 }
 
-func echo(conn stdnet.Conn, text string) bool {
-	_, err := conn.Write(row(text))
+func echoQuery(conn stdnet.Conn, text string) bool {
+	_, err := conn.Write(rowAnswer(text))
 	return err == nil
 }
 
-// peer reads messages from a connection.
-type peer struct {
+// testConn reads messages from a connection.
+type testConn struct {
 	conn stdnet.Conn
 	buf  []byte
 }
 
-func (p *peer) next(parse func([]byte) (int, error)) ([]byte, error) {
+func (p *testConn) next(parse func([]byte) (int, error)) ([]byte, error) {
 	for {
 		n, err := parse(p.buf)
 		if err != nil {
@@ -167,24 +167,24 @@
 	}
 }
 
-func (p *peer) message() (m pg.Message, err error) {
+func (p *testConn) message() (m pg.Message, err error) {
 	_, err = p.next(func(b []byte) (n int, err error) { m, n, err = pg.Next(b); return n, err })
 	return m, err
 }
 
-func dial(t *testing.T, s *Server) *peer {
+func dial(t *testing.T, s *Server) *testConn {
 	t.Helper()
 	conn, err := stdnet.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { conn.Close() })
-	return &peer{conn: conn}
+	return &testConn{conn: conn}
 }
 
-// said gives the types of the messages up to the end of the connection, or the first n.
-func (p *peer) said(n int) (types string, bodies []string) {
+// readTypes returns the types of the first n messages, and "!" if the connection ends before.
+func (p *testConn) readTypes(n int) (types string, bodies []string) {
 	for len(types) < n {
 		m, err := p.message()
 		if err != nil {
@@ -201,10 +201,10 @@
 
 const welcome = "RSSSSZ"
 
-func TestPipelinedQueriesAreAnsweredInOrderInAnyCuts(t *testing.T) {
-	s, _, _ := proxy(t, member(t, echo), 8, 1)
+func TestPipelinedQueriesAreAnsweredInOrder(t *testing.T) {
+	s, _, _ := startProxy(t, databaseStub(t, echoQuery), 8, 1)
 	in := pg.AppendStartup(nil, "client", "core")
-	const queries = 200 // more than may be under way; some are refused, in their place
+	const queries = 200 // more than may be pending; some are refused, in their order
 	for i := range queries {
 		if in = pg.AppendQuery(in, query(fmt.Sprint(i))); i%7 == 0 {
 			in = pg.AppendQuery(in, "")
@@ -218,210 +218,211 @@
 			in = in[n:]
 		}
 	}()
-	if types, _ := p.said(len(welcome)); types != welcome {
-		t.Fatalf("the start was answered by %q", types)
+	if types, _ := p.readTypes(len(welcome)); types != welcome {
+		t.Fatalf("the startup message got %q", types)
 	}
 	for i := range queries {
-		types, bodies := p.said(1)
+		types, bodies := p.readTypes(1)
 		if types == "D" {
-			if types, _ = p.said(1); types != "C" || !strings.Contains(bodies[0], fmt.Sprintf("'%d'", i)) {
+			if types, _ = p.readTypes(1); types != "C" || !strings.Contains(bodies[0], fmt.Sprintf("'%d'", i)) {
 				t.Fatalf("answer %d is %q %q", i, bodies[0], types)
 			}
 		} else if types != "E" {
 			t.Fatalf("answer %d is %q", i, types)
 		}
 		if i%7 == 0 {
-			if types, _ = p.said(3); types != "ZIZ" {
-				t.Fatalf("behind answer %d: %q", i, types)
+			if types, _ = p.readTypes(3); types != "ZIZ" {
+				t.Fatalf("after answer %d: %q", i, types)
 			}
-		} else if types, _ = p.said(1); types != "Z" {
-			t.Fatalf("behind answer %d: %q", i, types)
+		} else if types, _ = p.readTypes(1); types != "Z" {
+			t.Fatalf("after answer %d: %q", i, types)
 		}
 	}
 }
 
-// A request with no time left is answered like any other, and its connection stays.
-func TestNoTimeLeftIsAnsweredNotTakenForMalformed(t *testing.T) {
-	s, _, _ := proxy(t, member(t, echo), 8, 1)
+// A request with no time left is answered like any other, and its connection stays open.
+func TestExpiredRequestIsAnswered(t *testing.T) {
+	s, _, _ := startProxy(t, databaseStub(t, echoQuery), 8, 1)
 	p := dial(t, s)
 	in := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), strings.Replace(query("a"), "d=15000", "d=0", 1))
 	p.conn.Write(pg.AppendQuery(in, query("b")))
-	if types, bodies := p.said(len(welcome) + 5); types != welcome+"EZDCZ" || !strings.Contains(bodies[6], "C"+pg.CodeTooMany) {
+	if types, bodies := p.readTypes(len(welcome) + 5); types != welcome+"EZDCZ" || !strings.Contains(bodies[6], "C"+pg.CodeTooMany) {
 		t.Errorf("%q, %q", types, bodies)
 	}
 }
 
-// What was asked before a client broke the protocol has been taken: it is answered first, and the last word
-// is whole.
-func TestAnswersDueComeBeforeTheLastWord(t *testing.T) {
-	s, _, _ := proxy(t, member(t, echo), 8, 1)
+// Queries sent before a protocol violation have been accepted: they are answered first, and the final error is
+// complete.
+func TestDueAnswersPrecedeFinalError(t *testing.T) {
+	s, _, _ := startProxy(t, databaseStub(t, echoQuery), 8, 1)
 	for _, junk := range [][]byte{{'Q', 0xff, 0xff, 0xff, 0xff}, pg.AppendQuery(nil, "SELECT 1"), {'P', 0, 0, 0, 4},
 		pg.AppendQuery(nil, strings.Replace(query("a"), "c=any", "c=unheard", 1))} {
 		p := dial(t, s)
 		in := append(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("a")), junk...)
 		p.conn.Write(append(in, bytes.Repeat([]byte("x"), 1000)...))
-		types, bodies := p.said(99)
+		types, bodies := p.readTypes(99)
 		if types != welcome+"DCZE!" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
 			t.Errorf("after %q: %q, %q", junk, types, bodies)
 		}
 	}
 	p := dial(t, s)
 	p.conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	if types, _ := p.said(99); types != "E!" {
-		t.Errorf("garbage for a start was answered by %q", types)
+	if types, _ := p.readTypes(99); types != "E!" {
+		t.Errorf("garbage instead of a startup message got %q", types)
 	}
 }
 
-// Clients that ask once and keep their connection took all places for good: new ones were turned away all day.
-func TestIdleAndSilentClientsMakeRoom(t *testing.T) {
-	s, _, _ := proxy(t, member(t, echo), 4, 1)
+// Clients that asked once and kept their connections took all of them for good: new clients were rejected all day.
+func TestIdleAndSilentClientsAreEvicted(t *testing.T) {
+	s, _, _ := startProxy(t, databaseStub(t, echoQuery), 4, 1)
 	start := pg.AppendStartup(nil, "client", "core")
 	ask := pg.AppendQuery(start, "")
-	comes := func(in []byte, want string) *peer {
+	connect := func(in []byte, want string) *testConn {
 		t.Helper()
 		p := dial(t, s)
 		p.conn.Write(in)
-		if types, _ := p.said(len(want)); types != want {
+		if types, _ := p.readTypes(len(want)); types != want {
 			t.Errorf("a client that sent %d bytes got %q, want %q", len(in), types, want)
 		}
 		return p
 	}
-	silent := comes(start, welcome) // and nothing behind it
-	oldest := comes(ask, welcome+"IZ")
-	second := comes(ask, welcome+"IZ")
-	third := comes(ask, welcome+"IZ")
-	comes(ask, "E!") // nobody has been idle or silent for long enough
-	skip(s, minSilentTime)
-	comes(ask, welcome+"IZ")
-	skip(s, minIdleTime)
-	second.conn.Write(pg.AppendQuery(nil, "")) // it isn't idle any more
-	second.said(2)
-	comes(ask, welcome+"IZ")
-	for name, p := range map[string]*peer{"silent": silent, "oldest": oldest} {
-		if types, _ := p.said(1); types != "!" {
-			t.Errorf("the %s client got %q, want its end", name, types)
+	silent := connect(start, welcome) // and sends nothing more
+	oldest := connect(ask, welcome+"IZ")
+	second := connect(ask, welcome+"IZ")
+	third := connect(ask, welcome+"IZ")
+	connect(ask, "E!") // nobody has been idle or silent for long enough
+	advance(s, minSilentTime)
+	connect(ask, welcome+"IZ")
+	advance(s, minIdleTime)
+	second.conn.Write(pg.AppendQuery(nil, "")) // it is no longer idle
+	second.readTypes(2)
+	connect(ask, welcome+"IZ")
+	for name, p := range map[string]*testConn{"silent": silent, "oldest": oldest} {
+		if types, _ := p.readTypes(1); types != "!" {
+			t.Errorf("the %s client got %q, want the end of its connection", name, types)
 		}
 	}
-	for _, p := range []*peer{second, third} {
+	for _, p := range []*testConn{second, third} {
 		p.conn.Write(pg.AppendQuery(nil, ""))
-		if types, _ := p.said(2); types != "IZ" {
-			t.Errorf("a client that had a place got %q", types)
+		if types, _ := p.readTypes(2); types != "IZ" {
+			t.Errorf("a client that may stay got %q", types)
 		}
 	}
-	skip(s, minIdleTime)
-	first := comes(start, welcome)
-	comes(start, welcome)
-	comes(start, welcome) // hundreds that stay silent leave room for those that don't
-	if types, _ := first.said(1); types != "!" {
+	advance(s, minIdleTime)
+	first := connect(start, welcome)
+	connect(start, welcome)
+	connect(start, welcome) // hundreds of silent clients leave room for others
+	if types, _ := first.readTypes(1); types != "!" {
 		t.Errorf("one of too many silent clients got %q", types)
 	}
 }
 
-// Clients that ask once and stay were closed only when newcomers found no place. What stands before the proxies
-// opens no more than a share of the descriptors: nobody came, and requests found no connection.
-func TestIdleClientsAreClosedBeforeThereIsNeed(t *testing.T) {
-	s, _, loop := proxy(t, member(t, echo), 6, 1)
+// Clients that asked once and stayed were closed only when new ones were over the limit. The load balancer in front
+// of the proxies opens only a share of the descriptors, so no new clients came, and requests found no connection.
+func TestIdleClientsAreClosedEarly(t *testing.T) {
+	s, _, loop := startProxy(t, databaseStub(t, echoQuery), 6, 1)
 	loop.Post(func() { s.idleCloseThreshold = 2 })
 	ask := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), "")
-	var came []*peer
+	var came []*testConn
 	for range 3 {
 		p := dial(t, s)
 		p.conn.Write(ask)
-		p.said(len(welcome) + 2)
+		p.readTypes(len(welcome) + 2)
 		came = append(came, p)
 	}
-	skip(s, minIdleTime)
-	if types, _ := came[0].said(1); types != "!" {
+	advance(s, minIdleTime)
+	if types, _ := came[0].readTypes(1); types != "!" {
 		t.Errorf("one of three, where two may stay, got %q", types)
 	}
 	for _, p := range came[1:] {
 		p.conn.Write(pg.AppendQuery(nil, ""))
-		if types, _ := p.said(2); types != "IZ" {
+		if types, _ := p.readTypes(2); types != "IZ" {
 			t.Errorf("one that may stay got %q", types)
 		}
 	}
 }
 
-// A client that says nothing, or half of something, is not waited for; one whose request is under way is.
-func TestSilentAndHalfSentClientsAreEndedInTime(t *testing.T) {
+// A client that sends nothing or an incomplete query is closed after a timeout; one whose request is pending is not.
+func TestSilentAndPartialQueriesTimeOut(t *testing.T) {
 	asked, answer := make(chan struct{}, 9), make(chan struct{})
-	s, _, _ := proxy(t, member(t, func(c stdnet.Conn, text string) bool {
+	s, _, _ := startProxy(t, databaseStub(t, func(c stdnet.Conn, text string) bool {
 		asked <- struct{}{}
 		<-answer
-		return echo(c, text)
+		return echoQuery(c, text)
 	}), 40, 1)
 	start := slices.Clip(pg.AppendStartup(nil, "client", "core"))
-	whole := pg.AppendQuery(start, "")
+	complete := pg.AppendQuery(start, "")
 	waits := dial(t, s)
 	waits.conn.Write(pg.AppendQuery(start, query("a")))
-	waits.said(len(welcome))
+	waits.readTypes(len(welcome))
 	<-asked
-	var ends []*peer
-	for _, in := range [][]byte{{}, start[:9], start, whole[:len(whole)-1], append(slices.Clip(whole), 'Q', 0)} {
+	var ends []*testConn
+	for _, in := range [][]byte{{}, start[:9], start, complete[:len(complete)-1], append(slices.Clip(complete), 'Q', 0)} {
 		p := dial(t, s)
 		p.conn.Write(in)
 		ends = append(ends, p)
 	}
-	for seen := 0; seen < 9+5+2; { // until the halves have come
+	for seen := 0; seen < 9+5+2; { // until the partial queries have arrived
 		got := make(chan int)
 		s.loop.Post(func() { got <- s.buffered })
 		seen = <-got
 	}
-	skip(s, queryTimeout)
+	advance(s, queryTimeout)
 	for i, p := range ends {
-		if types, bodies := p.said(99); !strings.HasSuffix(types, "E!") || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
+		if types, bodies := p.readTypes(99); !strings.HasSuffix(types, "E!") || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
 			t.Errorf("client %d got %q", i, types)
 		}
 	}
 	close(answer)
-	if types, _ := waits.said(3); types != "DCZ" {
-		t.Errorf("the client whose request was under way got %q", types)
+	if types, _ := waits.readTypes(3); types != "DCZ" {
+		t.Errorf("the client whose request was pending got %q", types)
 	}
 }
 
-func TestExcessClientIsTurnedAwayWithAWholeAnswer(t *testing.T) {
-	s, engine, loop := proxy(t, member(t, echo), 1, 4)
+func TestExcessClientIsRejectedWithAnswer(t *testing.T) {
+	s, engine, loop := startProxy(t, databaseStub(t, echoQuery), 1, 4)
 	first := dial(t, s)
 	start := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), "")
 	first.conn.Write(start)
-	if types, _ := first.said(len(welcome) + 2); types != welcome+"IZ" {
+	if types, _ := first.readTypes(len(welcome) + 2); types != welcome+"IZ" {
 		t.Fatalf("the first client got %q", types)
 	}
 	second := dial(t, s)
 	second.conn.Write(start)
-	if types, bodies := second.said(99); types != "E!" || !strings.Contains(bodies[0], "C"+pg.CodeTooMany) {
+	if types, bodies := second.readTypes(99); types != "E!" || !strings.Contains(bodies[0], "C"+pg.CodeTooMany) {
 		t.Errorf("the second client got %q", types)
 	}
-	// Its query is counted by its class, also where it comes a little behind: operators' figures told of none that were refused at the door.
+	// Its query is counted in its class, even if it arrives a little later: the operators' metrics did not include
+	// requests of rejected clients.
 	third := dial(t, s)
 	third.conn.Write(pg.AppendStartup(nil, "client", "core"))
 	third.conn.Write(pg.AppendQuery(nil, query("a")))
-	if types, _ := third.said(99); types != "E!" {
+	if types, _ := third.readTypes(99); types != "E!" {
 		t.Errorf("the third client got %q", types)
 	}
-	figures := make(chan string)
-	loop.Post(func() { figures <- string(engine.AppendMetrics(nil)) })
-	if got := <-figures; !strings.Contains(got, "proxy.handled.any.dropped:1|c") {
+	metrics := make(chan string)
+	loop.Post(func() { metrics <- string(engine.AppendMetrics(nil)) })
+	if got := <-metrics; !strings.Contains(got, "proxy.handled.any.dropped:1|c") {
 		t.Errorf("%s", got)
 	}
-	first.conn.Close() // its place is free once the proxy has seen that
+	first.conn.Close() // its connection is freed once the proxy has seen the end
 	for {
 		p := dial(t, s)
 		p.conn.Write(start)
-		if types, _ := p.said(len(welcome)); types == welcome {
+		if types, _ := p.readTypes(len(welcome)); types == welcome {
 			break
 		}
 	}
 }
 
-// For want of room those are closed that have stopped half way, before those that go on writing: on a day of crowds 177 of 278 slow queries
-// were cut off in favour of connections that never sent a whole one.
-func TestWhoGoesOnWritingIsKept(t *testing.T) {
-	s, _, loop := proxy(t, member(t, echo), 8, 4)
+// When connections run out, clients that have stopped half way are closed before those that are still writing: at
+// high load 177 of 278 slow queries were cut off in favour of connections that never sent a complete one.
+func TestSlowWriterIsNotEvicted(t *testing.T) {
+	s, _, loop := startProxy(t, databaseStub(t, echoQuery), 8, 4)
 	query := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("a"))
 	slow := dial(t, s)
 	slow.conn.Write(query[:9])
-	wait := func(n int, bytes int) { // until the proxy has seen so many clients and so many bytes of theirs
+	waitForInput := func(n int, bytes int) { // waits until the proxy has seen n clients and that many bytes of theirs
 		for {
 			got := make(chan bool)
 			loop.Post(func() {
@@ -436,27 +437,27 @@
 			}
 		}
 	}
-	wait(1, 9)
-	skip(s, 10*time.Millisecond)
+	waitForInput(1, 9)
+	advance(s, 10*time.Millisecond)
 	stopped := dial(t, s)
 	stopped.conn.Write(query[:9])
-	wait(2, 18)
+	waitForInput(2, 18)
 	dial(t, s).conn.Write(query[:9])
-	wait(3, 27)
+	waitForInput(3, 27)
 	slow.conn.Write(query[9:12])
-	wait(3, 30)
+	waitForInput(3, 30)
 	dial(t, s)
 	if _, err := stopped.conn.Read(make([]byte, 1)); err == nil {
-		t.Error("the one that has stopped is kept")
+		t.Error("the client that stopped half way was not closed")
 	}
 	slow.conn.Write(query[12:])
-	if types, _ := slow.said(len(welcome) + 3); types != welcome+"DCZ" {
-		t.Errorf("the slow one got %q", types)
+	if types, _ := slow.readTypes(len(welcome) + 3); types != welcome+"DCZ" {
+		t.Errorf("the slow client got %q", types)
 	}
 }
 
-// Broken bytes and a connection that ends without an answer may both follow a request that has run.
-func TestBrokenDatabaseIsAFailedRequestNotACrash(t *testing.T) {
+// Malformed bytes and a connection that ends without an answer may both follow a request that has run.
+func TestBrokenDatabaseFailsTheRequest(t *testing.T) {
 	for name, answer := range map[string]func(stdnet.Conn, string) bool{
 		"garbage": func(c stdnet.Conn, _ string) bool { c.Write([]byte("\x00\xff\xff\xff\xff nonsense")); return true },
 		"closes":  func(stdnet.Conn, string) bool { return false },
@@ -465,10 +466,10 @@
 			return true
 		},
 	} {
-		s, engine, loop := proxy(t, member(t, answer), 8, 1)
+		s, engine, loop := startProxy(t, databaseStub(t, answer), 8, 1)
 		p := dial(t, s)
 		p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("a")))
-		if types, _ := p.said(len(welcome) + 2); types != welcome+"EZ" {
+		if types, _ := p.readTypes(len(welcome) + 2); types != welcome+"EZ" {
 			t.Errorf("%s: the client got %q", name, types)
 		}
 		got := make(chan uint64)
@@ -479,39 +480,39 @@
 	}
 }
 
-// A second copy or noise behind an answer was taken for the answer to the next request on that connection. The
-// answer in front counts.
-func TestWhatStandsBehindAnAnswerIsNobodys(t *testing.T) {
-	for name, behind := range map[string]func(answer []byte) []byte{
+// A second copy or garbage after an answer was taken for the answer to the next request on that connection. The first
+// answer is valid.
+func TestBytesAfterAnswerAreIgnored(t *testing.T) {
+	for name, extra := range map[string]func(answer []byte) []byte{
 		"a copy":      func(a []byte) []byte { return a },
 		"half a copy": func(a []byte) []byte { return a[:len(a)/2] },
 		"a byte":      func([]byte) []byte { return []byte("D") },
 		"noise":       func([]byte) []byte { return []byte("\x00\xff\xff\xff\xff nonsense") },
 	} {
-		s, _, _ := proxy(t, member(t, func(c stdnet.Conn, text string) bool {
-			_, err := c.Write(append(row(text), behind(row(text))...))
+		s, _, _ := startProxy(t, databaseStub(t, func(c stdnet.Conn, text string) bool {
+			_, err := c.Write(append(rowAnswer(text), extra(rowAnswer(text))...))
 			return err == nil
 		}), 8, 1)
 		p := dial(t, s)
 		p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-		p.said(len(welcome))
+		p.readTypes(len(welcome))
 		for i := range 9 {
 			p.conn.Write(pg.AppendQuery(nil, query(fmt.Sprint(i))))
-			if types, bodies := p.said(3); types != "DCZ" || !strings.Contains(bodies[0], fmt.Sprintf("'%d'", i)) {
+			if types, bodies := p.readTypes(3); types != "DCZ" || !strings.Contains(bodies[0], fmt.Sprintf("'%d'", i)) {
 				t.Fatalf("%s: request %d got %q %q", name, i, types, bodies)
 			}
 		}
 	}
 }
 
-// The id of another client's open request is an error to who comes second. What there is no descriptor for is
-// closed before the loop hears of it.
-func TestOpenIDsAndBurstsOfClients(t *testing.T) {
+// A request with the id of another client's open request is an error. Connections beyond the descriptor limit are
+// closed before the loop sees them.
+func TestDuplicateRequestIDAndConnectionBurst(t *testing.T) {
 	asked, answer := make(chan struct{}), make(chan struct{})
-	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, text string) bool {
+	s, engine, loop := startProxy(t, databaseStub(t, func(c stdnet.Conn, text string) bool {
 		close(asked)
 		<-answer
-		return echo(c, text)
+		return echoQuery(c, text)
 	}), 2, 0)
 	in := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("a"))
 	first := dial(t, s)
@@ -519,46 +520,46 @@
 	<-asked
 	second := dial(t, s)
 	second.conn.Write(pg.AppendStartup(nil, "client", "core"))
-	second.said(len(welcome))
-	if types, _ := dial(t, s).said(1); types != "!" {
-		t.Errorf("one too many got %q", types)
+	second.readTypes(len(welcome))
+	if types, _ := dial(t, s).readTypes(1); types != "!" {
+		t.Errorf("the client over the limit got %q", types)
 	}
-	skip(s, minSilentTime) // the one that is closed for want of a descriptor lets the loop close the silent one
+	advance(s, minSilentTime) // the connection closed for lack of a descriptor makes the loop close the silent one
 	for {
 		p := dial(t, s)
 		p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-		if types, _ := p.said(len(welcome)); types == welcome {
+		if types, _ := p.readTypes(len(welcome)); types == welcome {
 			second = p
 			break
 		}
 	}
 	second.conn.Write(pg.AppendQuery(nil, query("a")))
-	if types, bodies := second.said(1); types != "E" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
-		t.Errorf("the second got %q", types)
+	if types, bodies := second.readTypes(1); types != "E" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
+		t.Errorf("the second client got %q", types)
 	}
 	close(answer)
-	if types, _ := first.said(len(welcome) + 3); types != welcome+"DCZ" {
-		t.Errorf("the first got %q", types)
+	if types, _ := first.readTypes(len(welcome) + 3); types != welcome+"DCZ" {
+		t.Errorf("the first client got %q", types)
 	}
 	got := make(chan uint64)
 	loop.Post(func() { got <- engine.Counters.Clients })
 	if n := <-got; n != 3 {
-		t.Errorf("the loop has seen %d clients, there were descriptors for 2 and then for another", n)
+		t.Errorf("the loop has seen %d clients; there were descriptors for 2, then for another one", n)
 	}
 }
 
-// An answer that does not end is a failed attempt long before the client's time is up.
-func TestAnswerWithoutItsEndIsSpoilt(t *testing.T) {
+// An incomplete answer fails the attempt long before the client's deadline.
+func TestIncompleteAnswerFailsTheAttempt(t *testing.T) {
 	begun := make(chan struct{})
-	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, text string) bool {
-		c.Write(row(text)[:9])
+	s, engine, loop := startProxy(t, databaseStub(t, func(c stdnet.Conn, text string) bool {
+		c.Write(rowAnswer(text)[:9])
 		close(begun)
 		return true
 	}), 8, 1)
 	p := dial(t, s)
 	p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("a")))
 	<-begun
-	if types, _ := p.said(len(welcome) + 2); types != welcome+"EZ" {
+	if types, _ := p.readTypes(len(welcome) + 2); types != welcome+"EZ" {
 		t.Errorf("the client got %q", types)
 	}
 	got := make(chan uint64)
@@ -568,30 +569,30 @@
 	}
 }
 
-// Refused connections and ones that are spoilt at their start must leave nothing counted behind.
-func TestConnectionsThatNeverComeUpAreNotCounted(t *testing.T) {
-	s, _, loop := proxy(t, "127.0.0.1:1", 8, 1)
+// Refused connections, and ones that fail during login, must not remain counted.
+func TestFailedConnectionsAreNotCounted(t *testing.T) {
+	s, _, loop := startProxy(t, "127.0.0.1:1", 8, 1)
 	p := dial(t, s)
 	p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-	p.said(len(welcome))
-	for i := range 40 { // more than there is room for
+	p.readTypes(len(welcome))
+	for i := range 40 { // more than the connection limit
 		p.conn.Write(pg.AppendQuery(nil, query(fmt.Sprint(i))))
-		p.said(2)
+		p.readTypes(2)
 	}
 	got := make(chan int)
 	loop.Post(func() { got <- s.engine.Connections() })
 	if n := <-got; n != 0 {
-		t.Errorf("%d connections are counted", n)
+		t.Errorf("%d connections are still counted", n)
 	}
 }
 
-// A proxy that stops must not leave behind what it has read but not looked at.
-func TestDrainWaitsForWhatHasBeenReadOnly(t *testing.T) {
-	s, _, loop := proxy(t, member(t, echo), 8, 1)
+// A draining proxy must not drop input that was read but not parsed.
+func TestDrainWaitsForUnparsedInput(t *testing.T) {
+	s, _, loop := startProxy(t, databaseStub(t, echoQuery), 8, 1)
 	p := dial(t, s)
 	start := pg.AppendStartup(nil, "client", "core")
 	p.conn.Write(start)
-	p.said(len(welcome))
+	p.readTypes(len(welcome))
 	half := pg.AppendQuery(nil, "")[:3]
 	ask := func() bool {
 		got := make(chan bool)
@@ -599,7 +600,7 @@
 		return <-got
 	}
 	p.conn.Write(half)
-	for seen := false; !seen; { // until the proxy has the half
+	for seen := false; !seen; { // until the proxy has the partial query
 		got := make(chan bool)
 		loop.Post(func() {
 			for c := range s.clients {
@@ -610,35 +611,35 @@
 		<-got
 	}
 	if ask() {
-		t.Error("a client whose query is under way was closed")
+		t.Error("a client with a partial query was closed")
 	}
 	p.conn.Write(pg.AppendQuery(nil, "")[3:])
-	if types, _ := p.said(2); types != "IZ" {
+	if types, _ := p.readTypes(2); types != "IZ" {
 		t.Errorf("its query got %q", types)
 	}
 	for !ask() {
 	}
-	if types, _ := p.said(1); types != "!" {
+	if types, _ := p.readTypes(1); types != "!" {
 		t.Errorf("the idle client got %q", types)
 	}
 }
 
-// Many clients with half a large query each must not fill the memory.
-func TestHalfQueriesAreBoundedTogether(t *testing.T) {
-	s, _, loop := proxy(t, member(t, echo), 8, 1)
+// Many clients, each with half a large query, must not fill the memory.
+func TestPartialQueriesShareALimit(t *testing.T) {
+	s, _, loop := startProxy(t, databaseStub(t, echoQuery), 8, 1)
 	set := make(chan struct{})
 	loop.Post(func() { s.maxBuffered = 30 << 10; close(set) })
 	<-set
 	start, half := pg.AppendStartup(nil, "client", "core"), pg.AppendQuery(nil, strings.Repeat("x", 40<<10))[:20<<10]
 	first, second := dial(t, s), dial(t, s)
 	first.conn.Write(append(start, half...))
-	for held := 0; held < len(half); { // until the proxy has the half
+	for held := 0; held < len(half); { // until the proxy has the partial query
 		got := make(chan int)
 		loop.Post(func() { got <- s.buffered })
 		held = <-got
 	}
 	second.conn.Write(append(start, half...))
-	if types, bodies := second.said(99); types != welcome+"E!" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeTooMany) {
+	if types, bodies := second.readTypes(99); types != welcome+"E!" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeTooMany) {
 		t.Errorf("the second client got %q", types)
 	}
 	first.conn.Close()
@@ -649,20 +650,20 @@
 	}
 }
 
-// Queries that wait in the buffer of a client that has gone are not taken.
-func TestNothingIsTakenFromAClosedClient(t *testing.T) {
-	s, engine, _ := proxy(t, "127.0.0.1:1", 8, 1)
+// Queries in the buffer of a disconnected client are not submitted.
+func TestClosedClientSubmitsNothing(t *testing.T) {
+	s, engine, _ := startProxy(t, "127.0.0.1:1", 8, 1)
 	c := &client{server: s, phase: phaseClosed, input: buffer{pg.AppendQuery(nil, query("a"))}}
 	if c.parse(); engine.Counters.Received != 0 || len(c.input.bytes) != 0 {
-		t.Errorf("%d requests taken, %d bytes left", engine.Counters.Received, len(c.input.bytes))
+		t.Errorf("%d requests received, %d bytes left", engine.Counters.Received, len(c.input.bytes))
 	}
 }
 
-func TestClientThatLeavesAbandonsItsRequest(t *testing.T) {
+func TestDisconnectAbandonsRequest(t *testing.T) {
 	asked := make(chan struct{})
-	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, _ string) bool {
+	s, engine, loop := startProxy(t, databaseStub(t, func(c stdnet.Conn, _ string) bool {
 		close(asked)
-		c.Read(make([]byte, 1)) // until the proxy gives the attempt up
+		c.Read(make([]byte, 1)) // until the proxy gives up the attempt
 		return false
 	}), 8, 1)
 	p := dial(t, s)
@@ -678,8 +679,8 @@
 	}
 }
 
-// The service's answers arrive in pieces, fail, and list moves; a watch goes on behind each answer.
-func TestDiscoveryGoesOnWatchingAndTellsOfFailure(t *testing.T) {
+// Responses of the service arrive in pieces, fail, and the list changes; the watch continues after each response.
+func TestDiscoveryWatchContinuesAndReportsFailure(t *testing.T) {
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -692,12 +693,12 @@
 			return
 		}
 		defer conn.Close()
-		p := &peer{conn: conn}
+		p := &testConn{conn: conn}
 		for _, body := range []string{`{"generation":0,"reset":true,"instances":[{"instanceId":"a","lifecycle":"in_service"}]}`,
 			`{"generation":5,"reset":false,"instances":[]}`, ""} {
 			call, err := p.next(func(b []byte) (int, error) {
-				head, _, whole := bytes.Cut(b, []byte("\r\n\r\n"))
-				if !whole {
+				head, _, complete := bytes.Cut(b, []byte("\r\n\r\n"))
+				if !complete {
 					return 0, nil
 				}
 				return len(head) + 4, nil
@@ -716,7 +717,7 @@
 		}
 		io.Copy(io.Discard, conn)
 	}()
-	_, engine, loop := proxy(t, "127.0.0.1:1", 8, 1)
+	_, engine, loop := startProxy(t, "127.0.0.1:1", 8, 1)
 	d := NewDiscovery(loop, state.NewClock(), engine, ln.Addr().String(), discovery.NoList, 0)
 	loop.Post(func() { d.Watch(true) })
 	for i, want := range []string{"/v1/endpoints", "/v1/endpoints?after=0&wait_ms=3000", "/v1/endpoints?after=5&wait_ms=3000"} {
@@ -734,8 +735,8 @@
 }
 
 // A server that ends at once may be registered with the poller only afterwards. When its listener's descriptor was
-// closed, the next server's had the same number, and clients of that were accepted for the one that had ended.
-func TestServerThatEndsEarlyTakesNoClientsOfTheNext(t *testing.T) {
+// closed, the next server got the same number, and its clients were accepted by the server that had ended.
+func TestEndedServerKeepsItsDescriptor(t *testing.T) {
 	for range 50 {
 		first := NewServer(NewLoop(state.NewClock(), &state.Deadlines{}), nil, &state.Engine{}, 1, 1, 1)
 		if err := first.Listen("127.0.0.1:0"); err != nil {
@@ -744,10 +745,10 @@
 		fd := first.listeners[0].Fd()
 		first.Drain()
 		if _, err := stdnet.Dial("tcp", first.Address()); err == nil {
-			t.Fatal("a server that has ended accepts")
+			t.Fatal("an ended server accepts connections")
 		}
 		if _, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_TYPE); err != nil {
-			t.Fatalf("the descriptor is free for others while the poller may still use it: %v", err)
+			t.Fatalf("the descriptor was closed while the poller may still use it: %v", err)
 		}
 	}
 }
--- a/internal/net/nodelay_test.go
+++ b/internal/net/nodelay_test.go
@@ -9,7 +9,7 @@
 	"havenproxy/internal/wire/pg"
 )
 
-// noDelay tells whether the kernel writes out small pieces at once.
+// noDelay reports whether the kernel sends small writes at once.
 func noDelay(t *testing.T, conn netpoll.Connection) bool {
 	t.Helper()
 	on, err := unix.GetsockoptInt(conn.(netpoll.Conn).Fd(), unix.IPPROTO_TCP, unix.TCP_NODELAY)
@@ -19,13 +19,13 @@
 	return on != 0
 }
 
-// Small writes are never held back, on any connection: a reset would take them with it.
-func TestNoConnectionHoldsSmallWritesBack(t *testing.T) {
-	address := member(t, echo)
-	s, _, loop := proxy(t, address, 8, 1)
+// Small writes are never delayed, on any connection: a reset would discard them.
+func TestAllConnectionsUseNoDelay(t *testing.T) {
+	address := databaseStub(t, echoQuery)
+	s, _, loop := startProxy(t, address, 8, 1)
 	p := dial(t, s)
 	p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-	p.said(len(welcome))
+	p.readTypes(len(welcome))
 	client := onLoop(loop, func() (on bool) {
 		for c := range s.clients {
 			on = noDelay(t, c.conn)
@@ -33,10 +33,10 @@
 		return on
 	})
 	if !client {
-		t.Error("a client's connection holds small writes back")
+		t.Error("a client's connection delays small writes")
 	}
 	dialled := make(chan bool)
-	dialAsync(loop, address, patience, func(conn netpoll.Connection, err error) {
+	connect(loop, address, testTimeout, func(conn netpoll.Connection, err error) {
 		if err != nil {
 			t.Error(err)
 			dialled <- false
@@ -46,6 +46,6 @@
 		conn.Close()
 	})
 	if !<-dialled {
-		t.Error("a connection to a database, or to discovery, holds small writes back")
+		t.Error("a connection to a database or to discovery delays small writes")
 	}
 }
--- a/internal/net/peers_test.go
+++ b/internal/net/peers_test.go
@@ -12,11 +12,11 @@
 	"havenproxy/logic"
 )
 
-// A datagram counts if one of the tier has sent it, is readable, and no one else's does.
-func TestOnlyPeersAreHeard(t *testing.T) {
+// Only valid datagrams from configured peers are accepted.
+func TestOnlyPeerMessagesAreAccepted(t *testing.T) {
 	clock := state.NewClock()
-	databases := &Databases{ConnectTimeout: patience}
-	e, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, databases)
+	databases := &Databases{ConnectTimeout: testTimeout}
+	e, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: testTimeout}, clock, databases)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,19 +39,19 @@
 	}
 	defer p.Close()
 	loop.Post(func() {
-		e.Start(noWatch{}, state.List{Entries: []state.Entry{{Name: "one", Address: "127.0.0.1:1", State: logic.Ready}}})
+		e.Start(nopWatcher{}, state.List{Entries: []state.Entry{{Name: "one", Address: "127.0.0.1:1", State: logic.Ready}}})
 	})
 	message := wire.Append(nil, clock.Unix(), clock.Now(), []peers.Report{{Database: 1, Role: peers.Replica, At: clock.Now()}})
-	count := func(from *stdnet.UDPConn, message []byte, heard, strange uint64) {
+	count := func(from *stdnet.UDPConn, message []byte, accepted, invalid uint64) {
 		t.Helper()
 		from.WriteTo(message, p.conn.LocalAddr())
-		for end := time.Now().Add(patience); ; {
+		for end := time.Now().Add(testTimeout); ; {
 			got := make(chan [2]uint64)
 			loop.Post(func() { got <- [2]uint64{e.Counters.PeerReceived, e.Counters.PeerInvalid} })
-			if x := <-got; x == [2]uint64{heard, strange} {
+			if x := <-got; x == [2]uint64{accepted, invalid} {
 				return
 			} else if time.Now().After(end) {
-				t.Fatalf("heard and strange %v, want %d and %d", x, heard, strange)
+				t.Fatalf("received and invalid %v, want %d and %d", x, accepted, invalid)
 			}
 		}
 	}
@@ -63,16 +63,16 @@
 		e.SendToPeers([]peers.Report{{Database: 1, Role: peers.Replica, At: clock.Now()}})
 	})
 	buf := make([]byte, 512)
-	friend.SetReadDeadline(time.Now().Add(patience))
+	friend.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := friend.Read(buf); err != nil || n != len(message) {
 		t.Fatal(n, err)
 	}
 }
 
-func TestPeersThatCantBeUsedAreToldAtOnce(t *testing.T) {
+func TestInvalidPeerAddressesAreRejected(t *testing.T) {
 	for _, x := range [][3]string{{"nowhere", "127.0.0.1:1", "127.0.0.1:1"}, {"127.0.0.1:0", "x", "127.0.0.1:1"}, {"127.0.0.1:0", "127.0.0.1:1", ""}} {
 		if _, err := ListenPeers(nil, nil, x[0], []string{x[1]}, x[2]); !errors.Is(err, ErrPeerAddress) {
-			t.Errorf("%q is taken", x)
+			t.Errorf("%q was accepted", x)
 		}
 	}
 }
--- a/internal/net/planner_link.go
+++ b/internal/net/planner_link.go
@@ -33,7 +33,7 @@
 
 	conn                 netpoll.Connection
 	input                buffer
-	out                  []byte
+	output               []byte
 	invalidFrameLoggedAt time.Duration
 	joinDelayReason      string // why the proxy cannot join, as last logged
 	renewTimer           state.Deadline
@@ -96,7 +96,7 @@
 	}
 	t.dialing = true
 	address := t.planners[t.selector.Current()]
-	dialAsync(t.loop, address, plannerDialTimeout, func(conn netpoll.Connection, err error) {
+	connect(t.loop, address, plannerDialTimeout, func(conn netpoll.Connection, err error) {
 		t.dialing = false
 		switch {
 		case err != nil:
@@ -212,17 +212,17 @@
 
 // flush sends the pending messages; without a link they are dropped, and generated again for the next one.
 func (t *PlannerLink) flush() {
-	t.out = t.out[:0]
+	t.output = t.output[:0]
 	for _, m := range t.proxy.TakeMessages() {
-		out, err := tier.Append(t.out, &tier.Frame{Tier: &m})
+		frame, err := tier.Append(t.output, &tier.Frame{Tier: &m})
 		if err == nil {
-			t.out = out
+			t.output = frame
 		}
 	}
-	if t.conn == nil || len(t.out) == 0 {
+	if t.conn == nil || len(t.output) == 0 {
 		return
 	}
-	if _, err := t.conn.Write(t.out); err != nil {
+	if _, err := t.conn.Write(t.output); err != nil {
 		t.drop()
 	}
 }
--- a/internal/net/poller_test.go
+++ b/internal/net/poller_test.go
@@ -11,10 +11,10 @@
 	"havenproxy/internal/state"
 )
 
-// pollerChild marks the process that counts its own pollers.
+// pollerChild is set in the process that counts its own pollers.
 const pollerChild = "HAVEN_TEST_COUNT_POLLERS"
 
-// countPollers counts the epoll instances of this process.
+// countPollers returns the number of epoll instances of this process.
 func countPollers(t *testing.T) (n int) {
 	t.Helper()
 	descriptors, err := filepath.Glob("/proc/self/fd/*")
@@ -29,8 +29,9 @@
 	return n
 }
 
-// The loop waits for one poller of netpoll's before it closes a connection; netpoll starts more where there are twenty processors or more.
-func TestThereIsOnePollerHoweverManyProcessors(t *testing.T) {
+// The loop waits for a single netpoll poller before it closes a connection; by default netpoll starts more on twenty
+// or more processors.
+func TestOnePollerForAnyNumberOfProcessors(t *testing.T) {
 	if os.Getenv(pollerChild) != "" {
 		loop := NewLoop(state.NewClock(), new(state.Deadlines))
 		if err := loop.waitForPoller(); err != nil { // netpoll starts its pollers at the first connection
--- a/internal/net/postgres_client.go
+++ b/internal/net/postgres_client.go
@@ -10,19 +10,19 @@
 	"havenproxy/internal/wire/pg"
 )
 
-// postgresProtocol speaks PostgreSQL with a client. It has no state.
-type postgresProtocol struct{}
+// postgres speaks PostgreSQL with a client. It has no state.
+type postgres struct{}
 
-func (postgresProtocol) greet(*client) {} // the client speaks first
+func (postgres) greet(*client) {} // the client speaks first
 
-func (postgresProtocol) connectionClosed(*client) {}
+func (postgres) connectionClosed(*client) {}
 
-func (postgresProtocol) maxPending() int { return maxPipelined }
+func (postgres) maxPending() int { return maxPipelined }
 
 // parseNext handles the first message of buf and returns its length; 0 = nothing to do yet.
-func (postgresProtocol) parseNext(c *client, buf []byte) (int, error) {
+func (postgres) parseNext(c *client, buf []byte) (int, error) {
 	if c.phase == phaseStartup {
-		return postgresProtocol{}.startup(c, buf)
+		return postgres{}.startup(c, buf)
 	}
 	if !c.acceptsQuery() {
 		return 0, nil
@@ -40,12 +40,12 @@
 		if err != nil {
 			return n, err
 		}
-		return n, postgresProtocol{}.query(c, string(text))
+		return n, postgres{}.query(c, string(text))
 	}
 	return n, pg.ErrMalformed // simple queries only
 }
 
-func (postgresProtocol) startup(c *client, buf []byte) (int, error) {
+func (postgres) startup(c *client, buf []byte) (int, error) {
 	o, n, err := pg.NextOpening(buf)
 	if n == 0 || err != nil {
 		return 0, err
@@ -56,12 +56,12 @@
 	case o == pg.OpenCancel:
 		c.closeNow()
 	case c.overLimit:
-		class, whole := firstQueryClass(buf[n:])
-		if !whole && c.phase < phaseClosing && !c.partialQuery { // the class is read from its query, if that arrives soon
+		class, complete := firstQueryClass(buf[n:])
+		if !complete && c.phase < phaseClosing && !c.partialQuery { // the class is read from its query, if that arrives soon
 			c.partialQuery = true
 			c.server.deadlines.Set(&c.timer, c.server.clock.Now()+overLimitQueryTimeout, c.rejectOverLimit)
 		}
-		if !whole {
+		if !complete {
 			return 0, nil
 		}
 		c.server.engine.CountRejected(class)
@@ -79,7 +79,7 @@
 
 // firstQueryClass returns the class of the query at the start of buf, empty if it names none, and whether a whole
 // message is there.
-func firstQueryClass(buf []byte) (class string, whole bool) {
+func firstQueryClass(buf []byte) (class string, complete bool) {
 	m, n, err := pg.Next(buf)
 	if n == 0 && err == nil {
 		return "", false
@@ -100,7 +100,7 @@
 	c.closeWithError(reasonTooManyClients, "too many clients")
 }
 
-func (postgresProtocol) query(c *client, text string) error {
+func (postgres) query(c *client, text string) error {
 	c.noteQuery()
 	query := &pendingQuery{client: c}
 	if strings.Trim(text, " \t\r\n;") == "" {
@@ -125,32 +125,26 @@
 		LastCommit: st.After, Retry: st.Retry, Command: &st})
 }
 
-// policyPrefix returns the start of an answer: the policy, if it is reported to clients and the request was admitted
+// prefix returns the start of an answer: the policy, if it is reported to clients and the request was admitted
 // under one.
-func (query *pendingQuery) policyPrefix() []byte {
-	if !query.client.server.reportPolicy || !query.policyKnown {
+func (q *pendingQuery) prefix() []byte {
+	if !q.client.server.reportPolicy || !q.policyKnown {
 		return nil
 	}
-	return pg.AppendParameter(nil, "policy", strconv.FormatUint(query.policy, 10))
+	return pg.AppendParameter(nil, "policy", strconv.FormatUint(q.policy, 10))
 }
 
-func (postgresProtocol) servedAnswer(query *pendingQuery, body []byte) []byte {
-	return pg.AppendServed(query.policyPrefix(), body)
-}
+func (postgres) served(q *pendingQuery, body []byte) []byte { return pg.AppendServed(q.prefix(), body) }
 
-func (postgresProtocol) refusedAnswer(query *pendingQuery, retryAfter time.Duration) []byte {
-	return pg.AppendRefused(query.policyPrefix(), retryAfter)
+func (postgres) refused(q *pendingQuery, retryAfter time.Duration) []byte {
+	return pg.AppendRefused(q.prefix(), retryAfter)
 }
 
-func (postgresProtocol) failedAnswer(query *pendingQuery) []byte {
-	return pg.AppendFailed(query.policyPrefix())
-}
+func (postgres) failed(q *pendingQuery) []byte { return pg.AppendFailed(q.prefix()) }
 
-func (postgresProtocol) badRequestAnswer(query *pendingQuery, _ []byte) []byte {
-	return pg.AppendFailed(query.policyPrefix())
-}
+func (postgres) badRequest(q *pendingQuery, _ []byte) []byte { return pg.AppendFailed(q.prefix()) }
 
-func (postgresProtocol) fatalError(reason closeReason, text string) []byte {
+func (postgres) fatalError(reason closeReason, text string) []byte {
 	code := pg.CodeTooMany
 	if reason == reasonMalformed {
 		code = pg.CodeProtocol
--- a/internal/net/refused_test.go
+++ b/internal/net/refused_test.go
@@ -9,54 +9,55 @@
 	"havenproxy/internal/state"
 )
 
-// ear hears how a connection to a database ends.
-type ear struct{ heard chan string }
+// listenerStub records how a connection to a database ends.
+type listenerStub struct{ events chan string }
 
-func (e *ear) Up()               { e.heard <- "up" }
-func (e *ear) Reply(state.Reply) { e.heard <- "reply" }
-func (e *ear) Down()             { e.heard <- "down" }
-func (e *ear) Refused()          { e.heard <- "refused" }
-func (e *ear) NotOpened()        { e.heard <- "unopened" }
-func (e *ear) ProtocolError()    { e.heard <- "spoilt" }
+func (e *listenerStub) Up()               { e.events <- "up" }
+func (e *listenerStub) Reply(state.Reply) { e.events <- "reply" }
+func (e *listenerStub) Down()             { e.events <- "down" }
+func (e *listenerStub) Refused()          { e.events <- "refused" }
+func (e *listenerStub) NotOpened()        { e.events <- "unopened" }
+func (e *listenerStub) ProtocolError()    { e.events <- "protocol error" }
 
-// A dial to an address where nothing listens is told as refused, which is evidence; one that is taken and ended is not.
-func TestARefusedDialIsTold(t *testing.T) {
+// A dial to an address where nothing listens is reported as refused, which is evidence of a dead database; a
+// connection that is accepted and then closed is not.
+func TestRefusedDialIsReported(t *testing.T) {
 	const closed = "127.0.0.1:1" // a reserved port on which nothing listens
 	ends := listen(t, func(stdnet.Conn) {})
-	_, engine, loop := proxy(t, closed, 4, 4)
+	_, engine, loop := startProxy(t, closed, 4, 4)
 	for address, want := range map[string]string{closed: "refused", ends: "down"} {
-		e := &ear{make(chan string, 4)}
+		e := &listenerStub{make(chan string, 4)}
 		loop.Post(func() { engine.Opener().Open(address, 0, e) })
 		select {
-		case got := <-e.heard:
+		case got := <-e.events:
 			if got != want {
 				t.Errorf("%s, want %s", got, want)
 			}
-		case <-time.After(patience):
-			t.Fatal("nothing was told")
+		case <-time.After(testTimeout):
+			t.Fatal("no event was reported")
 		}
 	}
 }
 
-// Guards against incident 38's mistake in dials: a process out of descriptors (EMFILE) says so of itself, and does not take its databases for
-// dead ones.
-func TestADialWithoutADescriptorIsNoDeadDatabase(t *testing.T) {
+// Guards against the wrong conclusion of incident 38: a process out of descriptors (EMFILE) reports its own shortage
+// and does not treat its databases as dead.
+func TestDialWithoutDescriptorIsNotAFailure(t *testing.T) {
 	database := listen(t, func(stdnet.Conn) {})
-	_, engine, loop := proxy(t, database, 4, 4)
+	_, engine, loop := startProxy(t, database, 4, 4)
 	var before syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
 		t.Fatal(err)
 	}
-	e := &ear{make(chan string, 4)}
-	limit := syscall.Rlimit{Cur: 3, Max: before.Max} // those that are open stay open
+	e := &listenerStub{make(chan string, 4)}
+	limit := syscall.Rlimit{Cur: 3, Max: before.Max} // open descriptors stay open
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
 	loop.Post(func() { engine.Opener().Open(database, 0, e) })
 	var got string
 	select {
-	case got = <-e.heard:
-	case <-time.After(patience):
+	case got = <-e.events:
+	case <-time.After(testTimeout):
 	}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
 		t.Fatal(err)
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -75,7 +75,7 @@
 
 // Listen opens the address for PostgreSQL clients and starts to accept.
 func (s *Server) Listen(address string) error {
-	return s.listen(address, func() clientProtocol { return postgresProtocol{} })
+	return s.listen(address, func() clientProtocol { return postgres{} })
 }
 
 // listen opens an address for clients of the protocol that newProtocol creates.
@@ -105,7 +105,7 @@
 	}
 	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBuffer)
 	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
-	return s.serve(ln, func() clientProtocol { return postgresProtocol{} }, &inheritedSocket{file})
+	return s.serve(ln, func() clientProtocol { return postgres{} }, &inheritedSocket{file})
 }
 
 // inheritedSocket keeps an inherited descriptor open, which would otherwise be closed when its file is collected.
@@ -207,16 +207,16 @@
 func (s *Server) makeRoom() {
 	now := s.clock.Now()
 	for {
-		e := s.silent.Front()
-		full := s.atLimit() || len(s.clients) >= s.maxClients+s.maxExcess
-		if manySilent := s.silent.Len() > s.maxClients/maxSilentFraction; !manySilent && !full {
+		element := s.silent.Front()
+		atLimit := s.atLimit() || len(s.clients) >= s.maxClients+s.maxExcess
+		if manySilent := s.silent.Len() > s.maxClients/maxSilentFraction; !manySilent && !atLimit {
 			return
-		} else if e == nil || !manySilent && now-e.Value.(*client).since < minSilentTime {
-			if e = s.idle.Front(); e == nil || now-e.Value.(*client).since < minIdleTime {
+		} else if element == nil || !manySilent && now-element.Value.(*client).since < minSilentTime {
+			if element = s.idle.Front(); element == nil || now-element.Value.(*client).since < minIdleTime {
 				return
 			}
 		}
-		s.evict(e.Value.(*client), now)
+		s.evict(element.Value.(*client), now)
 	}
 }
 
@@ -224,8 +224,8 @@
 // elsewhere: a load balancer in front of the proxies opens only a share of its descriptors.
 func (s *Server) closeIdleClients() {
 	now := s.clock.Now()
-	for e := s.idle.Front(); e != nil && len(s.clients) > s.idleCloseThreshold; e = s.idle.Front() {
-		c := e.Value.(*client)
+	for element := s.idle.Front(); element != nil && len(s.clients) > s.idleCloseThreshold; element = s.idle.Front() {
+		c := element.Value.(*client)
 		if due := c.since + minIdleTime; due > now {
 			s.deadlines.Set(&s.idleCloseTimer, due, s.closeIdleClients)
 			return
--- a/internal/net/stream.go
+++ b/internal/net/stream.go
@@ -129,29 +129,26 @@
 func (stream *valueStream) Stop() { stream.finish(false) }
 
 // AcceptsStream implements state.StreamingCaller.
-func (query *pendingQuery) AcceptsStream() bool {
-	_, ok := query.client.protocol.(postgresProtocol)
-	return ok
-}
+func (q *pendingQuery) AcceptsStream() bool { _, ok := q.client.protocol.(postgres); return ok }
 
 // Stream implements state.StreamingCaller.
-func (query *pendingQuery) Stream(from state.ValueStream) {
+func (q *pendingQuery) Stream(from state.ValueStream) {
 	stream := from.(*valueStream)
-	c, ok := query.client.conn.(netpoll.Conn)
-	if stream.finished || !ok || query.client.phase == phaseClosed {
+	c, ok := q.client.conn.(netpoll.Conn)
+	if stream.finished || !ok || q.client.phase == phaseClosed {
 		stream.finish(false)
-		query.client.closeNow()
+		q.client.closeNow()
 		return
 	}
 	fd, err := syscall.Dup(c.Fd())
 	if err != nil {
 		slog.Warn("streaming a long value failed", "error", err)
 		stream.finish(false)
-		query.client.closeNow()
+		q.client.closeNow()
 		return
 	}
 	syscall.CloseOnExec(fd)
-	stream.client, stream.query, stream.clientFD, query.stream = query.client, query, fd, stream
+	stream.client, stream.query, stream.clientFD, q.stream = q.client, q, fd, stream
 	stream.transfer()
 }
 
--- a/internal/net/stream_test.go
+++ b/internal/net/stream_test.go
@@ -17,8 +17,8 @@
 
 const description = "T\x00\x00\x00\x1c\x00\x01val\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"
 
-// longAnswer is an answer with a value of n bytes.
-func longAnswer(n int) []byte {
+// longRowAnswer returns an answer with a value of n bytes.
+func longRowAnswer(n int) []byte {
 	out := append([]byte(description), 'D')
 	out = binary.BigEndian.AppendUint32(out, uint32(n+10))
 	out = binary.BigEndian.AppendUint32(append(out, 0, 1), uint32(n))
@@ -28,22 +28,23 @@
 	return pg.AppendReady(append(out, "C\x00\x00\x00\x0dSELECT 1\x00"...))
 }
 
-// enter opens a session and asks one thing.
-func enter(t *testing.T, s *Server, key string) stdnet.Conn {
-	c := hello(t, s.Address())
+// connectAndQuery opens a session and sends one query.
+func connectAndQuery(t *testing.T, s *Server, key string) stdnet.Conn {
+	c := connectClient(t, s.Address())
 	c.Write(pg.AppendQuery(nil, query(key)))
 	return c
 }
 
-// A value longer than may be held passes in pieces of any size, to a client that reads as slowly, and others are served meanwhile. Before,
-// one over 160 KiB counted as no answer, and a client that left its buffer full for 20 ms was closed.
-func TestLongValuesPassInPieces(t *testing.T) {
-	whole := longAnswer(6 << 20)
-	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, text string) bool {
+// A value longer than the buffer limit is streamed in pieces of any size, also to a slow client, and others are
+// served meanwhile. Before, one over 160 KiB was a protocol error, and a client that left its buffer full for 20 ms
+// was closed.
+func TestLongValuesAreStreamed(t *testing.T) {
+	answer := longRowAnswer(6 << 20)
+	s, engine, loop := startProxy(t, databaseStub(t, func(c stdnet.Conn, text string) bool {
 		if !bytes.Contains([]byte(text), []byte("'1a'")) {
-			return echo(c, text)
+			return echoQuery(c, text)
 		}
-		for rest := whole; len(rest) > 0; {
+		for rest := answer; len(rest) > 0; {
 			n := min(len(rest), 1+len(rest)%70001)
 			if _, err := c.Write(rest[:n]); err != nil {
 				return false
@@ -52,104 +53,105 @@
 		}
 		return true
 	}), 8, 1)
-	c := enter(t, s, "1a")
-	c.Write(pg.AppendQuery(nil, query("2b"))) // behind it in the pipeline
+	c := connectAndQuery(t, s, "1a")
+	c.Write(pg.AppendQuery(nil, query("2b"))) // pipelined after it
 	got := make([]byte, 100)
 	io.ReadFull(c, got)
-	held := make(chan [2]int)
-	look := func() [2]int { // what is held of a value whose client doesn't read
+	result := make(chan [2]int)
+	inspect := func() [2]int { // bytes held of a value whose client does not read
 		loop.Post(func() {
 			most := 0
-			for cl := range s.clients {
-				for _, sl := range cl.pending {
-					if sl.stream != nil {
-						most = max(most, len(sl.stream.output)-sl.stream.readAheadBytes)
+			for client := range s.clients {
+				for _, pendingQ := range client.pending {
+					if pendingQ.stream != nil {
+						most = max(most, len(pendingQ.stream.output)-pendingQ.stream.readAheadBytes)
 					}
 				}
 			}
-			held <- [2]int{most, engine.Pending()}
+			result <- [2]int{most, engine.Pending()}
 		})
-		return <-held
+		return <-result
 	}
 	other := dial(t, s)
 	other.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("3c")))
-	if types, _ := other.said(len(welcome) + 3); types != welcome+"DCZ" {
+	if types, _ := other.readTypes(len(welcome) + 3); types != welcome+"DCZ" {
 		t.Errorf("another client got %q while one doesn't read", types)
 	}
-	if x := look(); x[0] > maxStreamBuffer+len(new(Databases).readBuffer)+1000 || x[1] == 0 {
+	if x := inspect(); x[0] > maxStreamBuffer+len(new(Databases).readBuffer)+1000 || x[1] == 0 {
 		t.Errorf("%d bytes held beyond what was read ahead, %d pending", x[0], x[1])
 	}
-	rest, err := io.ReadAll(io.LimitReader(c, int64(len(whole)-len(got))))
-	if got = append(got, rest...); err != nil || !bytes.Equal(got, whole) {
-		t.Fatalf("%d bytes of %d came over, %v", len(got), len(whole), err)
+	rest, err := io.ReadAll(io.LimitReader(c, int64(len(answer)-len(got))))
+	if got = append(got, rest...); err != nil || !bytes.Equal(got, answer) {
+		t.Fatalf("%d bytes of %d were received, %v", len(got), len(answer), err)
 	}
-	if next := (&peer{conn: c}); true {
-		if types, _ := next.said(3); types != "DCZ" {
-			t.Errorf("behind it came %q", types)
+	if next := (&testConn{conn: c}); true {
+		if types, _ := next.readTypes(3); types != "DCZ" {
+			t.Errorf("the next query got %q", types)
 		}
 	}
-	if x := look(); x[1] != 0 {
+	if x := inspect(); x[1] != 0 {
 		t.Errorf("%d pending at the end", x[1])
 	}
 }
 
-// midRead is a database's connection whose poller is in the middle of a read when it is told to let go: what it has fetched counts once it
-// has been waited for.
-type midRead struct {
+// midReadConn is a connection to a database whose poller is in the middle of a read when the connection is closed:
+// the bytes that it has read become visible once it has been waited for.
+type midReadConn struct {
 	netpoll.Connection
 	loop   *Loop
-	more   chan bool // lets the database send the rest
+	resume chan bool // lets the database send the rest
 	waited uint64
-	ends   bool
+	closed bool
 }
 
-func (m *midRead) Fd() int { return m.Connection.(netpoll.Conn).Fd() }
+func (m *midReadConn) Fd() int { return m.Connection.(netpoll.Conn).Fd() }
 
-func (m *midRead) Close() error {
-	if !m.ends {
-		close(m.more)
+func (m *midReadConn) Close() error {
+	if !m.closed {
+		close(m.resume)
 	}
-	for m.Connection.Reader().Len() == 0 && !m.ends { // the poller goes on beside the loop
+	for m.Connection.Reader().Len() == 0 && !m.closed { // the poller runs outside the loop
 		time.Sleep(50 * time.Microsecond)
 	}
-	m.ends, m.waited = true, m.loop.pollerWaits
+	m.closed, m.waited = true, m.loop.pollerWaits
 	return m.Connection.Close()
 }
 
-func (m *midRead) Reader() netpoll.Reader {
-	if m.ends && m.loop.pollerWaits == m.waited {
-		return empty{m.Connection.Reader()}
+func (m *midReadConn) Reader() netpoll.Reader {
+	if m.closed && m.loop.pollerWaits == m.waited {
+		return emptyReader{m.Connection.Reader()}
 	}
 	return m.Connection.Reader()
 }
 
-// spy keeps the connections to databases that are opened.
-type spy struct {
+// openerSpy records the connections to databases.
+type openerSpy struct {
 	*Databases
 	opened []*database
 }
 
-func (s *spy) Open(address string, group int, to state.Listener) state.Conn {
+func (s *openerSpy) Open(address string, group int, to state.Listener) state.Conn {
 	c := s.Databases.Open(address, group, to)
 	s.opened = append(s.opened, c.(*database))
 	return c
 }
 
-// What the poller fetches while it is told to let go belongs to the value. Without the wait for it those bytes were left out.
-func TestAValueIsWholeThoughThePollerIsInTheMiddleOfARead(t *testing.T) {
-	whole, more := longAnswer(2<<20), make(chan bool)
-	address := member(t, func(c stdnet.Conn, text string) bool {
+// Bytes that the poller reads while its connection is being detached belong to the value. Without the wait for the
+// poller they were missing from it.
+func TestStreamIsCompleteWhenPollerIsReading(t *testing.T) {
+	answer, more := longRowAnswer(2<<20), make(chan bool)
+	address := databaseStub(t, func(c stdnet.Conn, text string) bool {
 		if !bytes.Contains([]byte(text), []byte("'1a'")) {
-			return echo(c, text)
+			return echoQuery(c, text)
 		}
-		c.Write(whole[:300000])
+		c.Write(answer[:300000])
 		<-more
-		_, err := c.Write(whole[300000:])
+		_, err := c.Write(answer[300000:])
 		return err == nil
 	})
 	clock := state.NewClock()
-	s := &spy{Databases: &Databases{ConnectTimeout: patience}}
-	engine, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: patience}, clock, s)
+	s := &openerSpy{Databases: &Databases{ConnectTimeout: testTimeout}}
+	engine, err := state.New(state.Config{Logic: settings, MaxConnections: 16, ConnectTimeout: testTimeout}, clock, s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,73 +162,74 @@
 		t.Fatal(err)
 	}
 	loop.Post(func() {
-		engine.Start(noWatch{}, state.List{Entries: []state.Entry{{Name: "m", Address: address, State: logic.Ready}}})
+		engine.Start(nopWatcher{}, state.List{Entries: []state.Entry{{Name: "m", Address: address, State: logic.Ready}}})
 	})
 	done := make(chan struct{})
 	go func() { loop.Run(); close(done) }()
 	defer func() { loop.Post(func() { server.Drain(); loop.Stop() }); <-done }()
 	p := dial(t, server)
 	p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query("2b")))
-	p.said(len(welcome) + 3)
+	p.readTypes(len(welcome) + 3)
 	ready := make(chan bool)
 	loop.Post(func() {
 		for _, db := range s.opened {
 			if db.conn != nil {
-				db.conn = &midRead{Connection: db.conn, loop: loop, more: more}
+				db.conn = &midReadConn{Connection: db.conn, loop: loop, resume: more}
 			}
 		}
 		ready <- true
 	})
 	<-ready
 	p.conn.Write(pg.AppendQuery(nil, query("1a")))
-	got := make([]byte, len(whole))
-	if _, err := io.ReadFull(p.conn, got); err != nil || !bytes.Equal(got, whole) {
-		t.Errorf("the value is not whole: %v", err)
+	got := make([]byte, len(answer))
+	if _, err := io.ReadFull(p.conn, got); err != nil || !bytes.Equal(got, answer) {
+		t.Errorf("the value is incomplete: %v", err)
 	}
 }
 
-// A database that breaks off in the middle of a long value: the client sees that it isn't whole, and nothing is sent again.
-func TestABrokenLongValueShows(t *testing.T) {
+// A database ends the connection in the middle of a long value: the client sees that the value is incomplete, and the
+// request is not sent again.
+func TestBrokenStreamIsVisibleToClient(t *testing.T) {
 	asked := 0
-	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, _ string) bool {
+	s, engine, loop := startProxy(t, databaseStub(t, func(c stdnet.Conn, _ string) bool {
 		asked++
-		c.Write(longAnswer(1 << 20)[:300000])
+		c.Write(longRowAnswer(1 << 20)[:300000])
 		return false
 	}), 8, 1)
-	got, _ := io.ReadAll(enter(t, s, "1a"))
+	got, _ := io.ReadAll(connectAndQuery(t, s, "1a"))
 	if len(got) < 1000 || len(got) > 300000 || asked != 1 {
 		t.Errorf("%d bytes, asked %d times", len(got), asked)
 	}
-	n := make(chan [2]int)
-	loop.Post(func() { n <- [2]int{engine.Pending(), engine.Connections()} })
-	if x := <-n; x[0] != 0 || x[1] > 1 {
+	counts := make(chan [2]int)
+	loop.Post(func() { counts <- [2]int{engine.Pending(), engine.Connections()} })
+	if x := <-counts; x[0] != 0 || x[1] > 1 {
 		t.Errorf("%d pending, %d connections", x[0], x[1])
 	}
 }
 
-// A client that leaves in the middle leaves nothing behind.
-func TestAClientLeavesALongValue(t *testing.T) {
+// A client that disconnects during a stream leaves no state behind.
+func TestClientLeavesDuringStream(t *testing.T) {
 	ended := make(chan bool, 1)
-	s, engine, loop := proxy(t, member(t, func(c stdnet.Conn, _ string) bool {
-		for _, err := c.Write(longAnswer(8 << 20)); err == nil; _, err = c.Write(make([]byte, 1<<20)) {
+	s, engine, loop := startProxy(t, databaseStub(t, func(c stdnet.Conn, _ string) bool {
+		for _, err := c.Write(longRowAnswer(8 << 20)); err == nil; _, err = c.Write(make([]byte, 1<<20)) {
 		}
 		ended <- true
 		return false
 	}), 8, 1)
-	c := enter(t, s, "1a")
+	c := connectAndQuery(t, s, "1a")
 	io.ReadFull(c, make([]byte, 1000))
 	c.Close()
 	<-ended
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		n := make(chan int)
 		loop.Post(func() { n <- engine.Pending() })
 		if <-n == 0 {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal("it is pending still")
+			t.Fatal("the request is still pending")
 		}
 	}
 	if logic.OK != 0 {
-		t.Fatal("an answer in pieces counts as OK by the zero value")
+		t.Fatal("a streamed answer counts as OK by the zero value")
 	}
 }
--- a/internal/net/takeover.go
+++ b/internal/net/takeover.go
@@ -203,7 +203,7 @@
 }
 
 func (l *takeoverLink) dial() {
-	dialAsync(l.transport.loop, l.address, takeoverDialTimeout, func(conn netpoll.Connection, err error) {
+	connect(l.transport.loop, l.address, takeoverDialTimeout, func(conn netpoll.Connection, err error) {
 		switch {
 		case l.removed:
 			if err == nil {
@@ -250,7 +250,7 @@
 	if l.conn == nil || len(l.queue) == 0 {
 		return
 	}
-	var text []byte
+	var frames []byte
 	for from, size := 0, 0; from < len(l.queue); size = 0 {
 		to := from
 		for to < len(l.queue) && (to == from || size < takeoverFrameBytes) {
@@ -260,19 +260,19 @@
 			size += 256
 			to++
 		}
-		frame, err := tier.Append(text, &tier.Frame{Work: &tier.Work{From: l.transport.self, To: l.to, Messages: l.queue[from:to]}})
+		frame, err := tier.Append(frames, &tier.Frame{Work: &tier.Work{From: l.transport.self, To: l.to, Messages: l.queue[from:to]}})
 		if err != nil {
 			l.transport.Counters.Dropped += uint64(to - from)
 			slog.Warn("encoding messages to a member failed", "member", uint64(l.to), "error", err)
 		} else {
-			text = frame
+			frames = frame
 			l.transport.Counters.Sent += uint64(to - from)
 		}
 		from = to
 	}
 	clear(l.queue)
 	l.queue, l.queuedBytes = l.queue[:0], 0
-	if _, err := l.conn.Write(text); err != nil {
+	if _, err := l.conn.Write(frames); err != nil {
 		l.conn.Close()
 	}
 }
