--- a/internal/net/console.go
+++ b/internal/net/console.go
@@ -26,8 +26,8 @@
 // EnableConsole lets clients on loopback use the console, or no longer; existing console sessions stay.
 func (s *Server) EnableConsole(enabled bool) { s.consoleEnabled = enabled }
 
-// Front implements console.Source.
-func (s *Server) Front() *state.Engine { return s.engine }
+// Engine implements console.Source.
+func (s *Server) Engine() *state.Engine { return s.engine }
 
 // Tier implements console.Source.
 func (s *Server) Tier() (console.Tier, bool) {
--- a/internal/net/console_test.go
+++ b/internal/net/console_test.go
@@ -36,7 +36,7 @@
 	s, _, loop := startProxy(t, databaseStub(t, echoQuery), 8, 2)
 	loop.Post(func() { s.EnableConsole(true) })
 	conn := connectConsole(t, s.Address())
-	for _, name := range console.Commands() {
+	for _, name := range console.TableNames() {
 		rows, err := conn.Query(context.Background(), "SHOW "+name)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -54,7 +54,7 @@
 // the time within which a change has to be known here, as in logic.Config.ListMaxDelay.
 func NewDiscovery(loop *Loop, clock state.Clock, engine *state.Engine, address string, generation int64, maxDelay time.Duration) *Discovery {
 	return &Discovery{loop: loop, clock: clock, deadlines: &engine.Deadlines, engine: engine, address: address,
-		generation: generation, schedule: limit.CallSchedule{PropagationBound: maxDelay},
+		generation: generation, schedule: limit.CallSchedule{MaxDelay: maxDelay},
 		dial: func(address string, done func(netpoll.Connection, error)) { connect(loop, address, dialTimeout, done) }}
 }
 
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -256,7 +256,7 @@
 // had it and was reachable. Calls never follow each other faster than minCallInterval.
 func TestListChangeArrivesWithinMaxDelay(t *testing.T) {
 	discardLog(t)
-	for _, bound := range []time.Duration{limit.DefaultPropagationBound, time.Second} {
+	for _, bound := range []time.Duration{limit.DefaultMaxDelay, time.Second} {
 		for seed := range uint64(1500) {
 			s := newDiscoveryService(seed, bound)
 			start := s.clock.now
--- a/internal/net/link.go
+++ b/internal/net/link.go
@@ -230,7 +230,7 @@
 	l.Close()
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		l.listener.Refused()
+		l.listener.DialRefused()
 	case !connected && isLocalShortage(err):
 		l.listener.NotOpened()
 	default:
--- a/internal/net/peers.go
+++ b/internal/net/peers.go
@@ -74,8 +74,8 @@
 // Close stops listening.
 func (p *Peers) Close() { p.conn.Close() }
 
-// SendToPeers implements state.PeerSender. Messages that cannot be sent are lost, as any datagram may be.
-func (p *Peers) SendToPeers(message []byte) {
+// Broadcast implements state.PeerSender. Messages that cannot be sent are lost, as any datagram may be.
+func (p *Peers) Broadcast(message []byte) {
 	p.conn.WriteToUDPAddrPort(message, p.broadcast)
 }
 
--- a/internal/net/refused_test.go
+++ b/internal/net/refused_test.go
@@ -15,7 +15,7 @@
 func (e *listenerStub) Up()               { e.events <- "up" }
 func (e *listenerStub) Reply(state.Reply) { e.events <- "reply" }
 func (e *listenerStub) Down()             { e.events <- "down" }
-func (e *listenerStub) Refused()          { e.events <- "refused" }
+func (e *listenerStub) DialRefused()      { e.events <- "refused" }
 func (e *listenerStub) NotOpened()        { e.events <- "unopened" }
 func (e *listenerStub) ProtocolError()    { e.events <- "protocol error" }
 
--- a/internal/net/reload_test.go
+++ b/internal/net/reload_test.go
@@ -41,7 +41,7 @@
 // first list is known within the bound, and so is a drain that begins soon afterwards.
 func TestDrainAfterReloadIsKnown(t *testing.T) {
 	discardLog(t)
-	for _, bound := range []time.Duration{limit.DefaultPropagationBound, time.Second} {
+	for _, bound := range []time.Duration{limit.DefaultMaxDelay, time.Second} {
 		for seed := range uint64(1500) {
 			s := newDiscoveryService(seed, bound)
 			start := s.clock.now
@@ -87,7 +87,7 @@
 				s.waiting = nil
 				s.startDrain("m")
 			})
-			s.run(start + silent + limit.DefaultPropagationBound)
+			s.run(start + silent + limit.DefaultMaxDelay)
 			if listed := s.listedState("m"); listed != "draining" {
 				t.Fatalf("silent at %v (partial response: %v): the database draining from then is %s", silent, half, listed)
 			}
--- a/internal/run/consul.go
+++ b/internal/run/consul.go
@@ -15,93 +15,94 @@
 	"havenproxy/internal/operator"
 )
 
-// watching reads what the operator's file names for Consul; the function that it gives puts that into effect, on the loop, and what
-// is watched then is to become p.watched. Members that the old catalogue listed stay as lost ones do until the new one has answered,
-// so nobody is without a list between.
-func (p *proxy) watching(own *operator.File) (watched *net.ConsulConfig, apply func(), err error) {
-	members := own.Members
-	k := own.Consul
-	if k == nil {
+// prepareConsul reads what the operator's file refers to for Consul. It returns the new value of p.consulConfig and a function that puts the
+// settings into effect on the loop. Members of the previous catalogue are kept like those of a lost one until the new catalogue has
+// answered, so that the list is never empty in between.
+func (p *proxy) prepareConsul(file *operator.File) (consulConfig *net.ConsulConfig, apply func(), err error) {
+	members := file.Members
+	settings := file.Consul
+	if settings == nil {
 		return nil, func() {
-			p.unwatch()
-			p.front.ConfigureMerging(nil, false)
+			p.stopConsul()
+			p.engine.ConfigureMerging(nil, false)
 		}, nil
 	}
-	cfg := net.ConsulConfig{Agents: k.Agents, Datacenters: k.Datacenters, Filter: k.Filter, Consistency: k.Consistency, Wait: k.WaitTime}
-	for _, name := range slices.Sorted(maps.Keys(k.Services)) {
-		m := k.Mapping
-		m.Group = k.Services[name]
-		cfg.Services = append(cfg.Services, net.ConsulService{Name: name, Mapping: m})
+	cfg := net.ConsulConfig{Agents: settings.Agents, Datacenters: settings.Datacenters, Filter: settings.Filter, Consistency: settings.Consistency, Wait: settings.WaitTime}
+	for _, name := range slices.Sorted(maps.Keys(settings.Services)) {
+		mapping := settings.Mapping
+		mapping.Group = settings.Services[name]
+		cfg.Services = append(cfg.Services, net.ConsulService{Name: name, Mapping: mapping})
 	}
-	if k.TokenFile != "" {
-		text, err := os.ReadFile(k.TokenFile)
+	if settings.TokenFile != "" {
+		text, err := os.ReadFile(settings.TokenFile)
 		if err != nil {
 			return nil, nil, fmt.Errorf("consul: %w", err)
 		}
 		if cfg.Token = strings.TrimSpace(string(text)); cfg.Token == "" || strings.ContainsAny(cfg.Token, "\r\n") {
-			return nil, nil, fmt.Errorf("consul: %s holds no token on one line", k.TokenFile)
+			return nil, nil, fmt.Errorf("consul: %s holds no token on one line", settings.TokenFile)
 		}
 	}
-	if cfg.TLS, err = consulTLS(k); err != nil {
+	if cfg.TLS, err = consulTLS(settings); err != nil {
 		return nil, nil, fmt.Errorf("consul: %w", err)
 	}
-	if p.watched != nil && same(p.watched, &cfg) {
-		return p.watched, func() { p.front.ConfigureMerging(&members, k.Exclusive) }, nil
+	if p.consulConfig != nil && sameConsulConfig(p.consulConfig, &cfg) {
+		return p.consulConfig, func() { p.engine.ConfigureMerging(&members, settings.Exclusive) }, nil
 	}
 	return &cfg, func() {
-		p.front.ConfigureMerging(&members, k.Exclusive)
+		p.engine.ConfigureMerging(&members, settings.Exclusive)
 		sources := cfg.SourceNames()
 		for _, s := range sources {
-			p.front.AddCatalogue(s)
+			p.engine.AddCatalogue(s)
 		}
-		old, before := p.consul, p.sources
-		p.consul, p.sources = net.NewConsul(p.loop, p.front, cfg), sources
-		for _, s := range before {
+		oldConsul, oldSources := p.consul, p.consulSources
+		p.consul, p.consulSources = net.NewConsul(p.loop, p.engine, cfg), sources
+		for _, s := range oldSources {
 			if !slices.Contains(sources, s) {
-				p.front.DropCatalogue(s)
+				p.engine.DropCatalogue(s)
 			}
 		}
-		if old != nil {
-			go old.Stop()
+		if oldConsul != nil {
+			go oldConsul.Stop()
 		}
-		slog.Info("Consul is watched", "agents", cfg.Agents, "sources", sources, "alone", k.Exclusive)
+		slog.Info("watching Consul", "agents", cfg.Agents, "sources", sources, "alone", settings.Exclusive)
 	}, nil
 }
 
-// same tells whether nothing has changed for the watch; certificates are read anew whenever there are any.
-func same(a, b *net.ConsulConfig) bool {
+// sameConsulConfig reports whether two configurations are equal. Configurations with TLS never are, so that certificates are read again.
+func sameConsulConfig(a, b *net.ConsulConfig) bool {
 	return a.TLS == nil && b.TLS == nil && reflect.DeepEqual(a, b)
 }
 
-func (p *proxy) unwatch() {
+// stopConsul ends the watch of Consul, if there is one, and removes its sources.
+func (p *proxy) stopConsul() {
 	if p.consul == nil {
 		return
 	}
 	go p.consul.Stop()
-	for _, s := range p.sources {
-		p.front.DropCatalogue(s)
+	for _, s := range p.consulSources {
+		p.engine.DropCatalogue(s)
 	}
-	p.consul, p.sources = nil, nil
+	p.consul, p.consulSources = nil, nil
 }
 
-// consulTLS reads the files for agents that speak TLS; nil = the system's authorities, and no certificate of one's own.
-func consulTLS(k *operator.Consul) (*tls.Config, error) {
-	if k.CAFile == "" && k.CertFile == "" {
+// consulTLS loads the TLS configuration for the agents; nil = the system's certificate authorities and no client certificate.
+func consulTLS(settings *operator.Consul) (*tls.Config, error) {
+	if settings.CAFile == "" && settings.CertFile == "" {
 		return nil, nil
 	}
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
-	if k.CAFile != "" {
-		text, err := os.ReadFile(k.CAFile)
+	if settings.CAFile != "" {
+		text, err := os.ReadFile(settings.CAFile)
 		if err != nil {
 			return nil, err
 		}
 		cfg.RootCAs = x509.NewCertPool()
 		if !cfg.RootCAs.AppendCertsFromPEM(text) {
-			return nil, fmt.Errorf("%s holds no certificate", k.CAFile)
+			return nil, fmt.Errorf("%s holds no certificate", settings.CAFile)
 		}
 	}
-	if k.CertFile != "" {
-		cert, err := tls.LoadX509KeyPair(k.CertFile, k.KeyFile)
+	if settings.CertFile != "" {
+		cert, err := tls.LoadX509KeyPair(settings.CertFile, settings.KeyFile)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/run/trace.go
+++ b/internal/run/trace.go
@@ -10,48 +10,48 @@
 	"havenproxy/internal/trace"
 )
 
-// tracing opens the file in which what clients ask is to be kept, if any; the function that it gives puts that into effect, on
-// the loop. A file that goes on as it was goes on.
-func (p *proxy) tracing(t *operator.Trace) (func(), error) {
+// prepareTrace opens the trace file for client requests, if one is configured, and returns a function that puts it into effect on the loop. A
+// trace whose settings have not changed continues in its file.
+func (p *proxy) prepareTrace(settings *operator.Trace) (func(), error) {
 	var cfg trace.Config
-	if t != nil {
-		cfg = trace.Config{File: t.File, Sample: t.SampleRate, MaxBytes: t.MaxBytes}
+	if settings != nil {
+		cfg = trace.Config{File: settings.File, Sample: settings.SampleRate, MaxBytes: settings.MaxBytes}
 	}
 	if p.traceFile != "" {
 		cfg.File = p.traceFile
 	}
 	if cfg.File == "" {
-		p.traced = nil
-		return func() { go p.untrace(p.front.SetTrace(nil)) }, nil
+		p.traceConfig = nil
+		return func() { go p.closeTrace(p.engine.SetTrace(nil)) }, nil
 	}
-	if t != nil && t.SaltFile != "" {
-		salt, err := os.ReadFile(t.SaltFile)
+	if settings != nil && settings.SaltFile != "" {
+		salt, err := os.ReadFile(settings.SaltFile)
 		if err != nil {
 			return nil, fmt.Errorf("trace: %w", err)
 		}
-		if len(salt) < leastSalt {
-			return nil, fmt.Errorf("trace: %s holds %d bytes, at least %d were expected", t.SaltFile, len(salt), leastSalt)
+		if len(salt) < minSaltLen {
+			return nil, fmt.Errorf("trace: %s holds %d bytes, at least %d were expected", settings.SaltFile, len(salt), minSaltLen)
 		}
 		cfg.Salt = salt
 	}
-	if p.traced != nil && reflect.DeepEqual(*p.traced, cfg) {
+	if p.traceConfig != nil && reflect.DeepEqual(*p.traceConfig, cfg) {
 		return func() {}, nil
 	}
 	var classes []string
-	for _, c := range p.front.Classes() {
+	for _, c := range p.engine.Classes() {
 		classes = append(classes, c.Name)
 	}
-	w, err := trace.Create(cfg, classes, p.clock.Unix())
+	writer, err := trace.Create(cfg, classes, p.clock.Unix())
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
 	}
-	p.traced = &cfg
-	slog.Info("what clients ask is kept", "file", cfg.File, "sample", w.Sample(), "most_bytes", w.MaxBytes())
-	return func() { go p.untrace(p.front.SetTrace(w)) }, nil
+	p.traceConfig = &cfg
+	slog.Info("recording client requests", "file", cfg.File, "sample", writer.Sample(), "most_bytes", writer.MaxBytes())
+	return func() { go p.closeTrace(p.engine.SetTrace(writer)) }, nil
 }
 
-// untrace ends a trace; it waits for the disk, so it has no place on the loop.
-func (p *proxy) untrace(w *trace.Writer) {
+// closeTrace closes a trace. It waits for the disk, so it must not run on the loop.
+func (p *proxy) closeTrace(w *trace.Writer) {
 	if w == nil {
 		return
 	}
--- a/internal/state/views.go
+++ b/internal/state/views.go
@@ -103,7 +103,7 @@
 // newest first.
 func (e *Engine) Switches() (out []SwitchView) {
 	now := e.clock.Now()
-	groups, ended := e.router.Handovers(now)
+	groups, ended := e.router.Failovers(now)
 	name := func(id uint64) string {
 		if m := e.members[logic.MemberID(id)]; m != nil {
 			return m.name
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -27,7 +27,7 @@
 	housekeepingInterval = 10 * time.Millisecond  // interval at which silence, due pings and waiting requests are checked
 	startupHold          = 300 * time.Millisecond // how long a new router waits for first pings, which take milliseconds
 
-	rateWindow         = 10 * time.Second      // over which traffic is averaged
+	rateWindow         = 10 * time.Second      // time over which traffic is averaged
 	pingWait           = 25 * time.Millisecond // a ping takes a few milliseconds; after this wait other members are pinged
 	pingRepeatInterval = 100 * time.Millisecond
 	maxPingRounds      = 2
@@ -42,7 +42,7 @@
 	retryShare   = 0.2  // retries as a fraction of all requests
 	retryReserve = 30.0 // retries saved for a short burst of failures
 
-	retryAfterNoPrimary = 500 * time.Millisecond // a switch of primary takes seconds
+	retryAfterNoPrimary = 500 * time.Millisecond // a failover takes seconds
 	retryAfterOverload  = 150 * time.Millisecond // an overload eases within a few service times
 
 	listRoleAge     = 5 * time.Second  // assumed age of a role that a list names
@@ -55,8 +55,8 @@
 	serviceTimeQuantile   = 0.3     // quantile of a class's answer times that estimates its service time
 	slowTimeQuantile      = 0.95    // quantile of a class's answer times beyond which an answer is overdue
 	lossWeight            = 0.02    // weight of one attempt in the moving average of lost answers
-	maxLossRate           = 0.05    // in normal operation the share stays far below
-	maxSessionEntries     = 1 << 15 // of pins, and of session commits
+	maxLoss               = 0.05    // in normal operation the share stays far below
+	maxSessionEntries     = 1 << 15 // capacity for pins, and for session commits
 	tickTimer             = TimerID(1)
 )
 
@@ -70,7 +70,7 @@
 		members: map[MemberID]*member{}, groups: map[GroupID]*group{}, requests: map[RequestID]*request{},
 		serviceTime: make([]time.Duration, len(cfg.Classes)), slowTime: make([]time.Duration, len(cfg.Classes)),
 		retryTokens: retryReserve, handover: handover.New(cfg.Handover),
-		pingSchedule: ping.Schedule{Proxies: cfg.Proxies, ClockResolution: cfg.Tick, MaxConnections: cfg.MaxConnections}, listCalls: limit.CallSchedule{PropagationBound: cfg.ListMaxDelay}}
+		pingSchedule: ping.Schedule{Proxies: cfg.Proxies, ClockResolution: cfg.Tick, MaxConnections: cfg.MaxConnections}, listCalls: limit.CallSchedule{MaxDelay: cfg.ListMaxDelay}}
 	r.unlistedGroup = r.newGroup(-1)
 	r.pins.init(maxSessionEntries)
 	r.sessionCommits.init(maxSessionEntries)
@@ -110,6 +110,7 @@
 	r.retryAwaitingPing(now)
 }
 
+// updateMember applies an entry of the list, which may name a new or a restarted member.
 func (r *Router) updateMember(now time.Duration, entry Member) {
 	m := r.members[entry.ID]
 	known := m != nil
@@ -246,9 +247,9 @@
 		q, age := a.request, now-a.sentAt
 		if !a.overdue && age > max(2*r.slowTime[q.Class], q.class.Aim) {
 			a.overdue, m.unresponsive = true, true
-			r.failures.Record(now, &m.outlier, 1)
-			if m.Strain < limit.HighStrain && !m.handover.Silent {
-				r.lossRate += lossWeight * (1 - r.lossRate)
+			r.failures.Record(now, &m.breaker, 1)
+			if m.LatencyRatio < limit.HighLatencyRatio && !m.handover.Silent {
+				r.loss += lossWeight * (1 - r.loss)
 			}
 		}
 		answersLost := r.lossy(m) && age > r.slowTime[q.Class] && !r.isLongRead(q)
@@ -258,8 +259,9 @@
 	}
 }
 
+// lossy reports whether answers are being lost although the member answers in time.
 func (r *Router) lossy(m *member) bool {
-	return r.lossRate > maxLossRate && m.Strain < limit.HighStrain
+	return r.loss > maxLoss && m.LatencyRatio < limit.HighLatencyRatio
 }
 
 // ---- Requests, attempts and outcomes ----
@@ -295,6 +297,7 @@
 	}
 }
 
+// tryStart makes the first attempt of a request. If no member can be chosen, the request is held or answered.
 func (r *Router) tryStart(now time.Duration, q *request) {
 	if ok, retryAfter := r.route(now, q); !ok && !q.awaitingPing && !q.hasOpenAttempt() {
 		r.holdOrFinish(now, q, retryAfter, q.group.handover.HeldCount())
@@ -350,6 +353,7 @@
 	return min(q.Deadline, r.handover.Config().ResendDeadline(a.sentAt, q.class.DedupWindow, r.slowTime[q.Class]))
 }
 
+// holdForPing holds a request until retryAwaitingPing tries it again.
 func (r *Router) holdForPing(q *request) {
 	if !q.awaitingPing {
 		q.awaitingPing = true
@@ -475,7 +479,7 @@
 		q.classCounts().Late++
 		for _, a := range q.attempts {
 			if a.open {
-				r.recordLatency(now, a.member, q.class.Aim, limit.LateStrain)
+				r.recordLatency(now, a.member, q.class.Aim, limit.TimeoutLatencyRatio)
 			}
 		}
 		r.forget(q)
@@ -560,19 +564,19 @@
 		elapsed := now - a.sentAt
 		limit.UpdateQuantile(&r.serviceTime[q.Class], elapsed, serviceTimeQuantile)
 		limit.UpdateQuantile(&r.slowTime[q.Class], elapsed, slowTimeQuantile)
-		r.recordLatency(now, m, q.class.Aim, min(float64(elapsed)/float64(q.class.Aim), limit.LateStrain))
-		r.failures.Record(now, &m.outlier, 0)
-		r.lossRate -= lossWeight * r.lossRate
+		r.recordLatency(now, m, q.class.Aim, min(float64(elapsed)/float64(q.class.Aim), limit.TimeoutLatencyRatio))
+		r.failures.Record(now, &m.breaker, 0)
+		r.loss -= lossWeight * r.loss
 		if q.class.Read != Write && q.Session != 0 && m.role() == RoleReplica {
 			r.pins.put(q.pinKey(), pin{m, q.group.handover.Term()})
 		}
 	case TimedOut:
 		if !r.lossy(m) {
-			r.recordLatency(now, m, q.class.Aim, limit.LateStrain)
+			r.recordLatency(now, m, q.class.Aim, limit.TimeoutLatencyRatio)
 		}
 	case Failed, Rejected, ConnectFailed, Reset:
 		if r.recordFailure(now, m); o.Result == Rejected {
-			r.recordLatency(now, m, q.class.Aim, limit.LateStrain)
+			r.recordLatency(now, m, q.class.Aim, limit.TimeoutLatencyRatio)
 		}
 		if o.Result == ConnectFailed {
 			r.probe(now, m)
@@ -587,9 +591,9 @@
 
 // recordLatency updates the member's limit with an answer time over its aim, unless the delay may be due to a
 // stall of this proxy.
-func (r *Router) recordLatency(now time.Duration, m *member, aim time.Duration, latencyRatio float64) {
+func (r *Router) recordLatency(now time.Duration, m *member, aim time.Duration, strain float64) {
 	if !r.stalled(now) {
-		m.RecordAnswer(now, aim, latencyRatio, len(m.inFlight))
+		m.RecordAnswer(now, aim, strain, len(m.inFlight))
 	}
 }
 
--- a/logic/rounds.go
+++ b/logic/rounds.go
@@ -26,7 +26,7 @@
 func (r *Router) checkDueMembers(now time.Duration) {
 	inRound := now >= r.rounds.nextRoundAt
 	if inRound {
-		r.rounds.nextRoundAt = now + ping.MaxDueDelay
+		r.rounds.nextRoundAt = now + ping.RecheckInterval
 	}
 	active := r.rounds.active
 	r.rounds.active, r.rounds.spareActive = r.rounds.spareActive[:0], active
--- a/logic/selection.go
+++ b/logic/selection.go
@@ -34,9 +34,9 @@
 	if m.State != Ready || m.handover.Silent {
 		return false
 	}
-	if r.failures.IsOutlier(&m.outlier) { // one trial at a time; a primary that fails often cannot be replaced
-		trial := m.outlier.AllowsTrial(now) && len(m.inFlight) == 0
-		return trial && !m.outlier.Paused(now) || m.role() == RolePrimary && (trial || !m.unresponsive)
+	if r.failures.IsOutlier(&m.breaker) { // one trial at a time; a primary that fails often cannot be replaced
+		trial := m.breaker.AllowsTrial(now) && len(m.inFlight) == 0
+		return trial && !m.breaker.Paused(now) || m.role() == RolePrimary && (trial || !m.unresponsive)
 	}
 	return true
 }
@@ -46,7 +46,7 @@
 // report.
 func (r *Router) overloaded(now time.Duration, m *member, share float64) bool {
 	queued := m.queueLength >= longQueue && now-m.queueReportedAt < reportMaxAge
-	return queued && (m.LastAnswer <= m.queueReportedAt || m.Strain >= limit.HighStrain) || m.Reached(now, len(m.inFlight), share, r.requestDraw)
+	return queued && (m.LastAnswer <= m.queueReportedAt || m.LatencyRatio >= limit.HighLatencyRatio) || m.Reached(now, len(m.inFlight), share, r.requestDraw)
 }
 
 // limitShare returns the fraction of a member's limit that the request may fill.
