--- a/internal/net/link.go
+++ b/internal/net/link.go
@@ -117,14 +117,14 @@
 	return err
 }
 
-// attachCallbacks makes the loop run handleInput for input on a dialled connection, and down when it ends.
-func attachCallbacks(loop *Loop, conn netpoll.Connection, readable, down func()) {
+// attachCallbacks makes the loop run onInput for input on a dialled connection, and onClose when it ends.
+func attachCallbacks(loop *Loop, conn netpoll.Connection, onInput, onClose func()) {
 	conn.AddCloseCallback(func(netpoll.Connection) error {
-		loop.Post(down)
+		loop.Post(onClose)
 		return nil
 	})
 	conn.SetOnRequest(func(context.Context, netpoll.Connection) error {
-		readable()
+		onInput()
 		return nil
 	})
 	if !conn.IsActive() { // it ended before the callbacks were set
@@ -283,7 +283,7 @@
 	}
 }
 
-// protocolError ends a connection on which answers can no longer be told apart.
+// protocolError ends a connection whose input can no longer be split into valid answers.
 func (l *databaseLink) protocolError(err error) {
 	l.databases.logProtocolError(l.address, err)
 	reply, known := l.protocol.replyAtEnd(err)
--- a/internal/net/poller_barrier.go
+++ b/internal/net/poller_barrier.go
@@ -57,7 +57,7 @@
 }
 
 // waitForPoller returns when the poller has finished its current work: it may be in the middle of reading a
-// connection that it has just been told to leave. Events that it fetches after a byte was written to the pipe no
+// connection that it has just been told to drop. Events that it fetches after a byte was written to the pipe no
 // longer include that connection, and when the byte arrives, all earlier events have been handled. The wait takes one
 // round of the poller, some microseconds. It needs a single poller, which useRunner configures. An error means that
 // the wait failed or took longer than pollerBarrierTimeout.
@@ -106,7 +106,7 @@
 
 // finishClose ends a connection to which no answer was due when this side began to close it. The poller reads ahead
 // of the loop and may have read a query since then: a query that has been read has to be answered, because its client
-// resends only one that has not been read. So the poller, which has been told to leave the connection, is waited for,
+// resends only one that has not been read. So the poller, which has been told to drop the connection, is waited for,
 // and if there is a query, the connection is kept open on a second descriptor of the same socket. It is called on the
 // loop, before the first descriptor and the poller's buffer are released.
 func (c *client) finishClose() {
