--- a/internal/run/consul.go
+++ b/internal/run/consul.go
@@ -50,7 +50,7 @@
 	}
 	return &cfg, func() {
 		p.engine.ConfigureMerging(&members, settings.Exclusive)
-		sources := cfg.Sources()
+		sources := cfg.SourceNames()
 		for _, s := range sources {
 			p.engine.AddCatalogue(s)
 		}
--- a/internal/run/reload.go
+++ b/internal/run/reload.go
@@ -62,12 +62,12 @@
 		if p.tier == nil {
 			p.engine.Reload(cfg.Settings.Config)
 		} else {
-			slog.Info("classes, levels, handover and routing remain those of the tier's policy", "number", p.tier.Number())
+			slog.Info("classes, levels, handover and routing remain those of the tier's policy", "number", p.tier.PolicyNumber())
 		}
 		for _, c := range cfg.Settings.Config.Classes { // only ever raised: open requests keep their deadlines
 			p.maxRequestTime = min(max(p.maxRequestTime, c.Limit), maxRequestTimeLimit)
 		}
-		p.discovery.Move(cfg.Discovery)
+		p.discovery.SetAddress(cfg.Discovery)
 		effect()
 	})
 }
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -167,9 +167,9 @@
 		p.engine.SetHandover(file.Handover)
 		p.engine.SetTuning(file.Tuning)
 		p.engine.SetRevision(file.Revision.Number)
-		p.server.TellPolicy(file.Revision.TellClients)
+		p.server.ReportPolicy(file.Revision.TellClients)
 	}
-	p.server.Console(file.Console.Enabled)
+	p.server.EnableConsole(file.Console.Enabled)
 	if p.mysql != nil && file.MySQL != nil { // its address and groups change only with a restart
 		p.mysql.Users, _ = mysqlUsers(file.MySQL)
 	}
@@ -204,7 +204,7 @@
 	answerDeadline time.Duration
 	exitDeadline   time.Duration
 
-	tier          *net.Tier // nil = the proxy's policy comes from its own files
+	tier          *net.PlannerLink // nil = the proxy's policy comes from its own files
 	policyNumber  rollout.Number
 	baseLog       *slog.Logger // the logger without the policy number
 	traceFile     string       // from the command line
@@ -269,7 +269,7 @@
 	}
 	if cfg.PeerListen != "" && cfg.PeersAll != "" && s.Config.MaxPeerReports > 0 {
 		peers, err := net.ListenPeers(p.loop, p.engine, cfg.PeerListen, cfg.Peers, cfg.PeersAll)
-		if errors.Is(err, net.ErrPeers) {
+		if errors.Is(err, net.ErrPeerAddress) {
 			return nil, err
 		}
 		if err != nil { // for example, the address is in use: the proxy works without peers, with more pings
@@ -282,7 +282,7 @@
 	p.discovery = net.NewDiscovery(p.loop, p.clock, p.engine, cfg.Discovery, cfg.KnownDatabases.Generation, s.Config.ListMaxDelay)
 	p.loop.Post(func() {
 		p.startedAt = p.clock.Now()
-		p.engine.Start(p.discovery, net.ListOf(cfg.KnownDatabases))
+		p.engine.Start(p.discovery, net.ConvertList(cfg.KnownDatabases))
 		p.pollReady()
 	})
 	return p, nil
--- a/internal/run/stop.go
+++ b/internal/run/stop.go
@@ -17,7 +17,7 @@
 	p.engine.SetFinalDeadline(p.answerDeadline)
 	p.engine.Deadlines.Clear(&p.readyTimer)
 	if p.acceptFD > 0 && p.canServe {
-		p.server.Leave()
+		p.server.DrainShared()
 	}
 	p.engine.Deadlines.Set(&p.stopTimer, now+acceptGrace, func() {
 		p.server.Drain()
@@ -34,7 +34,7 @@
 	if p.drainComplete() || now >= p.exitDeadline {
 		// The poller may have accepted a connection and read a query that the loop has not seen yet. Running behind the poller ensures
 		// that everything it has started by now precedes the second check in the loop's queue.
-		p.loop.BehindPoller(func() {
+		p.loop.PostAfterPoller(func() {
 			if p.drainComplete() || p.clock.Now() >= p.exitDeadline {
 				if p.tier != nil {
 					p.tier.Leave()
--- a/internal/run/tier.go
+++ b/internal/run/tier.go
@@ -18,12 +18,12 @@
 	p.engine.ConfigureLevels(file.Levels)
 	p.engine.SetHandover(file.Handover)
 	p.engine.SetTuning(file.Tuning)
-	p.server.TellPolicy(file.Tier.TellClients)
+	p.server.ReportPolicy(file.Tier.TellClients)
 	p.baseLog = slog.Default()
 	p.tier = net.JoinTier(p.loop, p.clock, p.engine, net.TierConfig{Name: cmp.Or(file.Tier.Name, cfg.Name), Planners: file.Tier.Planners,
-		Rollout: file.Tier.Rollout, Seed: cfg.Settings.Config.Seed, Nonce: rand.Uint64(), Check: p.checkPolicy, Into: p.applyPolicy,
+		Rollout: file.Tier.Rollout, Seed: cfg.Settings.Config.Seed, Nonce: rand.Uint64(), Check: p.checkPolicy, Apply: p.applyPolicy,
 		Health: net.HealthConfig{Zone: zoneName(cfg), ChecksPerSecond: file.Tier.ChecksPerSecond, BytesPerSecond: file.Tier.ReportBytesPerSecond}})
-	p.server.Belongs(p.tier)
+	p.server.SetTier(p.tier)
 }
 
 // zoneName returns the name of the zone that this proxy runs in; empty = the configuration names none.
