--- a/internal/state/assign.go
+++ b/internal/state/assign.go
@@ -6,7 +6,7 @@
 	"havenproxy/logic"
 )
 
-// Assignment of attempts to connections, up to the writing of the request. See links.go for what follows.
+// Assignment of attempts to connections, up to the writing of the request. See connections.go for what follows.
 
 // assignConn assigns an idle or new connection to an attempt.
 func (e *Engine) assignConn(a *attempt) {
--- a/internal/state/levels.go
+++ b/internal/state/levels.go
@@ -39,7 +39,7 @@
 }
 
 // ConfigureLevels sets or replaces the levels of reduced service; nil disables them. A group keeps its level if the
-// new ladder has one of the same name. cfg must have passed its Check and must not be modified afterwards.
+// new ladder has one of the same name. cfg must have passed Validate and must not be modified afterwards.
 func (e *Engine) ConfigureLevels(cfg *levels.Config) {
 	r := &e.levels
 	now := e.clock.Now()
--- a/logic/api.go
+++ b/logic/api.go
@@ -124,7 +124,7 @@
 	// ended. Requires ListOnRequest.
 	ListFromAgent bool
 	// ListMaxDelay bounds the time until a change of the list is known here, counted from when the list's service
-	// had the change and was reachable, whichever call failed before; 0 = limit.DefaultBound.
+	// had the change and was reachable, whichever call failed before; 0 = limit.DefaultMaxDelay.
 	ListMaxDelay time.Duration
 	ListRole     ListRole
 	// SessionTokens states that requests carry their session's token; otherwise the router remembers commits.
