--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -199,7 +199,7 @@
 	// then its whole list, requested without a generation, is authoritative.
 	older := d.generation != discovery.NoGeneration && list.Generation < d.generation
 	if d.firstCall = older; older {
-		slog.Warn("discovery returned an older list than the current one; fetching the whole list", "generation", list.Generation, "in_hand", d.generation)
+		slog.Warn("discovery tells an older list than the one in hand; the whole list is asked for", "generation", list.Generation, "in_hand", d.generation)
 		list.Generation = discovery.NoGeneration
 	}
 	d.generation = list.Generation
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -44,7 +44,7 @@
 var (
 	ErrNotTrace  = errors.New("not a trace file")
 	ErrVersion   = errors.New("a trace of another version")
-	ErrTruncated = errors.New("trace is truncated within a block")
+	ErrTruncated = errors.New("the trace is cut off in the middle of a block")
 	ErrCorrupt   = errors.New("trace block is corrupt")
 )
 
