--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -216,7 +216,7 @@
 // ConvertList converts a list of the discovery service to a state.List.
 func ConvertList(l discovery.List) state.List {
 	converted := state.List{Kind: logic.ListDelta}
-	if l.Full {
+	if l.Whole {
 		converted.Kind = logic.ListFull
 	}
 	for _, e := range l.Instances {
--- a/internal/wire/discovery/discovery_test.go
+++ b/internal/wire/discovery/discovery_test.go
@@ -87,7 +87,7 @@
 func TestList(t *testing.T) {
 	l, err := ParseList([]byte(`{"generation":43,"reset":false,"more":1,"instances":[
 	 {"instanceId":"s-5be2a07c","hostPort":"10.1.0.18:6432","zone":"a","cell":3,"lifecycle":"terminating","weight":1.0,"startedAtMs":7}]}`))
-	if err != nil || l.Generation != 43 || l.Full || len(l.Instances) != 1 ||
+	if err != nil || l.Generation != 43 || l.Whole || len(l.Instances) != 1 ||
 		l.Instances[0] != (Instance{"s-5be2a07c", "10.1.0.18:6432", "a", 3, Terminating, 1, 7}) {
 		t.Errorf("%+v, error %v", l, err)
 	}
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -8,10 +8,10 @@
 	"io"
 )
 
-// List is the list of databases or, unless Full is set, the changes to it.
+// List is the list of databases or, unless Whole is set, the changes to it.
 type List struct {
 	Generation int64
-	Full       bool
+	Whole      bool
 	Instances  []Instance
 }
 
@@ -77,7 +77,7 @@
 		case "generation":
 			err = decoder.Decode(&l.Generation)
 		case "reset":
-			err = decoder.Decode(&l.Full)
+			err = decoder.Decode(&l.Whole)
 		case "instances":
 			err = l.decodeInstances(decoder, pause)
 		default:
--- a/internal/wire/discovery/long_test.go
+++ b/internal/wire/discovery/long_test.go
@@ -94,7 +94,7 @@
 		t.Errorf("%d pauses for %d entries", pauses, databases)
 	}
 	whole, err := ParseList(text)
-	if err != nil || len(got.Instances) != databases || got.Generation != 7 || !got.Full || !reflect.DeepEqual(got, whole) {
+	if err != nil || len(got.Instances) != databases || got.Generation != 7 || !got.Whole || !reflect.DeepEqual(got, whole) {
 		t.Errorf("%d entries, generation %d, error %v", len(got.Instances), got.Generation, err)
 	}
 }
