--- a/internal/handover/api.go
+++ b/internal/handover/api.go
@@ -117,7 +117,7 @@
 func (c *Config) Validate() error {
 	for name, prior := range map[string]Prior{"drain": c.Drain, "death": c.Death} {
 		if prior.From < 0 || prior.To <= prior.From {
-			return fmt.Errorf("handover: %s is %v to %v, must not be negative, and the second must be above the first", name, prior.From, prior.To)
+			return fmt.Errorf("handover: %s is %v to %v, the second must be above the first", name, prior.From, prior.To)
 		}
 	}
 	switch {
--- a/internal/levels/api.go
+++ b/internal/levels/api.go
@@ -94,7 +94,7 @@
 	names := map[string]bool{}
 	for i, level := range c.Ladder {
 		if level.Name == "" || names[level.Name] {
-			return fmt.Errorf("levels: the name %q of level %d is empty or a duplicate", level.Name, i)
+			return fmt.Errorf("levels: the name %q of level %d is empty or there twice", level.Name, i)
 		}
 		names[level.Name] = true
 		if len(level.Rules) != len(c.Classes) {
@@ -116,7 +116,7 @@
 	for _, levelNames := range []map[logic.GroupID]string{c.Pin, c.Cap} {
 		for group, name := range levelNames {
 			if !names[name] {
-				return fmt.Errorf("levels: group %d is pinned or capped at %q, which is no level", group, name)
+				return fmt.Errorf("levels: group %d is held to %q, which is no level", group, name)
 			}
 		}
 	}
--- a/internal/levels/controller.go
+++ b/internal/levels/controller.go
@@ -81,7 +81,7 @@
 // must not be changed.
 func NewController(cfg *Config, group logic.GroupID, now time.Duration) *Controller {
 	n := len(cfg.Classes)
-	return &Controller{cfg: cfg, group: group, startAt: now, levelSince: now, reason: "initial level", lastTick: now, dwell: cfg.Dwell,
+	return &Controller{cfg: cfg, group: group, startAt: now, levelSince: now, reason: "as it started", lastTick: now, dwell: cfg.Dwell,
 		offered: make([]average, n), served: make([]average, n), lost: make([]average, n), serviceTime: make([]float64, n), lastStepDown: -1 << 62,
 		admissions: make([]logic.Admission, n)}
 }
@@ -123,7 +123,7 @@
 		c.measure(stats, dt)
 		var d Decision
 		if to != c.level {
-			d = c.changeLevel(now, to, "pinned by the operator's file")
+			d = c.changeLevel(now, to, "held there by the operator's file")
 		}
 		if c.pressure = 1; d.Changed {
 			return d
@@ -141,7 +141,7 @@
 		// Without this step down, a group whose databases come and go endlessly would never leave the level.
 		if c.frozenFor += dt; c.level > 0 && c.frozenFor >= max(c.cfg.Blind, c.dwell) && c.recentChanges(now) < c.cfg.Fall {
 			c.frozenFor = 0
-			return c.changeLevel(now, c.level-1, fmt.Sprintf("the group could not be judged for %v: %s", max(c.cfg.Blind, c.dwell), c.frozenReason))
+			return c.changeLevel(now, c.level-1, fmt.Sprintf("nothing could be judged for %v: %s", max(c.cfg.Blind, c.dwell), c.frozenReason))
 		}
 		return Decision{Level: c.level, PreviousLevel: c.level}
 	}
@@ -195,7 +195,7 @@
 func (c *Controller) updateFreeze(now, dt time.Duration, stats *logic.GroupStats) bool {
 	if dt > maxTickGap {
 		c.frozenUntil = max(c.frozenUntil, now+averagingTime)
-		c.frozenReason = "the proxy's loop was blocked"
+		c.frozenReason = "the proxy stood still"
 	}
 	if stats.UsableMembers == 0 {
 		c.frozenUntil = max(c.frozenUntil, now+c.cfg.Settle)
@@ -205,7 +205,7 @@
 	if stats.UsableMembers != c.usableMembers || stats.ReadyMembers != c.readyMembers {
 		if c.readyMembers > 0 {
 			c.frozenUntil = max(c.frozenUntil, now+c.cfg.Settle)
-			c.frozenReason = "databases join or leave"
+			c.frozenReason = "databases come and go"
 		}
 		c.usableMembers, c.readyMembers = stats.UsableMembers, stats.ReadyMembers
 	}
@@ -293,17 +293,17 @@
 	_, pinned := c.pinnedLevel()
 	switch {
 	case pinned:
-		s.ExitCondition = "pinned by the operator's file"
+		s.ExitCondition = "the operator's file holds it"
 	case c.level == 0:
-		s.ExitCondition = fmt.Sprintf("step up when over %.0f%% of the protected worth is lost for %v", 100*c.cfg.Enter, c.cfg.EnterAfter)
+		s.ExitCondition = fmt.Sprintf("up when over %.0f%% of the protected worth is lost for %v", 100*c.cfg.Enter, c.cfg.EnterAfter)
 	case !c.workFits():
-		s.ExitCondition = fmt.Sprintf("the work of the level below must fall from %.2f to %.2f core s/s, and losses from %.0f%% to %.0f%%, for %v",
+		s.ExitCondition = fmt.Sprintf("the work to come back must fall from %.2f to %.2f core s/s, and losses from %.0f%% to %.0f%%, for %v",
 			c.admittedWork(c.level-1), c.cfg.Margin*c.totalCapacity(), 100*c.lostShare(c.level), 100*c.cfg.Leave, c.dwell)
 	case c.recentChanges(now) >= c.cfg.Fall:
-		s.ExitCondition = fmt.Sprintf("the work of the level below fits; %d changes within a minute, waiting for fewer than %d", c.recentChanges(now), c.cfg.Fall)
+		s.ExitCondition = fmt.Sprintf("the work to come back fits; %d changes within a minute, it waits for less than %d", c.recentChanges(now), c.cfg.Fall)
 	default:
 		left := max(c.dwell-(now-max(c.fitsSince, c.levelSince)), 0)
-		s.ExitCondition = fmt.Sprintf("the work of the level below must fit for %v more", left.Round(100*time.Millisecond))
+		s.ExitCondition = fmt.Sprintf("the work to come back must fit for %v more", left.Round(100*time.Millisecond))
 	}
 	return s
 }
--- a/internal/levels/transitions.go
+++ b/internal/levels/transitions.go
@@ -11,7 +11,7 @@
 func (c *Controller) stepUp(now time.Duration) (int, string, bool) {
 	top := c.maxLevel()
 	if c.level > top {
-		return top, "capped by the operator's file", true
+		return top, "capped there by the operator's file", true
 	}
 	if c.level == top {
 		c.lossSince = 0
@@ -33,7 +33,7 @@
 	for total > 0 && to < top && c.admittedWork(to) > c.cfg.Fill*total {
 		to++
 	}
-	return to, fmt.Sprintf("%.0f%% of the protected worth was lost for %v; the offered work is %.2f of the observed capacity", 100*loss,
+	return to, fmt.Sprintf("%.0f%% of the protected worth was lost for %v; asked for %.2f of the capacity seen", 100*loss,
 		(now - c.lossSince).Round(10*time.Millisecond), c.admittedWork(0)/max(total, 1e-9)), true
 }
 
@@ -65,7 +65,7 @@
 	if now-c.fitsSince < c.dwell || now-c.levelSince < c.dwell || c.recentChanges(now) >= c.cfg.Fall {
 		return 0, "", false
 	}
-	return c.level - 1, fmt.Sprintf("the work of the level below has fitted for %v: %.2f of the observed capacity, with a margin of %.2f",
+	return c.level - 1, fmt.Sprintf("the work that comes back has fitted for %v: %.2f of the capacity seen, %.2f is the margin",
 		(now - c.fitsSince).Round(10*time.Millisecond), c.admittedWork(c.level-1)/max(c.totalCapacity(), 1e-9), c.cfg.Margin), true
 }
 
@@ -93,7 +93,7 @@
 		c.lastStepDown, c.pressure = now, 1
 	} else if now-c.lastStepDown < c.cfg.Quick {
 		c.dwell = min(2*c.dwell, c.cfg.DwellMost)
-		d.Reason += fmt.Sprintf("; a return within %v, so the dwell time is now %v", (now - c.lastStepDown).Round(100*time.Millisecond), c.dwell)
+		d.Reason += fmt.Sprintf("; back within %v, so it stays for %v now", (now - c.lastStepDown).Round(100*time.Millisecond), c.dwell)
 	}
 	c.level, c.levelSince, c.reason = to, now, d.Reason
 	c.lossSince, c.fitsSince, c.calmSince = 0, 0, 0
--- a/internal/membership/api.go
+++ b/internal/membership/api.go
@@ -139,11 +139,11 @@
 func (c *Config) Check() error {
 	switch {
 	case c.PanicFraction <= 0 || c.PanicFraction > 1:
-		return fmt.Errorf("membership: panic is %v, must be above 0 and at most 1", c.PanicFraction)
+		return fmt.Errorf("membership: panic is %v, above 0 and at most 1 was expected", c.PanicFraction)
 	case c.ReuseThreshold >= c.SuppressThreshold || c.SuppressThreshold > c.MaxPenalty:
 		return fmt.Errorf("membership: reuse %v, suppress %v, most %v: each must be below the next", c.ReuseThreshold, c.SuppressThreshold, c.MaxPenalty)
 	case c.AliveUnlistedTimeout < c.UnlistedTimeout:
-		return fmt.Errorf("membership: keep is %v, must not be below lost, which is %v", c.AliveUnlistedTimeout, c.UnlistedTimeout)
+		return fmt.Errorf("membership: keep is %v, it must not be below lost, which is %v", c.AliveUnlistedTimeout, c.UnlistedTimeout)
 	}
 	return nil
 }
--- a/internal/membership/catalogue.go
+++ b/internal/membership/catalogue.go
@@ -109,7 +109,7 @@
 func (m *Members) updateWithoutLeader(now time.Duration, index int, update Update) {
 	catalogue := m.catalogues[index]
 	catalogue.failures++
-	catalogue.lastError = "the catalogue has no leader"
+	catalogue.lastError = "it knows of no leader"
 	for _, listing := range update.Listings {
 		if listing.Health < Draining || listing.Health == Terminated {
 			continue
--- a/internal/membership/decide.go
+++ b/internal/membership/decide.go
@@ -30,11 +30,11 @@
 		}
 		switch {
 		case report.listed && (report.Health == Draining || report.Health == Maintenance): // regardless of the other catalogues
-			return StateDraining, catalogue.name + " reports " + report.Health.String()
+			return StateDraining, catalogue.name + " says " + report.Health.String()
 		case report.listed && catalogue.trust.Authoritative:
 			return StateReady, catalogue.name + " lists it"
 		case !report.listed && catalogue.trust.Authoritative && report.delistedAt > 0 && !catalogue.dropped:
-			return StateRemoved, catalogue.name + " no longer lists it"
+			return StateRemoved, catalogue.name + " lists it no more"
 		case report.damped && !catalogue.dropped:
 			damped = catalogue.name
 		case report.listed && report.Health.admits():
@@ -59,23 +59,23 @@
 	inUse = inUse && viewed.State == StateReady
 	switch {
 	case passing != "":
-		return StateReady, passing + " reports passing"
+		return StateReady, passing + " says passing"
 	case answers && critical != "":
-		return StateReady, "it answers, though " + critical + " reports critical"
+		return StateReady, "it answers, though " + critical + " says critical"
 	case damped != "" && (answers || inUse && !member.silent):
 		return StateReady, damped + " flaps, and is not followed"
 	case doubted != "" && inUse:
 		return StateReady, doubted + " has lost too many at once to be believed"
 	case critical != "" && inUse && now-member.failingSince < config.CriticalTimeout:
-		return StateReady, critical + " has reported critical for too short a time"
+		return StateReady, critical + " says critical, for now"
 	case critical != "" || damped != "":
-		return StateRemoved, "it doesn't answer, and " + cmp.Or(critical, damped) + " reports it as critical or flapping"
+		return StateRemoved, "it doesn't answer, and " + cmp.Or(critical, damped) + " says no better"
 	case answers && now-member.absentSince < config.AliveUnlistedTimeout:
-		return StateReady, "it answers, though no catalogue lists it"
+		return StateReady, "it answers, though nobody lists it"
 	case inUse && now-member.absentSince < config.UnlistedTimeout:
-		return StateReady, "it was listed until recently"
+		return StateReady, "it was listed a moment ago"
 	}
-	return StateRemoved, "no catalogue lists it"
+	return StateRemoved, "nobody lists it"
 }
 
 // describe sets the attributes of the member's entry from the listing with the highest weight.
--- a/internal/membership/identity.go
+++ b/internal/membership/identity.go
@@ -86,7 +86,7 @@
 func (m *Members) replaceRenamed(now time.Duration, member *Member) {
 	id, renamedAt, reports := member.newID, member.renamedAt, member.reports
 	member.renamedAt = 0
-	member.Entry.State, member.Entry.Reason = StateRemoved, "another ID has its address"
+	member.Entry.State, member.Entry.Reason = StateRemoved, "another id has its address"
 	m.publish(member)
 	m.forget(member)
 	for i := range reports {
--- a/internal/net/consul.go
+++ b/internal/net/consul.go
@@ -67,7 +67,7 @@
 	transport := &http.Transport{TLSClientConfig: cfg.TLS, MaxIdleConnsPerHost: 1, DisableCompression: true, ForceAttemptHTTP2: false,
 		Proxy: nil} // never through a proxy named in the environment
 	c := &Consul{config: cfg, loop: loop, receiver: receiver, client: &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error {
-		return errors.New("the agent redirects; not followed, to protect the token")
+		return errors.New("an agent redirects: the token stays here")
 	}}}
 	ctx, stop := context.WithCancel(context.Background())
 	c.stop = stop
--- a/internal/net/database.go
+++ b/internal/net/database.go
@@ -16,7 +16,7 @@
 	loadQuery           = "SHOW load"
 )
 
-var errMissingRow = errors.New("answer has no row")
+var errMissingRow = errors.New("an answer without its one row")
 
 // Databases opens connections to databases. It implements state.Opener.
 type Databases struct {
--- a/internal/net/link.go
+++ b/internal/net/link.go
@@ -22,7 +22,7 @@
 
 var (
 	errIncompleteAnswer = errors.New("an answer without its end")
-	errUnexpectedAnswer = errors.New("unexpected answer")
+	errUnexpectedAnswer = errors.New("an answer that nobody asked for")
 )
 
 // protocolErrorLogInterval is the minimum time between two log lines about protocol errors of databases.
--- a/internal/net/mysql_database.go
+++ b/internal/net/mysql_database.go
@@ -20,8 +20,8 @@
 const maxPreparedStatements = 128
 
 var (
-	errLoginRejected  = errors.New("the database rejected the login")
-	errStatementsLost = errors.New("the database repeatedly lost the prepared statement")
+	errLoginRejected  = errors.New("the database refuses the login")
+	errStatementsLost = errors.New("the database forgets its statements")
 )
 
 // loadQueryMySQL queries the load report; its answer is one row, in the same form as PostgreSQL's.
--- a/internal/planner/operator.go
+++ b/internal/planner/operator.go
@@ -61,7 +61,7 @@
 		}
 		s.sendStatus(id, "", 0)
 	default:
-		refuse(errors.New("unknown request " + request.Action))
+		refuse(errors.New("this planner doesn't know the word " + request.Action))
 	}
 }
 
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -148,8 +148,8 @@
 	for _, test := range []struct {
 		old, id uint64
 		want    string
-	}{{4, 5, "is not one of the tier's"}, {2, 3, "needs a number of its own"}, {2, 9, "needs a number of its own"}, {2, 0, "needs a number of its own"},
-		{1, 5, "planner 1 leads"}, {2, 5, "of 3 are alive, and 2 are needed"}} {
+	}{{4, 5, "is none of the tier's"}, {2, 3, "needs a number of its own"}, {2, 9, "needs a number of its own"}, {2, 0, "needs a number of its own"},
+		{1, 5, "planner 1 leads"}, {2, 5, "of 3 live, and 2 have to"}} {
 		if err := p.Replace(test.old, test.id, "127.0.0.1:1"); err == nil || !strings.Contains(err.Error(), test.want) {
 			t.Errorf("replacing %d by %d: %v, want %q", test.old, test.id, err, test.want)
 		}
--- a/internal/planner/promises.go
+++ b/internal/planner/promises.go
@@ -39,7 +39,7 @@
 	case diskID != start.DiskID:
 		return fmt.Sprintf("planner %d has begun its log anew: what it had promised is lost. Put a new one in its place: havenproxy policy replace", start.Planner), nil
 	case term < peer.lastTerm, term == peer.ackedTerm && last < peer.ackedIndex:
-		return fmt.Sprintf("planner %d has an older copy of its log: term %d and entry %d, and it had acknowledged %d and %d. Put a new one in its place: havenproxy policy replace",
+		return fmt.Sprintf("planner %d has an older copy of its log: term %d and entry %d, and it had said %d and %d. Put a new one in its place: havenproxy policy replace",
 			start.Planner, term, last, max(peer.lastTerm, peer.ackedTerm), peer.ackedIndex), nil
 	}
 	peer.verifiedProcess = start.ProcessID
--- a/internal/planner/replace.go
+++ b/internal/planner/replace.go
@@ -30,15 +30,15 @@
 	case len(p.confState.GetVotersOutgoing()) > 0:
 		return errors.New("another planner is being replaced")
 	case !slices.Contains(voters, oldID):
-		return fmt.Errorf("planner %d is not one of the tier's planners, which are %d", oldID, voters)
+		return fmt.Errorf("planner %d is none of the tier's: those are %d", oldID, voters)
 	case newID == 0 || slices.Contains(voters, newID) || p.state.Planners[newID] != "" || disk != 0:
-		return fmt.Errorf("planner %d is or was one of the tier's: a new one needs a number of its own, since the others remember what the planner of that number acknowledged", newID)
+		return fmt.Errorf("planner %d is or was one of the tier's: a new one needs a number of its own, since the others remember what it said", newID)
 	case oldID == p.config.ID:
-		return fmt.Errorf("planner %d leads: stop it first, or retry once another leads", oldID)
+		return fmt.Errorf("planner %d leads: stop it first, or ask again once another leads", oldID)
 	}
 	live := p.countLive(voters, oldID)
 	if needed := len(voters)/2 + 1; live < needed {
-		return fmt.Errorf("besides planner %d only %d of %d are alive, and %d are needed", oldID, live, len(voters), needed)
+		return fmt.Errorf("beside planner %d only %d of %d live, and %d have to", oldID, live, len(voters), needed)
 	}
 	single := func(t pb.ConfChangeType, id uint64) *pb.ConfChangeSingle {
 		return &pb.ConfChangeSingle{Type: &t, NodeId: &id}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -46,7 +46,7 @@
 func (p *Policy) Encode() ([]byte, error) {
 	text, err := encoder.Marshal(p)
 	if err == nil && len(text) > MaxBytes {
-		err = fmt.Errorf("policy: %d bytes, at most %d are allowed", len(text), MaxBytes)
+		err = fmt.Errorf("policy: %d bytes, %d at most were expected", len(text), MaxBytes)
 	}
 	return text, err
 }
@@ -54,11 +54,11 @@
 // Decode decodes a policy. Unknown fields are an error, since a proxy must not serve under a policy that it understands only in part.
 func Decode(text []byte) (*Policy, error) {
 	if len(text) > MaxBytes {
-		return nil, fmt.Errorf("policy: %d bytes, at most %d are allowed", len(text), MaxBytes)
+		return nil, fmt.Errorf("policy: %d bytes, %d at most were expected", len(text), MaxBytes)
 	}
 	p := &Policy{}
 	if err := decoder.Unmarshal(text, p); err != nil {
-		return nil, fmt.Errorf("policy: this version can't decode it: %w", err)
+		return nil, fmt.Errorf("policy: not readable by this version: %w", err)
 	}
 	encoded, err := p.Encode()
 	if err == nil && !bytes.Equal(encoded, text) {
@@ -168,7 +168,7 @@
 	for _, levelsByGroup := range []map[logic.GroupID]string{p.Levels.Pin, p.Levels.Cap} {
 		for group, level := range levelsByGroup {
 			if group != levels.AllGroups && len(groups) > 0 && !groups[int(group)] {
-				return fmt.Errorf("level %s is set for group %d, which has no databases here", level, group)
+				return fmt.Errorf("level %s is held for group %d, which has no databases here", level, group)
 			}
 		}
 	}
@@ -181,17 +181,17 @@
 	for _, class := range p.Classes {
 		switch {
 		case class.Name == "" || names[class.Name]:
-			return fmt.Errorf("class %q is a duplicate or has no name", class.Name)
+			return fmt.Errorf("class %q is there twice, or has no name", class.Name)
 		case class.Aim <= 0 || class.Limit < class.Aim:
-			return fmt.Errorf("class %s: aim %v must be above 0 and at most the limit, which is %v", class.Name, class.Aim, class.Limit)
+			return fmt.Errorf("class %s: an aim of %v and a limit of %v", class.Name, class.Aim, class.Limit)
 		}
 		names[class.Name] = true
 	}
 	switch {
 	case len(p.Classes) == 0:
-		return fmt.Errorf("the policy has no classes")
+		return fmt.Errorf("a policy without classes")
 	case p.MaxAttempts < 1:
-		return fmt.Errorf("max_attempts is %d, must be at least 1", p.MaxAttempts)
+		return fmt.Errorf("%d attempts a request, 1 at least was expected", p.MaxAttempts)
 	}
 	return nil
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -47,10 +47,10 @@
 		"old is in use":      func(*Policy) {},
 		"":                   func(p *Policy) { p.Classes = append(p.Classes, logic.Class{Name: "old", Aim: 1, Limit: 1}) },
 		"which has no data":  func(p *Policy) { p.Levels.Cap = map[logic.GroupID]string{7: "lean"}; p.Classes[0].Name = "old" },
-		"max_attempts is 0":  func(p *Policy) { p.MaxAttempts = 0 },
-		"is a duplicate":     func(p *Policy) { p.Classes[1].Name = "read" },
-		"has no classes":     func(p *Policy) { p.Classes = nil },
-		"aim 1h0m0s must be": func(p *Policy) { p.Classes[1].Aim = time.Hour },
+		"attempts a request": func(p *Policy) { p.MaxAttempts = 0 },
+		"there twice":        func(p *Policy) { p.Classes[1].Name = "read" },
+		"without classes":    func(p *Policy) { p.Classes = nil },
+		"an aim of":          func(p *Policy) { p.Classes[1].Aim = time.Hour },
 	} {
 		p := samplePolicy()
 		change(p)
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -13,8 +13,8 @@
 	ErrStaleTerm      = errors.New("a later planner leads")
 	ErrUndecided      = errors.New("is undecided")
 	ErrNotPending     = errors.New("is not undecided")
-	ErrRoundEnded     = errors.New("has ended")
-	ErrMembersChanged = errors.New("the membership has changed since the round began")
+	ErrRoundEnded     = errors.New("is over")
+	ErrMembersChanged = errors.New("the tier has changed")
 )
 
 // PolicyTooLargeError is returned for a policy of more than MaxPolicyBytes.
@@ -22,7 +22,7 @@
 
 // Error implements error.
 func (e PolicyTooLargeError) Error() string {
-	return fmt.Sprintf("policy has %d bytes, the maximum is %d", e.Bytes, MaxPolicyBytes)
+	return fmt.Sprintf("a policy of %d bytes, %d at most were expected", e.Bytes, MaxPolicyBytes)
 }
 
 // LeaseMismatchError is returned to a planner whose configured lease differs from the tier's. It can't lead: it might regard leases as
@@ -31,7 +31,7 @@
 
 // Error implements error.
 func (e LeaseMismatchError) Error() string {
-	return fmt.Sprintf("the tier's lease is %v, this planner's is %v", e.Tier, e.Planner)
+	return fmt.Sprintf("the tier goes by a lease of %v, this planner by %v", e.Tier, e.Planner)
 }
 
 // Apply executes a command of the log. The error, the same at all planners, is the reason why the command has no effect.
--- a/internal/rollout/leader_members.go
+++ b/internal/rollout/leader_members.go
@@ -54,7 +54,7 @@
 // receiveHello handles a new connection: of a member that reconnects, of a new member, or of a second process with a member's name.
 func (l *Leader) receiveHello(now time.Duration, link Link, hello Message) {
 	if hello.Lease != l.config.Lease { // the proxy might serve for longer than a change waits for it
-		reason := fmt.Sprintf("%s has a lease of %v configured, the planners have %v", hello.Name, hello.Lease, l.config.Lease)
+		reason := fmt.Sprintf("%s goes by a lease of %v, the planners by %v", hello.Name, hello.Lease, l.config.Lease)
 		l.send(link, Message{Kind: JoinDelayed, Nonce: hello.Nonce, Reason: reason})
 		return
 	}
@@ -96,13 +96,13 @@
 	}
 	l.joining[link] = hello
 	// The reason must not change while the name is taken, since proxies log each new reason.
-	reason := fmt.Sprintf("%s is a member already: an earlier start of this proxy or a second process of that name", hello.Name)
+	reason := fmt.Sprintf("%s is a member already, as of an earlier start or by a second process of that name", hello.Name)
 	left := time.Duration(0)
 	if l.config.Lease > 0 && member != nil {
-		reason += "; it is removed once its lease has ended"
+		reason += "; it goes once its lease has ended"
 		left = max(member.expiry-now, 0)
 	} else {
-		reason += "; run `havenproxy policy expel " + hello.Name + "` once that process has certainly ended"
+		reason += "; `havenproxy policy expel " + hello.Name + "` once that one is sure to have ended"
 	}
 	l.send(link, Message{Kind: JoinDelayed, Nonce: hello.Nonce, Reason: reason, Lease: left})
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -141,7 +141,7 @@
 	tier.proxies = append(tier.proxies, NewProxy(Config{Lease: 2 * time.Second}, "b", 7, acceptPolicy))
 	tier.proxies[1].Connected()
 	tier.deliverAll()
-	if len(tier.state.Members) != 1 || !slices.Equal(tier.delayReasons, []string{"b has a lease of 2s configured, the planners have 1s"}) {
+	if len(tier.state.Members) != 1 || !slices.Equal(tier.delayReasons, []string{"b goes by a lease of 2s, the planners by 1s"}) {
 		t.Errorf("%d members, %q", len(tier.state.Members), tier.delayReasons)
 	}
 	other := NewLeader(Config{Lease: 500 * time.Millisecond}, tier.state, 2)
--- a/internal/wire/consul/consul.go
+++ b/internal/wire/consul/consul.go
@@ -132,8 +132,8 @@
 
 // The errors that Decode returns.
 var (
-	ErrTooLong   = errors.New("response too long")
-	ErrMalformed = errors.New("response is not a list of instances")
+	ErrTooLong   = errors.New("the answer is too long")
+	ErrMalformed = errors.New("the answer is no list of instances")
 )
 
 // limitedReader reads up to a number of bytes and then returns ErrTooLong, unlike io.LimitedReader, so that the limit
@@ -172,7 +172,7 @@
 		return nil
 	}
 	if token != json.Delim('[') {
-		return fail(fmt.Errorf("the first token is %v", token))
+		return fail(fmt.Errorf("it begins with %v", token))
 	}
 	for count := 0; decoder.More(); count++ {
 		if count >= limits.MaxEntries {
@@ -227,7 +227,7 @@
 	}
 	listing := membership.Listing{ID: instance.Service.ID, Zone: meta(m.ZoneKey), Group: m.Group, Weight: 1}
 	if listing.ID == "" {
-		return listing, errors.New("instance without an ID")
+		return listing, errors.New("an instance without an id")
 	}
 	host := instance.Service.Address
 	if host == "" {
@@ -235,10 +235,10 @@
 	}
 	ip, err := netip.ParseAddr(host)
 	if err != nil {
-		return listing, fmt.Errorf("instance %s: address %q is not an IP address; names are not resolved", listing.ID, host)
+		return listing, fmt.Errorf("instance %s: its address %q is a name, which is not looked up", listing.ID, host)
 	}
 	if instance.Service.Port <= 0 || instance.Service.Port > 65535 {
-		return listing, fmt.Errorf("instance %s: invalid port %d", listing.ID, instance.Service.Port)
+		return listing, fmt.Errorf("instance %s: port %d", listing.ID, instance.Service.Port)
 	}
 	listing.Address = net.JoinHostPort(ip.String(), strconv.Itoa(instance.Service.Port))
 	if listing.Zone == "" {
@@ -246,7 +246,7 @@
 	}
 	if text := meta(m.GroupKey); text != "" {
 		if listing.Group, err = strconv.Atoi(text); err != nil || listing.Group < 0 {
-			return listing, fmt.Errorf("instance %s: %s is %q, want a number of 0 or more", listing.ID, m.GroupKey, text)
+			return listing, fmt.Errorf("instance %s: %s is %q, a number was expected", listing.ID, m.GroupKey, text)
 		}
 	}
 	if listing.Role = roles[strings.ToLower(meta(m.RoleKey))]; listing.Role == membership.NoRole {
--- a/internal/wire/tier/tier.go
+++ b/internal/wire/tier/tier.go
@@ -30,7 +30,7 @@
 )
 
 // ErrFrame is returned for a frame that can't be decoded.
-var ErrFrame = errors.New("tier: invalid frame")
+var ErrFrame = errors.New("tier: a frame that can't be read")
 
 // Frame is one message. Exactly one of its fields is set.
 type Frame struct {
@@ -107,7 +107,7 @@
 		return dst, err
 	}
 	if len(body)+1 > MaxFrame {
-		return dst, fmt.Errorf("tier: frame of %d bytes exceeds the limit of %d", len(body)+1, MaxFrame)
+		return dst, fmt.Errorf("tier: a frame of %d bytes, %d at most may be sent", len(body)+1, MaxFrame)
 	}
 	dst = binary.BigEndian.AppendUint32(dst, uint32(len(body)+1))
 	return append(append(dst, version), body...), nil
@@ -121,10 +121,10 @@
 	}
 	size := binary.BigEndian.Uint32(buf)
 	if size < 2 || size > MaxFrame {
-		return frame, 0, fmt.Errorf("%w: invalid length %d", ErrFrame, size)
+		return frame, 0, fmt.Errorf("%w: of %d bytes", ErrFrame, size)
 	}
 	if len(buf) > lengthBytes && buf[lengthBytes] != version {
-		return frame, 0, fmt.Errorf("%w: unsupported version %d", ErrFrame, buf[lengthBytes])
+		return frame, 0, fmt.Errorf("%w: of version %d", ErrFrame, buf[lengthBytes])
 	}
 	if len(buf) < lengthBytes+int(size) {
 		return frame, 0, nil
@@ -143,7 +143,7 @@
 	}
 	size := binary.BigEndian.Uint32(buf)
 	if size < 2 || size > MaxFrame {
-		return 0, fmt.Errorf("%w: invalid length %d", ErrFrame, size)
+		return 0, fmt.Errorf("%w: of %d bytes", ErrFrame, size)
 	}
 	return lengthBytes + int(size), nil
 }
